--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -7,12 +7,14 @@
 pub mod cells;
 mod cloud;
 mod production;
+mod recorder;
 mod rules;
 mod settings;
 mod state_service;
 mod users;
 mod workers;
 
+use recorder::Recorder;
 pub use settings::{Next, job, platform};
 use settings::{Size, sized_platform};
 use state_service::State;
@@ -147,6 +149,7 @@
     pub without_team: Option<&'static str>,
     /// The operators' settings of all nodes.
     pub operator: Operator,
+    recorder: Option<Recorder>,
 }
 
 impl World {
@@ -260,6 +263,7 @@
             cell_messages: Vec::new(),
             without_team: None,
             operator,
+            recorder: Recorder::from_env(),
         };
         for i in 0..nodes {
             w.boot(i);
@@ -364,7 +368,11 @@
         }
         let Some((core, inc)) = &mut self.nodes[node] else { return };
         let inc = *inc;
-        for out in core.step(now, wall, input) {
+        let outputs = core.step(now, wall, input);
+        if let Some(recorder) = &mut self.recorder {
+            recorder.record(self.now, node, &outputs);
+        }
+        for out in outputs {
             match out {
                 Output::Answer { req, answer } => {
                     if let Some((worker, id)) = self.worker_reqs.remove(&(node, req)) {
--- /dev/null
+++ b/tests/support/recorder.rs
@@ -0,0 +1,103 @@
+//! Records what the controllers of a world put out, to compare the behaviour of two
+//! versions (`scripts/compare-behaviour`).
+//!
+//! With the variable `OUTPUT_DIGESTS=FILE` set, each world appends one line to the file
+//! when it is dropped: a 64-bit digest of all outputs of its controllers and the name of
+//! its test. Outputs are digested in their wire form, so that renaming types, fields or
+//! functions can't change a digest. Numbers of calls and requests are left out, and the
+//! outputs of one step are sorted: their order within a step has no meaning.
+
+use std::fs::OpenOptions;
+use std::hash::{DefaultHasher, Hasher};
+use std::io::Write;
+use std::path::PathBuf;
+use woadlever::core::{CloudOp, Output, StateOp};
+
+const FILE_VARIABLE: &str = "OUTPUT_DIGESTS";
+
+/// The digest of one world's outputs.
+pub struct Recorder {
+    file: PathBuf,
+    test: String,
+    /// SipHash with fixed keys: the same for the same bytes in every process.
+    digest: DefaultHasher,
+}
+
+impl Recorder {
+    /// A recorder for the running test, if digests are asked for.
+    pub fn from_env() -> Option<Recorder> {
+        let file = PathBuf::from(std::env::var_os(FILE_VARIABLE)?);
+        let thread = std::thread::current();
+        let test = format!("{}::{}", env!("CARGO_CRATE_NAME"), thread.name().unwrap_or("unnamed"));
+        Some(Recorder { file, test, digest: DefaultHasher::new() })
+    }
+
+    /// Adds the outputs of one step of one node.
+    pub fn record(&mut self, now_ms: u64, node: usize, outputs: &[Output]) {
+        let mut encoded: Vec<Vec<u8>> = outputs.iter().map(encode).collect();
+        encoded.sort_unstable();
+        for bytes in encoded {
+            self.digest.write_u64(now_ms);
+            self.digest.write_u64(node as u64);
+            self.digest.write_u64(bytes.len() as u64);
+            self.digest.write(&bytes);
+        }
+    }
+}
+
+impl Drop for Recorder {
+    fn drop(&mut self) {
+        let line = format!("{:016x} {}\n", self.digest.finish(), self.test);
+        let file = OpenOptions::new().create(true).append(true).open(&self.file);
+        if let Err(error) = file.and_then(|mut file| file.write_all(line.as_bytes())) {
+            eprintln!("{}: {error}", self.file.display());
+        }
+    }
+}
+
+/// One output as it goes over the wire, told from the other kinds by its first word.
+fn encode(output: &Output) -> Vec<u8> {
+    let (kind, bytes) = match output {
+        Output::Answer { answer, .. } => {
+            ("answer", json(&(answer.status, &answer.body, answer.retry_after_s)))
+        }
+        Output::State { op, .. } => encode_store_request(op),
+        Output::Cloud { op, .. } => encode_cloud_request(op),
+        Output::Send { to, frame } => ("frame", with_recipient(to, bitcode::encode(frame))),
+        Output::Direct { addr, commands } => ("direct", with_recipient(addr, json(commands))),
+        Output::SendCell { cell, message } => {
+            ("cell", with_recipient(cell, bitcode::encode(message.as_ref())))
+        }
+        Output::Reconnect { to } => ("reconnect", to.clone().into_bytes()),
+    };
+    with_recipient(kind, bytes)
+}
+
+fn encode_store_request(request: &StateOp) -> (&'static str, Vec<u8>) {
+    match request {
+        StateOp::Get(key) => ("get", key.clone().into_bytes()),
+        StateOp::List { prefix, since, most } => ("list", json(&(prefix, since, most))),
+        StateOp::Txn(transaction) => ("txn", json(transaction)),
+        StateOp::Grant { ttl_ms } => ("lease-open", json(ttl_ms)),
+        StateOp::Renew(lease) => ("lease-renew", json(lease)),
+        StateOp::Release(lease) => ("lease-end", json(lease)),
+        StateOp::Watch { prefix, since, block_ms } => ("watch", json(&(prefix, since, block_ms))),
+    }
+}
+
+fn encode_cloud_request(request: &CloudOp) -> (&'static str, Vec<u8>) {
+    match request {
+        CloudOp::Catalog => ("cloud-catalog", Vec::new()),
+        CloudOp::List { since } => ("cloud-list", json(since)),
+        CloudOp::Rent(rent) => ("cloud-rent", json(rent)),
+        CloudOp::Return(machines) => ("cloud-return", json(machines)),
+    }
+}
+
+fn json<T: serde::Serialize>(value: &T) -> Vec<u8> {
+    serde_json::to_vec(value).expect("outputs can be encoded")
+}
+
+fn with_recipient(recipient: &str, bytes: Vec<u8>) -> Vec<u8> {
+    [recipient.as_bytes(), b"\n", &bytes].concat()
+}
