--- a/crates/cells/src/routing.rs
+++ b/crates/cells/src/routing.rs
@@ -148,7 +148,7 @@
     }
 
     /// Whether at least `least_share` of the tasks, and one at the least, find room.
-    pub fn fits(&self, capacity: &[ClassCapacity], least_share: f64) -> bool {
+    pub fn fits_within(&self, capacity: &[ClassCapacity], least_share: f64) -> bool {
         let least = (f64::from(self.tasks) * least_share).ceil().max(1.0);
         f64::from(self.tasks_that_fit(capacity, Room::FreeOrRentable)) >= least
     }
@@ -171,7 +171,7 @@
     least_share: f64,
 ) -> Option<&'a str> {
     let mut best: Option<((u32, u32, u32), &str)> = None;
-    for (cell, capacity) in offers.filter(|(_, capacity)| job.fits(capacity, least_share)) {
+    for (cell, capacity) in offers.filter(|(_, capacity)| job.fits_within(capacity, least_share)) {
         let free = job.tasks_that_fit(capacity, Room::Free);
         let in_all = job.tasks_that_fit(capacity, Room::FreeOrRentable);
         let rank = (free, in_all, job.spare_tasks(capacity));
--- a/crates/cells/tests/decisions.rs
+++ b/crates/cells/tests/decisions.rs
@@ -52,12 +52,12 @@
 #[test]
 fn a_cell_without_the_zone_type_or_kind_of_machine_has_no_room() {
     let capacity = [class("east", true, 64.0, 0)];
-    assert!(job(4).fits(&capacity, 1.0));
-    assert!(!JobShape { zone: Some("west"), ..job(4) }.fits(&capacity, 0.0));
-    assert!(!JobShape { types: Some(&["m64".to_string()]), ..job(4) }.fits(&capacity, 0.0));
-    assert!(!JobShape { allows_spot: false, ..job(4) }.fits(&capacity, 0.0));
+    assert!(job(4).fits_within(&capacity, 1.0));
+    assert!(!JobShape { zone: Some("west"), ..job(4) }.fits_within(&capacity, 0.0));
+    assert!(!JobShape { types: Some(&["m64".to_string()]), ..job(4) }.fits_within(&capacity, 0.0));
+    assert!(!JobShape { allows_spot: false, ..job(4) }.fits_within(&capacity, 0.0));
     let large = Amount { cpus: 32.0, ..NEED };
-    assert!(!JobShape { need: large, ..job(1) }.fits(&capacity, 0.0), "no machine holds a task");
+    assert!(!JobShape { need: large, ..job(1) }.fits_within(&capacity, 0.0), "no machine holds a task");
 }
 
 #[test]
@@ -232,9 +232,9 @@
         let mut taken = 0;
         for tasks in sizes {
             let shape = job(tasks);
-            let fits = shape.tasks_that_fit(&capacity, Room::FreeOrRentable);
+            let fits_within = shape.tasks_that_fit(&capacity, Room::FreeOrRentable);
             shape.reserve(&mut capacity);
-            taken += fits;
+            taken += fits_within;
         }
         prop_assert!(taken <= all, "{taken} of {all}");
     }
--- a/crates/overload/src/admission.rs
+++ b/crates/overload/src/admission.rs
@@ -197,7 +197,7 @@
     /// Tokens that a class leaves to more important ones.
     fn reserve(&self, class: RequestClass) -> f64 {
         let share = match class {
-            RequestClass::Probe | RequestClass::Report | RequestClass::Cancellation => 0.0,
+            RequestClass::Probe | RequestClass::WorkerHeartbeat | RequestClass::Cancellation => 0.0,
             RequestClass::Submission => 0.125,
             RequestClass::Question => 0.25,
         };
@@ -208,7 +208,7 @@
     /// learns of a job must take it for lost.
     fn guaranteed_share(class: RequestClass) -> f64 {
         match class {
-            RequestClass::Probe | RequestClass::Report => 0.0,
+            RequestClass::Probe | RequestClass::WorkerHeartbeat => 0.0,
             RequestClass::Cancellation => 0.05,
             RequestClass::Submission => 0.1,
             // Users ask far more often than they submit.
--- a/crates/overload/src/class.rs
+++ b/crates/overload/src/class.rs
@@ -8,7 +8,7 @@
     /// The load balancer asks whether the node is ready.
     Probe,
     /// A worker's report: unanswered, its tasks are lost.
-    Report,
+    WorkerHeartbeat,
     /// A user's cancellation.
     Cancellation,
     /// A user's submission.
@@ -33,7 +33,7 @@
     /// All classes, the most important first.
     pub const ALL: [RequestClass; 5] = [
         RequestClass::Probe,
-        RequestClass::Report,
+        RequestClass::WorkerHeartbeat,
         RequestClass::Cancellation,
         RequestClass::Submission,
         RequestClass::Question,
@@ -47,7 +47,7 @@
         let (method, path) = (words.next().unwrap_or_default(), words.next().unwrap_or_default());
         match (method, path) {
             (b"GET", b"/ready") => RequestClass::Probe,
-            (b"POST", b"/checkin") => RequestClass::Report,
+            (b"POST", b"/checkin") => RequestClass::WorkerHeartbeat,
             (b"POST", b"/api/jobs") => RequestClass::Submission,
             (b"POST", path) if path.ends_with(b"/cancel") => RequestClass::Cancellation,
             _ => RequestClass::Question,
@@ -58,7 +58,7 @@
     pub fn patience_ms(self) -> Millis {
         match self {
             RequestClass::Probe => PROBE_PATIENCE_MS,
-            RequestClass::Report => REPORT_PATIENCE_MS,
+            RequestClass::WorkerHeartbeat => REPORT_PATIENCE_MS,
             RequestClass::Cancellation | RequestClass::Submission => SUBMISSION_PATIENCE_MS,
             RequestClass::Question => QUESTION_PATIENCE_MS,
         }
@@ -68,7 +68,7 @@
     pub fn name(self) -> &'static str {
         match self {
             RequestClass::Probe => "probe",
-            RequestClass::Report => "report",
+            RequestClass::WorkerHeartbeat => "report",
             RequestClass::Cancellation => "cancellation",
             RequestClass::Submission => "submission",
             RequestClass::Question => "question",
--- a/crates/overload/tests/decisions.rs
+++ b/crates/overload/tests/decisions.rs
@@ -13,7 +13,7 @@
 fn requests_are_told_apart_by_their_first_line() {
     let cases: [(&[u8], RequestClass); 8] = [
         (b"GET /ready HTTP/1.1\r\nhost: x", RequestClass::Probe),
-        (b"POST /checkin HTTP/1.1\r\n", RequestClass::Report),
+        (b"POST /checkin HTTP/1.1\r\n", RequestClass::WorkerHeartbeat),
         (b"POST /api/jobs HTTP/1.1\r\n", RequestClass::Submission),
         (b"POST /api/jobs/run-000001/cancel HTTP/1.1", RequestClass::Cancellation),
         (b"GET /api/jobs/run-000001 HTTP/1.1", RequestClass::Question),
@@ -50,7 +50,7 @@
             admission.note_pressure(true, now);
         }
         // A thousand reports a second, and ten of everything else.
-        taken_on[1] += u32::from(admission.admit(RequestClass::Report, now));
+        taken_on[1] += u32::from(admission.admit(RequestClass::WorkerHeartbeat, now));
         if now % 100 == 0 {
             for (place, class) in RequestClass::ALL.into_iter().enumerate().skip(2) {
                 taken_on[place] += u32::from(admission.admit(class, now));
@@ -94,13 +94,13 @@
 fn the_queue_drops_what_has_expired_and_serves_the_newest_under_pressure() {
     let mut queue = RequestQueue::new(10);
     for (request, now) in [("a", 0), ("b", 1_000), ("c", 2_000)] {
-        assert_eq!(queue.push(RequestClass::Report, request, now), None);
+        assert_eq!(queue.push(RequestClass::WorkerHeartbeat, request, now), None);
     }
     assert_eq!(queue.pop_expired(3_000), None);
-    assert_eq!(queue.pop_expired(3_500), Some(Shed::Expired(RequestClass::Report, "a")));
+    assert_eq!(queue.pop_expired(3_500), Some(Shed::Expired(RequestClass::WorkerHeartbeat, "a")));
     assert_eq!(queue.pop_expired(3_500), None);
-    assert_eq!(queue.pop(true), Some((RequestClass::Report, "c")));
-    assert_eq!(queue.pop(false), Some((RequestClass::Report, "b")));
+    assert_eq!(queue.pop(true), Some((RequestClass::WorkerHeartbeat, "c")));
+    assert_eq!(queue.pop(false), Some((RequestClass::WorkerHeartbeat, "b")));
     assert!(queue.is_empty());
 }
 
--- a/crates/overload/tests/metastable.rs
+++ b/crates/overload/tests/metastable.rs
@@ -12,7 +12,7 @@
 const CORE_SHARE: f64 = 0.032;
 const WORKERS: u64 = 700;
 const WORKER: Behavior = Behavior {
-    class: RequestClass::Report,
+    class: RequestClass::WorkerHeartbeat,
     period_ms: Some(8_000),
     retry_ms: 1_000,
     heeds_retry_after: false,
--- a/crates/recovery-report/src/history.rs
+++ b/crates/recovery-report/src/history.rs
@@ -4,7 +4,7 @@
 use crate::moves::{Move, Moves};
 use std::collections::BTreeMap;
 use thiserror::Error;
-use woadlever_recovery::block::{BlockPhase, Tally};
+use woadlever_recovery::shard::{ReconciliationCounts, RecoveryPhase};
 
 /// Why logs can't be used. `Display` names file and line.
 #[derive(Debug, Error, PartialEq, Eq)]
@@ -42,7 +42,7 @@
     /// Attempts that its records listed.
     pub recorded: u64,
     /// Attempts by how they were squared.
-    pub tally: Tally,
+    pub tally: ReconciliationCounts,
 }
 
 /// What all logs say, times in milliseconds since the first line.
@@ -89,14 +89,14 @@
                             read_ms: None,
                             squared_ms: None,
                             recorded: 0,
-                            tally: Tally::default(),
+                            tally: ReconciliationCounts::default(),
                         });
                         recovery.recorded = entered.recorded;
                         recovery.tally = entered.tally;
                         match entered.phase {
-                            BlockPhase::ReadingRecords => {}
-                            BlockPhase::Squaring => recovery.read_ms = Some(line.at_ms),
-                            BlockPhase::Squared => recovery.squared_ms = Some(line.at_ms),
+                            RecoveryPhase::ReadingRecords => {}
+                            RecoveryPhase::Reconciling => recovery.read_ms = Some(line.at_ms),
+                            RecoveryPhase::Reconciled => recovery.squared_ms = Some(line.at_ms),
                         }
                     }
                 }
@@ -129,8 +129,8 @@
     }
 
     /// Attempts of all recoveries by how they were squared.
-    pub fn totals(&self) -> Tally {
-        let mut totals = Tally::default();
+    pub fn totals(&self) -> ReconciliationCounts {
+        let mut totals = ReconciliationCounts::default();
         for tally in self.recoveries.iter().map(|recovery| recovery.tally) {
             totals.confirmed += tally.confirmed;
             totals.absent += tally.absent;
--- a/crates/recovery-report/src/log_line.rs
+++ b/crates/recovery-report/src/log_line.rs
@@ -6,7 +6,7 @@
 use time::format_description::well_known::Rfc3339;
 use woadlever_cells::event::MoveEvent;
 use woadlever_overload::class::RequestClass;
-use woadlever_recovery::block::{BlockPhase, Tally};
+use woadlever_recovery::shard::{ReconciliationCounts, RecoveryPhase};
 
 /// Version of the fields that this program reads.
 pub const FORMAT: u64 = 1;
@@ -36,13 +36,13 @@
     /// Grant under which it is held.
     pub grant: u64,
     /// The phase.
-    pub phase: BlockPhase,
+    pub phase: RecoveryPhase,
     /// Time since the grant.
     pub age_ms: u64,
     /// Attempts that its records listed.
     pub recorded: u64,
     /// Attempts squared so far.
-    pub tally: Tally,
+    pub tally: ReconciliationCounts,
 }
 
 /// What a node has shed in about a second.
@@ -144,10 +144,10 @@
     Ok(Event::Phase(PhaseEntered {
         block: fields.text("block")?.to_string(),
         grant: fields.number("grant")?,
-        phase: BlockPhase::from_name(fields.text("phase")?).ok_or(LineError::BadField("phase"))?,
+        phase: RecoveryPhase::from_name(fields.text("phase")?).ok_or(LineError::BadField("phase"))?,
         age_ms: fields.number("age_ms")?,
         recorded: fields.number("recorded")?,
-        tally: Tally {
+        tally: ReconciliationCounts {
             confirmed: count("confirmed")?,
             absent: count("absent")?,
             lease_ended: count("lease_ended")?,
--- a/crates/recovery-report/tests/report.rs
+++ b/crates/recovery-report/tests/report.rs
@@ -5,7 +5,7 @@
 use std::path::PathBuf;
 use std::process::{Command, Output};
 use woadlever_cells::event::MoveEvent;
-use woadlever_recovery::block::Tally;
+use woadlever_recovery::shard::ReconciliationCounts;
 use woadlever_recovery_report::history::{History, HistoryError};
 use woadlever_recovery_report::log_line::LineError;
 use woadlever_recovery_report::moves::Outcome;
@@ -30,7 +30,7 @@
         (recovery.granted_ms, recovery.read_ms, recovery.squared_ms),
         (0, Some(500), Some(3_000))
     );
-    let tally = Tally { confirmed: 7, absent: 1, lease_ended: 1, unrecorded: 2 };
+    let tally = ReconciliationCounts { confirmed: 7, absent: 1, lease_ended: 1, unrecorded: 2 };
     assert_eq!((recovery.tally, history.totals()), (tally, tally));
     assert_eq!(history.shed[0].2.turned_away, [0, 40, 0, 2, 7]);
     let page = page::render(&history).unwrap();
--- a/crates/recovery/src/attempt.rs
+++ b/crates/recovery/src/attempt.rs
@@ -1,6 +1,6 @@
 //! The verdict on an attempt, and the order that is allowed for it.
 
-use crate::session::{ReportVersion, WorkerSession};
+use crate::worker::{HeartbeatVersion, WorkerLiveness};
 
 /// How far an attempt is, as far as its holder knows.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -47,7 +47,7 @@
     /// Whether the leader wants it there.
     pub wanted: bool,
     /// The report whose answer first carried its `run`.
-    pub run_sent: Option<ReportVersion>,
+    pub run_sent: Option<HeartbeatVersion>,
 }
 
 /// What a report that was taken in proves about an attempt.
@@ -68,7 +68,7 @@
 }
 
 /// The verdict on an attempt after the newest report, which lists it or doesn't.
-pub fn judge(attempt: &AttemptState, listed: bool, session: &WorkerSession) -> Verdict {
+pub fn judge(attempt: &AttemptState, listed: bool, incarnation: &WorkerLiveness) -> Verdict {
     if listed {
         return Verdict::Present;
     }
@@ -78,14 +78,14 @@
         // after that answer, or having given it up, so what this one does not list
         // never came.
         AttemptPhase::Bound if attempt.wanted => match attempt.run_sent {
-            Some(sent) if sent < session.newest() => Verdict::Undelivered,
-            None if session.is_unreachable() => Verdict::Absent,
+            Some(sent) if sent < incarnation.newest() => Verdict::Undelivered,
+            None if incarnation.is_unreachable() => Verdict::Absent,
             _ => Verdict::Pending,
         },
         // The former holder's answer can't be under way any more once the worker knows
         // our token. A later session proves nothing before that: both reports may be
         // late copies, older than the `run`, and the task would run twice.
-        AttemptPhase::Inherited if !session.is_fenced() => Verdict::Pending,
+        AttemptPhase::Inherited if !incarnation.is_fenced() => Verdict::Pending,
         _ => Verdict::Absent,
     }
 }
@@ -105,7 +105,7 @@
 
 /// What is known of an attempt's job.
 #[derive(Debug, Clone, Copy)]
-pub struct JobStanding {
+pub struct JobEligibility {
     /// On record and neither done nor withdrawn.
     pub is_live: bool,
     /// Its cancellation is confirmed, as far as is known here.
@@ -116,7 +116,7 @@
 
 /// What a worker is to do with an attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Order {
+pub enum WorkerAction {
     /// Start it.
     Run,
     /// Stop it; `save` leaves it time to save.
@@ -134,33 +134,33 @@
 /// listed it at least once, `starts_allowed` that its machine is not being returned.
 /// An attempt that no report has listed, and that this holder did not bind, gets no
 /// order at all.
-pub fn allowed_order(
+pub fn allowed_action(
     attempt: &AttemptState,
-    job: &JobStanding,
-    session: &WorkerSession,
+    job: &JobEligibility,
+    incarnation: &WorkerLiveness,
     on_record: bool,
     listed: bool,
     starts_allowed: bool,
-) -> Option<Order> {
+) -> Option<WorkerAction> {
     let phase = attempt.phase;
     if phase == AttemptPhase::Bound {
         let may_run = attempt.wanted && on_record && job.is_live && !job.is_cancelled;
-        return (may_run && starts_allowed && session.may_start()).then_some(Order::Run);
+        return (may_run && starts_allowed && incarnation.may_start()).then_some(WorkerAction::Run);
     }
     if phase.is_alive() && (job.is_cancelled || !attempt.wanted) {
         if phase == AttemptPhase::Saving && !job.is_cancelled {
             return None;
         }
-        return Some(Order::Stop { save: job.saves && !job.is_cancelled });
+        return Some(WorkerAction::Stop { save: job.saves && !job.is_cancelled });
     }
-    (phase.has_ended() && !attempt.wanted && listed).then_some(Order::Clear)
+    (phase.has_ended() && !attempt.wanted && listed).then_some(WorkerAction::Clear)
 }
 
 /// The order for an attempt that a report lists and no record speaks of: nobody's, so
 /// it must not go on. The records have been read after our grant, so there is none
 /// that could still appear.
-pub fn order_for_unrecorded(has_exited: bool) -> Order {
-    if has_exited { Order::Clear } else { Order::Stop { save: false } }
+pub fn action_for_unrecorded(has_exited: bool) -> WorkerAction {
+    if has_exited { WorkerAction::Clear } else { WorkerAction::Stop { save: false } }
 }
 
 /// Whether a cancelled attempt may be on its machine, so that a direct command has to
--- a/crates/recovery/src/ledger.rs
+++ b/crates/recovery/src/ledger.rs
@@ -3,7 +3,7 @@
 
 /// Where the leader stands with an attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Standing {
+pub enum AttemptDisposition {
     /// It shall go on; its task gets no second attempt.
     Keep,
     /// It is to be stopped, and counts against limits until it is proven gone.
@@ -12,15 +12,19 @@
 
 /// What a new leader does with an attempt that the records list. `job_is_live` is
 /// false for a job that is final, or not in memory because it is.
-pub fn from_record(job_is_live: bool, task_is_done: bool) -> Standing {
-    if job_is_live && !task_is_done { Standing::Keep } else { Standing::Stop }
+pub fn from_record(job_is_live: bool, task_is_done: bool) -> AttemptDisposition {
+    if job_is_live && !task_is_done { AttemptDisposition::Keep } else { AttemptDisposition::Stop }
 }
 
 /// What the leader does with an attempt that a holder reports and that the leader's
 /// records did not list: bound for an earlier leader. Another attempt at the same
 /// task is newer, as it was granted after this one was proven gone or never seen.
-pub fn from_holder(job_is_live: bool, task_is_done: bool, task_has_attempt: bool) -> Standing {
-    if task_has_attempt { Standing::Stop } else { from_record(job_is_live, task_is_done) }
+pub fn from_shard_owner(
+    job_is_live: bool,
+    task_is_done: bool,
+    task_has_attempt: bool,
+) -> AttemptDisposition {
+    if task_has_attempt { AttemptDisposition::Stop } else { from_record(job_is_live, task_is_done) }
 }
 
 /// Whether a holder's report that does not list an attempt proves it gone. It does if
--- a/crates/recovery/src/lib.rs
+++ b/crates/recovery/src/lib.rs
@@ -10,9 +10,9 @@
 //!
 //! This crate decides, without input or output, what both together prove:
 //!
-//! - [`session`]: which reports count, and what they prove about the worker;
+//! - [`worker`]: which reports count, and what they prove about the worker;
 //! - [`attempt`]: the verdict on each attempt, and the order that is allowed for it;
-//! - [`block`]: the phase of a block, from reading its records to squared;
+//! - [`shard`]: the phase of a block, from reading its records to squared;
 //! - [`ledger`]: the leader's side: which attempts a new leader keeps, adopts or
 //!   takes for gone.
 //!
@@ -22,9 +22,9 @@
 //! any phase.
 
 pub mod attempt;
-pub mod block;
 pub mod ledger;
-pub mod session;
+pub mod shard;
+pub mod worker;
 
 /// Milliseconds of a steady clock.
 pub type Millis = u64;
--- a/crates/recovery/src/block.rs
+++ b/crates/recovery/src/shard.rs
@@ -5,35 +5,35 @@
 
 /// Phases that a block goes through after each grant.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum BlockPhase {
+pub enum RecoveryPhase {
     /// Its placement records are being read. Reports are answered without orders.
     ReadingRecords,
     /// Some machines have attempts that no report has confirmed or disproved.
-    Squaring,
+    Reconciling,
     /// Every attempt on record is confirmed, disproved or bound by this holder.
-    Squared,
+    Reconciled,
 }
 
-impl BlockPhase {
+impl RecoveryPhase {
     /// Name in logs.
     pub fn name(self) -> &'static str {
         match self {
-            BlockPhase::ReadingRecords => "reading-records",
-            BlockPhase::Squaring => "squaring",
-            BlockPhase::Squared => "squared",
+            RecoveryPhase::ReadingRecords => "reading-records",
+            RecoveryPhase::Reconciling => "squaring",
+            RecoveryPhase::Reconciled => "squared",
         }
     }
 
     /// The phase with this name.
-    pub fn from_name(name: &str) -> Option<BlockPhase> {
-        let all = [BlockPhase::ReadingRecords, BlockPhase::Squaring, BlockPhase::Squared];
+    pub fn from_name(name: &str) -> Option<RecoveryPhase> {
+        let all = [RecoveryPhase::ReadingRecords, RecoveryPhase::Reconciling, RecoveryPhase::Reconciled];
         all.into_iter().find(|phase| phase.name() == name)
     }
 }
 
 /// Attempts by how they were squared.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Tally {
+pub struct ReconciliationCounts {
     /// On record and listed by a report: they go on.
     pub confirmed: u32,
     /// On record and proven absent by a report.
@@ -46,24 +46,24 @@
 
 /// The recovery of one block under one grant.
 #[derive(Debug)]
-pub struct BlockRecovery {
+pub struct ShardRecovery {
     since: Millis,
-    phase: BlockPhase,
+    phase: RecoveryPhase,
     /// Revision of the last page of records that was read.
     revision: u64,
-    tally: Tally,
+    tally: ReconciliationCounts,
     /// Attempts that the records listed.
     recorded: u32,
 }
 
-impl BlockRecovery {
+impl ShardRecovery {
     /// The recovery of a block that was granted at `now`.
-    pub fn new(now: Millis) -> BlockRecovery {
-        BlockRecovery {
+    pub fn new(now: Millis) -> ShardRecovery {
+        ShardRecovery {
             since: now,
-            phase: BlockPhase::ReadingRecords,
+            phase: RecoveryPhase::ReadingRecords,
             revision: 0,
-            tally: Tally::default(),
+            tally: ReconciliationCounts::default(),
             recorded: 0,
         }
     }
@@ -74,7 +74,7 @@
     pub fn records_read(&mut self, revision: u64, recorded: u32) {
         self.revision = revision;
         self.recorded = recorded;
-        self.phase = BlockPhase::Squaring;
+        self.phase = RecoveryPhase::Reconciling;
     }
 
     /// Counts the verdict on an attempt from the records.
@@ -98,22 +98,22 @@
     }
 
     /// Whether the block still has to look for attempts that are not squared.
-    pub fn is_squaring(&self) -> bool {
-        self.phase == BlockPhase::Squaring
+    pub fn is_reconciling(&self) -> bool {
+        self.phase == RecoveryPhase::Reconciling
     }
 
     /// Moves on to squared if no attempt is left that is neither confirmed nor
     /// disproved; whether it did.
-    pub fn settle(&mut self, unsquared: usize) -> bool {
-        let settles = self.is_squaring() && unsquared == 0;
+    pub fn settle(&mut self, unreconciled_attempts: usize) -> bool {
+        let settles = self.is_reconciling() && unreconciled_attempts == 0;
         if settles {
-            self.phase = BlockPhase::Squared;
+            self.phase = RecoveryPhase::Reconciled;
         }
         settles
     }
 
     /// The present phase.
-    pub fn phase(&self) -> BlockPhase {
+    pub fn phase(&self) -> RecoveryPhase {
         self.phase
     }
 
@@ -138,7 +138,7 @@
     }
 
     /// Attempts squared so far.
-    pub fn tally(&self) -> Tally {
+    pub fn tally(&self) -> ReconciliationCounts {
         self.tally
     }
 }
--- a/crates/recovery/src/session.rs
+++ b/crates/recovery/src/worker.rs
@@ -5,20 +5,20 @@
 /// Position of a report among all reports of one worker. A session begins when the
 /// worker's lease ends; the sequence number rises within it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Default)]
-pub struct ReportVersion {
+pub struct HeartbeatVersion {
     /// Session of the worker.
-    pub session: u64,
+    pub incarnation: u64,
     /// Count of reports, and of answers to direct commands, within the session.
-    pub seq: u64,
+    pub sequence: u64,
 }
 
 /// What a report says about itself.
 #[derive(Debug, Clone, Copy)]
-pub struct ReportHeader {
+pub struct HeartbeatHeader {
     /// Its position.
-    pub version: ReportVersion,
+    pub version: HeartbeatVersion,
     /// Highest fencing token that the worker has seen.
-    pub token: u64,
+    pub fencing_token: u64,
 }
 
 /// Times that the verdicts rest on.
@@ -27,7 +27,7 @@
     /// Time without an answer after which a worker drops its tasks.
     pub lease_ms: Millis,
     /// How long a holder may answer workers after the last proof of its authority.
-    pub authority_ms: Millis,
+    pub control_lease_ms: Millis,
 }
 
 /// Clocks may differ by 0.05% each.
@@ -55,21 +55,24 @@
 
 /// Whether this holder may answer a worker at all: not if the worker has seen a token
 /// above ours.
-pub fn check_token(report: ReportHeader, holder_token: u64) -> Result<(), Rejection> {
-    if report.token > holder_token { Err(Rejection::NewerHolder) } else { Ok(()) }
+pub fn check_fencing_token(
+    heartbeat: HeartbeatHeader,
+    owner_fencing_token: u64,
+) -> Result<(), Rejection> {
+    if heartbeat.fencing_token > owner_fencing_token { Err(Rejection::NewerHolder) } else { Ok(()) }
 }
 
 /// What is known about a worker from its reports and our answers.
 #[derive(Debug, Clone, Default)]
-pub struct WorkerSession {
-    newest: ReportVersion,
+pub struct WorkerLiveness {
+    newest: HeartbeatVersion,
     /// The worker has shown that it knows our token, so no answer of a former
     /// holder can be under way any more.
     fenced: bool,
-    last_report: Option<Millis>,
-    last_answer: Option<Millis>,
+    last_heartbeat: Option<Millis>,
+    last_response: Option<Millis>,
     /// The last report that we answered with 200.
-    answered: Option<ReportVersion>,
+    answered: Option<HeartbeatVersion>,
     unheeded: u32,
     unreachable: bool,
     /// Its lease has ended, or the cloud has confirmed its return.
@@ -83,34 +86,34 @@
     direct_commands: u32,
 }
 
-impl WorkerSession {
+impl WorkerLiveness {
     /// Takes in a report that has just arrived and whose token is not newer than
-    /// ours, unless it proves nothing new. `holder_token` is our fencing token;
+    /// ours, unless it proves nothing new. `owner_fencing_token` is our fencing token;
     /// `only_node` says that the worker has no other node to report to.
     pub fn accept(
         &mut self,
-        report: ReportHeader,
-        holder_token: u64,
+        heartbeat: HeartbeatHeader,
+        owner_fencing_token: u64,
         only_node: bool,
         timing: &Timing,
         now: Millis,
     ) -> Result<(), Rejection> {
-        let restarted = report.version <= self.newest;
+        let restarted = heartbeat.version <= self.newest;
         if restarted {
             if !self.lease_ended {
                 return Err(Rejection::NotNewer);
             }
             // Its lease is over and with it all that it had, so a count that starts
             // anew is a worker that did. But it may be a late copy too.
-            self.newest = ReportVersion::default();
+            self.newest = HeartbeatVersion::default();
             self.answered = None;
         }
-        self.note_reachability(report.version, only_node);
-        self.note_silence(report.version, timing, now);
+        self.note_reachability(heartbeat.version, only_node);
+        self.note_silence(heartbeat.version, timing, now);
         self.lease_ended = false;
-        self.newest = report.version;
-        self.last_report = Some(now);
-        self.fenced = !restarted && (self.fenced || report.token >= holder_token);
+        self.newest = heartbeat.version;
+        self.last_heartbeat = Some(now);
+        self.fenced = !restarted && (self.fenced || heartbeat.fencing_token >= owner_fencing_token);
         self.reborn = restarted || self.reborn && !self.fenced;
         self.direct_commands = 0;
         Ok(())
@@ -119,7 +122,7 @@
     /// A worker counts every report and sends the next one only when the last is
     /// answered or given up, and then to another node: one that skips a count, or
     /// whose lease ended although we answered, never saw the answer.
-    fn note_reachability(&mut self, version: ReportVersion, only_node: bool) {
+    fn note_reachability(&mut self, version: HeartbeatVersion, only_node: bool) {
         let Some(answered) = self.answered else { return };
         if self.heeds(answered, version, only_node) {
             self.unheeded = 0;
@@ -130,28 +133,28 @@
         }
     }
 
-    fn heeds(&self, answered: ReportVersion, version: ReportVersion, only_node: bool) -> bool {
+    fn heeds(&self, answered: HeartbeatVersion, version: HeartbeatVersion, only_node: bool) -> bool {
         if answered != self.newest {
             return true;
         }
-        let next = answered.seq + 1..=answered.seq + 1 + u64::from(self.direct_commands);
-        version.session == answered.session && (next.contains(&version.seq) || only_node)
+        let next = answered.sequence + 1..=answered.sequence + 1 + u64::from(self.direct_commands);
+        version.incarnation == answered.incarnation && (next.contains(&version.sequence) || only_node)
     }
 
     /// A `run` in the answer to a session's last report, as its lease ends, would be
     /// given up with the first report of the next one, and granted elsewhere within
     /// the same second.
-    fn note_silence(&mut self, version: ReportVersion, timing: &Timing, now: Millis) {
-        if self.last_answer.is_some_and(|at| now > at + timing.lease_ms / 2) {
-            self.resuming = version.session <= self.newest.session;
+    fn note_silence(&mut self, version: HeartbeatVersion, timing: &Timing, now: Millis) {
+        if self.last_response.is_some_and(|at| now > at + timing.lease_ms / 2) {
+            self.resuming = version.incarnation <= self.newest.incarnation;
         } else if self.answered.is_some() {
             self.resuming = false;
         }
     }
 
     /// Notes that the newest report was answered with 200.
-    pub fn note_answer(&mut self, now: Millis) {
-        self.last_answer = Some(now);
+    pub fn note_response(&mut self, now: Millis) {
+        self.last_response = Some(now);
         self.answered = Some(self.newest);
     }
 
@@ -170,9 +173,9 @@
     /// authority, which began to run out when we began to hold the block.
     pub fn lease_is_over(&self, holding_since: Millis, timing: &Timing, now: Millis) -> bool {
         // It may have learned the token from a direct command, unanswered yet.
-        let answered_by_us = self.fenced && self.last_answer.is_some();
-        let former = if answered_by_us { 0 } else { holding_since + timing.authority_ms };
-        now > self.last_answer.unwrap_or(0).max(former) + timing.lease_bound_ms()
+        let answered_by_us = self.fenced && self.last_response.is_some();
+        let former = if answered_by_us { 0 } else { holding_since + timing.control_lease_ms };
+        now > self.last_response.unwrap_or(0).max(former) + timing.lease_bound_ms()
     }
 
     /// Notes that the worker's lease has ended, and with it all that it had.
@@ -191,11 +194,11 @@
         self.may_start()
             && !self.lease_ended
             && !self.reborn
-            && self.last_report.is_some_and(|at| at + fresh_ms > now)
+            && self.last_heartbeat.is_some_and(|at| at + fresh_ms > now)
     }
 
     /// The newest report taken in.
-    pub fn newest(&self) -> ReportVersion {
+    pub fn newest(&self) -> HeartbeatVersion {
         self.newest
     }
 
@@ -215,8 +218,8 @@
     }
 
     /// When its last report arrived.
-    pub fn last_report(&self) -> Option<Millis> {
-        self.last_report
+    pub fn last_heartbeat(&self) -> Option<Millis> {
+        self.last_heartbeat
     }
 
     /// Direct commands sent since its last report.
--- a/crates/recovery/tests/verdicts.rs
+++ b/crates/recovery/tests/verdicts.rs
@@ -5,24 +5,24 @@
 use proptest::prelude::*;
 use proptest::test_runner::{FileFailurePersistence, RngSeed};
 use woadlever_recovery::attempt::{
-    AttemptPhase, AttemptState, JobStanding, Order, Verdict, allowed_order, judge,
+    AttemptPhase, AttemptState, JobEligibility, Verdict, WorkerAction, allowed_action, judge,
 };
-use woadlever_recovery::block::{BlockPhase, BlockRecovery};
-use woadlever_recovery::ledger::{self, Standing};
-use woadlever_recovery::session::{
-    Rejection, ReportHeader, ReportVersion, Timing, WorkerSession, check_token,
+use woadlever_recovery::ledger::{self, AttemptDisposition};
+use woadlever_recovery::shard::{RecoveryPhase, ShardRecovery};
+use woadlever_recovery::worker::{
+    HeartbeatHeader, HeartbeatVersion, Rejection, Timing, WorkerLiveness, check_fencing_token,
 };
 
-const TIMING: Timing = Timing { lease_ms: 20_000, authority_ms: 15_000 };
+const TIMING: Timing = Timing { lease_ms: 20_000, control_lease_ms: 15_000 };
 const TOKEN: u64 = 10;
 
-fn report(session: u64, seq: u64, token: u64) -> ReportHeader {
-    ReportHeader { version: ReportVersion { session, seq }, token }
+fn heartbeat(incarnation: u64, sequence: u64, fencing_token: u64) -> HeartbeatHeader {
+    HeartbeatHeader { version: HeartbeatVersion { incarnation, sequence }, fencing_token }
 }
 
-fn heard(token: u64) -> WorkerSession {
-    let mut worker = WorkerSession::default();
-    worker.accept(report(1, 5, token), TOKEN, false, &TIMING, 1_000).unwrap();
+fn heard(fencing_token: u64) -> WorkerLiveness {
+    let mut worker = WorkerLiveness::default();
+    worker.accept(heartbeat(1, 5, fencing_token), TOKEN, false, &TIMING, 1_000).unwrap();
     worker
 }
 
@@ -40,26 +40,26 @@
 #[test]
 fn a_report_is_taken_in_once_and_in_order() {
     let mut worker = heard(TOKEN);
-    for stale in [report(1, 5, TOKEN), report(1, 4, TOKEN), report(0, 99, TOKEN)] {
+    for stale in [heartbeat(1, 5, TOKEN), heartbeat(1, 4, TOKEN), heartbeat(0, 99, TOKEN)] {
         let taken = worker.accept(stale, TOKEN, false, &TIMING, 1_100);
         assert_eq!(taken, Err(Rejection::NotNewer));
     }
-    worker.accept(report(2, 1, TOKEN), TOKEN, false, &TIMING, 1_200).unwrap();
-    assert_eq!(check_token(report(2, 2, TOKEN + 1), TOKEN), Err(Rejection::NewerHolder));
+    worker.accept(heartbeat(2, 1, TOKEN), TOKEN, false, &TIMING, 1_200).unwrap();
+    assert_eq!(check_fencing_token(heartbeat(2, 2, TOKEN + 1), TOKEN), Err(Rejection::NewerHolder));
 }
 
 #[test]
 fn after_its_lease_a_worker_may_count_anew_and_gets_work_only_with_our_token() {
     let mut worker = heard(TOKEN);
-    worker.note_answer(1_000);
+    worker.note_response(1_000);
     assert!(!worker.lease_is_over(0, &TIMING, 21_000));
     assert!(worker.lease_is_over(0, &TIMING, 22_600));
     worker.end_lease();
-    worker.accept(report(1, 1, 0), TOKEN, false, &TIMING, 30_000).unwrap();
+    worker.accept(heartbeat(1, 1, 0), TOKEN, false, &TIMING, 30_000).unwrap();
     assert!(!worker.takes_work(5_000, 30_000), "it may be a late copy");
     assert_eq!(judge(&inherited(), false, &worker), Verdict::Pending);
-    worker.note_answer(30_000);
-    worker.accept(report(1, 2, TOKEN), TOKEN, false, &TIMING, 31_000).unwrap();
+    worker.note_response(30_000);
+    worker.accept(heartbeat(1, 2, TOKEN), TOKEN, false, &TIMING, 31_000).unwrap();
     assert!(worker.takes_work(5_000, 31_000));
 }
 
@@ -73,40 +73,40 @@
 #[test]
 fn a_run_that_a_later_report_does_not_list_never_arrived() {
     let mut worker = heard(TOKEN);
-    worker.note_answer(1_000);
+    worker.note_response(1_000);
     let sent = AttemptState {
         phase: AttemptPhase::Bound,
         wanted: true,
-        run_sent: Some(ReportVersion { session: 1, seq: 5 }),
+        run_sent: Some(HeartbeatVersion { incarnation: 1, sequence: 5 }),
     };
     assert_eq!(judge(&sent, false, &worker), Verdict::Pending);
-    worker.accept(report(1, 6, TOKEN), TOKEN, false, &TIMING, 2_000).unwrap();
+    worker.accept(heartbeat(1, 6, TOKEN), TOKEN, false, &TIMING, 2_000).unwrap();
     assert_eq!(judge(&sent, false, &worker), Verdict::Undelivered);
 }
 
 #[test]
 fn a_block_is_squared_once_nothing_is_left_open() {
-    let mut block = BlockRecovery::new(1_000);
-    assert!(!block.settle(0), "its records have not been read");
-    block.records_read(77, 3);
-    assert_eq!((block.phase(), block.revision(), block.recorded()), (BlockPhase::Squaring, 77, 3));
-    block.count(Verdict::Present);
-    block.count(Verdict::Absent);
-    assert!(!block.settle(1));
-    block.count_lease_ended(1);
-    assert!(block.settle(0) && !block.settle(0), "told once");
-    let tally = block.tally();
+    let mut shard = ShardRecovery::new(1_000);
+    assert!(!shard.settle(0), "its records have not been read");
+    shard.records_read(77, 3);
+    assert_eq!((shard.phase(), shard.revision(), shard.recorded()), (RecoveryPhase::Reconciling, 77, 3));
+    shard.count(Verdict::Present);
+    shard.count(Verdict::Absent);
+    assert!(!shard.settle(1));
+    shard.count_lease_ended(1);
+    assert!(shard.settle(0) && !shard.settle(0), "told once");
+    let tally = shard.tally();
     assert_eq!((tally.confirmed, tally.absent, tally.lease_ended), (1, 1, 1));
-    assert_eq!(BlockPhase::from_name(block.phase().name()), Some(BlockPhase::Squared));
+    assert_eq!(RecoveryPhase::from_name(shard.phase().name()), Some(RecoveryPhase::Reconciled));
 }
 
 #[test]
 fn a_new_leader_keeps_what_may_run_and_gives_no_task_a_second_attempt() {
-    assert_eq!(ledger::from_record(true, false), Standing::Keep);
-    assert_eq!(ledger::from_record(true, true), Standing::Stop);
-    assert_eq!(ledger::from_record(false, false), Standing::Stop);
-    assert_eq!(ledger::from_holder(true, false, false), Standing::Keep);
-    assert_eq!(ledger::from_holder(true, false, true), Standing::Stop);
+    assert_eq!(ledger::from_record(true, false), AttemptDisposition::Keep);
+    assert_eq!(ledger::from_record(true, true), AttemptDisposition::Stop);
+    assert_eq!(ledger::from_record(false, false), AttemptDisposition::Stop);
+    assert_eq!(ledger::from_shard_owner(true, false, false), AttemptDisposition::Keep);
+    assert_eq!(ledger::from_shard_owner(true, false, true), AttemptDisposition::Stop);
     assert_eq!(ledger::superseded(&[(1, 0, 5), (1, 0, 8), (1, 1, 3), (2, 0, 9)]), [5]);
     assert!(ledger::is_gone(false, Some(3), 3));
     assert!(!ledger::is_gone(false, Some(4), 3), "the holder had not been told of it");
@@ -140,29 +140,29 @@
     fn orders_rest_on_what_is_squared(
         phase in any_phase(),
         flags in any::<[bool; 7]>(),
-        token in 8_u64..=TOKEN,
+        fencing_token in 8_u64..=TOKEN,
     ) {
         let [wanted, is_live, is_cancelled, saves, on_record, listed, starts_allowed] = flags;
         let state = AttemptState { phase, wanted, run_sent: None };
-        let job = JobStanding { is_live, is_cancelled, saves };
-        let order = allowed_order(&state, &job, &heard(token), on_record, listed, starts_allowed);
+        let job = JobEligibility { is_live, is_cancelled, saves };
+        let order = allowed_action(&state, &job, &heard(fencing_token), on_record, listed, starts_allowed);
         if phase == AttemptPhase::Inherited {
             prop_assert_eq!(order, None);
         }
         match order {
-            Some(Order::Run) => {
+            Some(WorkerAction::Run) => {
                 prop_assert!(phase == AttemptPhase::Bound && wanted && on_record);
                 prop_assert!(is_live && !is_cancelled && starts_allowed);
             }
-            Some(Order::Stop { save }) => {
+            Some(WorkerAction::Stop { save }) => {
                 prop_assert!(phase.is_alive() && (is_cancelled || !wanted));
                 prop_assert!(!(save && is_cancelled));
             }
-            Some(Order::Clear) => prop_assert!(phase.has_ended() && !wanted && listed),
+            Some(WorkerAction::Clear) => prop_assert!(phase.has_ended() && !wanted && listed),
             None => {}
         }
         if is_cancelled && phase.is_alive() {
-            prop_assert_eq!(order, Some(Order::Stop { save: false }), "a cancellation waits for nothing");
+            prop_assert_eq!(order, Some(WorkerAction::Stop { save: false }), "a cancellation waits for nothing");
         }
     }
 
@@ -171,18 +171,18 @@
     /// holder is called absent before the worker has shown our token.
     #[test]
     fn no_mix_of_reports_disproves_too_early(
-        reports in prop::collection::vec((1_u64..4, 1_u64..30, 7_u64..=TOKEN, 0_u64..4_000), 1..60),
+        heartbeats in prop::collection::vec((1_u64..4, 1_u64..30, 7_u64..=TOKEN, 0_u64..4_000), 1..60),
     ) {
-        let mut worker = WorkerSession::default();
+        let mut worker = WorkerLiveness::default();
         let (mut now, mut token_shown, mut answered_at) = (1_000, false, 0);
-        for (session, seq, token, pause) in reports {
+        for (incarnation, sequence, fencing_token, pause) in heartbeats {
             now += pause;
             let before = worker.newest();
-            let taken = worker.accept(report(session, seq, token), TOKEN, false, &TIMING, now);
+            let taken = worker.accept(heartbeat(incarnation, sequence, fencing_token), TOKEN, false, &TIMING, now);
             if taken.is_ok() {
-                token_shown |= token == TOKEN;
+                token_shown |= fencing_token == TOKEN;
                 prop_assert!(worker.newest() > before);
-                worker.note_answer(now);
+                worker.note_response(now);
                 answered_at = now;
             } else {
                 prop_assert_eq!(worker.newest(), before);
--- a/crates/standins/src/state_service.rs
+++ b/crates/standins/src/state_service.rs
@@ -242,8 +242,8 @@
     async fn handle(&self, request: &mut Request, response: &mut Response) {
         let prefix = request.query::<String>("prefix").unwrap_or_default();
         let since = request.query::<u64>("since").unwrap_or_default();
-        let block = Duration::from_millis(request.query::<u64>("block_ms").unwrap_or_default());
-        let end = Instant::now() + block;
+        let shard = Duration::from_millis(request.query::<u64>("block_ms").unwrap_or_default());
+        let end = Instant::now() + shard;
         loop {
             let changed = self.0.changed.notified();
             let (log, ledger) = {
--- a/crates/standins/src/worker.rs
+++ b/crates/standins/src/worker.rs
@@ -21,7 +21,7 @@
     /// Controllers by name, in the order in which they are tried.
     pub nodes: Vec<(String, SocketAddr)>,
     /// Time between two reports.
-    pub report: Duration,
+    pub heartbeat: Duration,
     /// Time without an answer after which all tasks are dropped.
     pub lease: Duration,
     /// How long each task runs.
@@ -79,17 +79,17 @@
     async fn run(mut self) {
         let client = reqwest::Client::new();
         let mut next_report = Instant::now();
-        let mut last_report = Instant::now();
+        let mut last_heartbeat = Instant::now();
         loop {
             tokio::time::sleep(LOOK).await;
             self.advance();
             let now = Instant::now();
-            let early = self.changed && now >= last_report + LEAST_BETWEEN_REPORTS;
+            let early = self.changed && now >= last_heartbeat + LEAST_BETWEEN_REPORTS;
             if now < next_report && !early {
                 continue;
             }
-            last_report = now;
-            next_report = now + self.report(&client).await;
+            last_heartbeat = now;
+            next_report = now + self.heartbeat(&client).await;
         }
     }
 
@@ -127,7 +127,7 @@
     }
 
     /// Sends a report; the time until the next one.
-    async fn report(&mut self, client: &reqwest::Client) -> Duration {
+    async fn heartbeat(&mut self, client: &reqwest::Client) -> Duration {
         self.changed = false;
         self.tally += 1;
         let sent = Instant::now();
@@ -139,11 +139,11 @@
         match status {
             200 => {
                 self.obey(&body, sent);
-                self.settings.report
+                self.settings.heartbeat
             }
             421 => {
-                let holder = body["foreman"].as_str().unwrap_or_default();
-                match self.settings.nodes.iter().position(|(name, _)| name == holder) {
+                let shard_owner = body["foreman"].as_str().unwrap_or_default();
+                match self.settings.nodes.iter().position(|(name, _)| name == shard_owner) {
                     Some(node) if node != self.node => {
                         self.node = node;
                         LOOK
--- a/src/config/platform.rs
+++ b/src/config/platform.rs
@@ -348,7 +348,7 @@
     /// How long one proof of authority lasts, in milliseconds: short enough
     /// that a holder cut off from all but its workers lets their leases end
     /// within the time that a cancellation has.
-    pub fn authority_ms(&self, op: &Operator) -> u64 {
+    pub fn control_lease_ms(&self, op: &Operator) -> u64 {
         (op.block_lease_s.min(self.cluster.workers.authority_s()) * 1000.0) as u64
     }
 }
--- a/src/core/common/job_links.rs
+++ b/src/core/common/dependencies.rs
@@ -2,11 +2,11 @@
 //! along the links with each record, never by a look at all jobs.
 
 use super::shared::Shared;
-use crate::wire::state::JobState;
+use crate::wire::store::JobState;
 
 /// A job's place among others.
 #[derive(Debug, Default)]
-pub struct Links {
+pub struct DependencyLinks {
     /// What it awaits.
     pub before: Vec<u32>,
     /// Live jobs that await it.
@@ -14,7 +14,7 @@
     /// Of what it awaits, so many are not on record as done.
     pub open: u32,
     /// One before it is withdrawn, and so will it be.
-    pub doomed: bool,
+    pub has_cancelled_dependency: bool,
     /// Time of day at which it was done, as its record says.
     pub done_ms: u64,
 }
@@ -22,11 +22,12 @@
 impl Shared {
     /// Ties a live job, seen for the first time, to what it awaits.
     pub(crate) fn link(&mut self, ix: u32, awaits: &[String]) {
-        let mut doomed = false;
+        let mut has_cancelled_dependency = false;
         for id in awaits {
-            let p = self.job_slot(id);
+            let p = self.job_index_or_lookup(id);
             let Some(before) = self.jobs.get_mut(p) else { continue };
-            doomed |= before.state == JobState::Cancelled || before.links.doomed;
+            has_cancelled_dependency |=
+                before.state == JobState::Cancelled || before.links.has_cancelled_dependency;
             let done = before.is_read() && before.state == JobState::Done;
             if before.state == JobState::Live {
                 before.links.after.push(ix);
@@ -35,13 +36,13 @@
             job.links.before.push(p);
             job.links.open += u32::from(!done);
         }
-        if doomed {
-            self.doom(ix);
+        if has_cancelled_dependency {
+            self.propagate_cancellation(ix);
         }
     }
 
     /// What a job's end means to those that await it.
-    pub(crate) fn pass_on(&mut self, ix: u32) {
+    pub(crate) fn propagate_completion(&mut self, ix: u32) {
         let Some(job) = self.jobs.get_mut(ix) else { return };
         if job.state == JobState::Live {
             return;
@@ -51,7 +52,7 @@
         job.links.before = Vec::new();
         for a in after {
             if !done {
-                self.doom(a);
+                self.propagate_cancellation(a);
                 continue;
             }
             let Some(job) = self.jobs.get_mut(a) else { continue };
@@ -62,12 +63,12 @@
         }
     }
 
-    fn doom(&mut self, ix: u32) {
+    fn propagate_cancellation(&mut self, ix: u32) {
         let mut list = vec![ix];
         while let Some(ix) = list.pop() {
             let Some(job) = self.jobs.get_mut(ix) else { continue };
-            if !job.links.doomed && job.state == JobState::Live {
-                job.links.doomed = true;
+            if !job.links.has_cancelled_dependency && job.state == JobState::Live {
+                job.links.has_cancelled_dependency = true;
                 list.extend(&job.links.after);
                 self.jobs_changed.push(ix);
             }
--- a/src/core/common/term.rs
+++ b/src/core/common/election.rs
@@ -6,21 +6,21 @@
 
 use super::model::Ms;
 use super::shared::Shared;
-use super::sync::LEADER;
-use crate::core::{Purpose, StateOp, StateResult};
+use super::watch_cache::LEADER;
+use crate::core::{StoreCallOwner, StoreRequest, StoreResponse};
 use crate::wire::encoded::Encoded;
-use crate::wire::state::{Change, Cond, LeaderRecord, Txn};
+use crate::wire::store::{Compare, CompareAndSwap, LeaderRecord, Mutation};
 
 #[derive(Debug)]
-pub enum TermCall {
-    Grant,
+pub enum ElectionCall {
+    OpenLease,
     Claim { lease: u64 },
-    Renew,
-    Release,
+    RenewLease,
+    EndLease,
 }
 
 #[derive(Debug, Default)]
-pub struct Candidate {
+pub struct Election {
     lease: Option<u64>,
     busy: bool,
     renew_at: Ms,
@@ -29,7 +29,7 @@
     vacant_since: Option<Ms>,
 }
 
-impl Candidate {
+impl Election {
     pub fn poll(&mut self, shared: &mut Shared) {
         if !shared.synced || self.busy || shared.now < self.retry_at {
             return;
@@ -40,7 +40,10 @@
                 if shared.now >= self.renew_at {
                     let lease = l.lease;
                     self.busy = true;
-                    shared.state_call(Purpose::Term(TermCall::Renew), StateOp::Renew(lease));
+                    shared.send_store_request(
+                        StoreCallOwner::Election(ElectionCall::RenewLease),
+                        StoreRequest::RenewLease(lease),
+                    );
                 }
             }
             // One process runs per address: a record of a former incarnation
@@ -50,7 +53,10 @@
                 self.released = *term;
                 self.busy = true;
                 tracing::info!(lease, "giving up the lease of this node's former process");
-                shared.state_call(Purpose::Term(TermCall::Release), StateOp::Release(lease));
+                shared.send_store_request(
+                    StoreCallOwner::Election(ElectionCall::EndLease),
+                    StoreRequest::EndLease(lease),
+                );
             }
             Some(_) => self.vacant_since = None,
             None => {
@@ -65,7 +71,10 @@
                 match self.lease {
                     None => {
                         let ttl_ms = (shared.op.leader_ttl_s * 1000.0) as u64;
-                        shared.state_call(Purpose::Term(TermCall::Grant), StateOp::Grant { ttl_ms });
+                        shared.send_store_request(
+                            StoreCallOwner::Election(ElectionCall::OpenLease),
+                            StoreRequest::OpenLease { ttl_ms },
+                        );
                     }
                     Some(lease) => self.claim(shared, lease),
                 }
@@ -75,53 +84,59 @@
 
     fn claim(&mut self, shared: &mut Shared, lease: u64) {
         let rec = LeaderRecord { node: shared.me.clone(), incarnation: shared.incarnation, lease };
-        let txn = Txn {
-            conds: vec![Cond { key: LEADER.into(), version: 0 }],
-            changes: vec![Change::Put {
+        let txn = CompareAndSwap {
+            compares: vec![Compare { key: LEADER.into(), version: 0 }],
+            changes: vec![Mutation::Put {
                 key: LEADER.into(),
                 value: Encoded::new(&rec),
                 lease: Some(lease),
             }],
         };
-        shared.state_call(Purpose::Term(TermCall::Claim { lease }), StateOp::Txn(txn));
+        shared.send_store_request(
+            StoreCallOwner::Election(ElectionCall::Claim { lease }),
+            StoreRequest::CompareAndSwap(txn),
+        );
     }
 
-    pub fn on_result(&mut self, shared: &mut Shared, call: TermCall, result: StateResult) {
+    pub fn on_result(&mut self, shared: &mut Shared, call: ElectionCall, result: StoreResponse) {
         self.busy = false;
         let third = (shared.op.leader_ttl_s * 1000.0 / 3.5) as Ms;
         match (call, result) {
-            (TermCall::Grant, StateResult::Lease(lease)) => {
+            (ElectionCall::OpenLease, StoreResponse::LeaseOpened(lease)) => {
                 self.lease = Some(lease);
                 self.renew_at = shared.now + third;
             }
             // The watch tells the outcome; until then there's nothing to do.
-            (TermCall::Claim { .. }, StateResult::Done { .. } | StateResult::Failed(_)) => {
+            (
+                ElectionCall::Claim { .. },
+                StoreResponse::Committed { .. } | StoreResponse::Conflict(_),
+            ) => {
                 self.retry_at = shared.now + shared.jitter(300);
             }
-            (TermCall::Claim { lease }, StateResult::Bad | StateResult::NoLease) => {
+            (ElectionCall::Claim { lease }, StoreResponse::Malformed | StoreResponse::LeaseNotFound) => {
                 // The lease has ended. A new one is needed.
                 if self.lease == Some(lease) {
                     self.lease = None;
                 }
             }
-            (TermCall::Renew, StateResult::NoLease) => {
+            (ElectionCall::RenewLease, StoreResponse::LeaseNotFound) => {
                 // Our record is gone or going; the watch will say so. Lead
                 // no further on it.
                 self.lease = None;
-                if shared.my_term().is_some() {
+                if shared.own_term().is_some() {
                     shared.leader = None;
                 }
                 self.retry_at = shared.now + shared.jitter(200);
             }
-            (TermCall::Renew, StateResult::NotExecuted | StateResult::Unknown) => {
+            (ElectionCall::RenewLease, StoreResponse::NotExecuted | StoreResponse::OutcomeUnknown) => {
                 self.renew_at = shared.now + shared.jitter(200);
             }
-            (TermCall::Renew, _) => self.renew_at = shared.now + third,
-            (TermCall::Release, StateResult::NotExecuted | StateResult::Unknown) => {
+            (ElectionCall::RenewLease, _) => self.renew_at = shared.now + third,
+            (ElectionCall::EndLease, StoreResponse::NotExecuted | StoreResponse::OutcomeUnknown) => {
                 self.released = 0;
                 self.retry_at = shared.now + shared.jitter(300);
             }
-            (TermCall::Release, _) => {}
+            (ElectionCall::EndLease, _) => {}
             (_, _) => {
                 self.retry_at = shared.now + shared.jitter(300);
                 self.vacant_since = None;
--- a/src/core/common/feasibility.rs
+++ b/src/core/common/feasibility.rs
@@ -12,12 +12,12 @@
         return Err("a task needs more than the team's limit".into());
     }
     let need = spec.need();
-    let fits = shared.types.iter().any(|t| {
+    let fits_within = shared.types.iter().any(|t| {
         spec.types.as_ref().is_none_or(|l| l.contains(&t.name))
             && spec.zone.as_ref().is_none_or(|z| t.zones.contains(z))
-            && need.fits(&t.room)
+            && need.fits_within(&t.room)
     });
-    if !fits {
+    if !fits_within {
         return Err("a task fits no allowed machine type".into());
     }
     Ok(())
--- a/src/core/common/job_table.rs
+++ b/src/core/common/job_table.rs
@@ -9,9 +9,9 @@
 //! has been dropped since finds a cancelled job without a description, for which
 //! nothing is ever started.
 
-use super::job_links::Links;
+use super::dependencies::DependencyLinks;
 use super::model::{Ms, Spec};
-use crate::wire::state::{JobRecord, JobState};
+use crate::wire::store::{JobRecord, JobState};
 use rustc_hash::{FxHashMap, FxHashSet};
 use std::collections::{BTreeSet, HashMap, VecDeque};
 use std::sync::Arc;
@@ -38,7 +38,7 @@
     /// When the present state was learned.
     pub state_since: Ms,
     /// The jobs that it awaits and those that await it.
-    pub links: Links,
+    pub links: DependencyLinks,
     /// Another node has confirmed the cancellation, but the record that says so
     /// has not been seen here yet. The job takes no task any more; users are
     /// answered by the record alone.
@@ -73,7 +73,7 @@
             version: 0,
             tasks: 0,
             state_since: now,
-            links: Links::default(),
+            links: DependencyLinks::default(),
             cancellation_noticed: false,
             cell: None,
         }
--- a/src/core/common/lookups.rs
+++ b/src/core/common/lookups.rs
@@ -6,9 +6,9 @@
 
 use super::model::Ms;
 use super::shared::{RecordSource, Shared};
-use super::sync::job_key;
-use crate::core::{Purpose, StateOp, StateResult};
-use crate::wire::state::JobRecord;
+use super::watch_cache::job_key;
+use crate::core::{StoreCallOwner, StoreRequest, StoreResponse};
+use crate::wire::store::JobRecord;
 use rustc_hash::FxHashSet;
 
 /// Records read at once.
@@ -39,18 +39,18 @@
         for index in due {
             self.in_flight.insert(index);
             let key = job_key(shared.jobs.id(index));
-            shared.state_call(Purpose::Lookup(LookupCall(index)), StateOp::Get(key));
+            shared.send_store_request(StoreCallOwner::Lookup(LookupCall(index)), StoreRequest::Get(key));
         }
     }
 
     /// Takes in the answer to a read.
-    pub fn on_result(&mut self, shared: &mut Shared, call: LookupCall, result: StateResult) {
+    pub fn on_result(&mut self, shared: &mut Shared, call: LookupCall, result: StoreResponse) {
         let LookupCall(index) = call;
         self.in_flight.remove(&index);
         let item = match result {
-            StateResult::Item(item) => item,
+            StoreResponse::KeyValue(item) => item,
             // Nobody has accepted it: what refers to it was not written by us.
-            StateResult::Missing => return shared.jobs.set_read(index),
+            StoreResponse::NotFound => return shared.jobs.set_read(index),
             _ => {
                 self.retry_at = shared.now + shared.retry_ms(RETRY_MS);
                 return;
@@ -58,7 +58,7 @@
         };
         let id = shared.jobs.id(index).to_string();
         let taken = match item.value.decode::<JobRecord>() {
-            Ok(record) => shared.put_job(&id, record, item.version, RecordSource::Single),
+            Ok(record) => shared.apply_job_record(&id, record, item.version, RecordSource::Single),
             Err(error) => {
                 tracing::error!(key = item.key, %error, "unreadable record");
                 return shared.jobs.set_read(index);
--- a/src/core/common/model.rs
+++ b/src/core/common/model.rs
@@ -87,14 +87,14 @@
 
 impl Spec {
     /// What one task takes of its machine.
-    pub fn need(&self) -> Res {
-        Res { cpus: self.cpus, gpus: self.gpus, mem: self.memory_gb }
+    pub fn need(&self) -> Resources {
+        Resources { cpus: self.cpus, gpus: self.gpus, mem: self.memory_gb }
     }
 }
 
 /// An amount of machine: what a task takes, what a machine has.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
-pub struct Res {
+pub struct Resources {
     /// CPUs.
     pub cpus: f64,
     /// GPUs.
@@ -106,45 +106,45 @@
 /// Sums of decimals drift; a machine must not count as full for a rounding.
 const EPS: f64 = 1e-6;
 
-impl Res {
+impl Resources {
     /// Whether this much fits into `room`.
-    pub fn fits(&self, room: &Res) -> bool {
+    pub fn fits_within(&self, room: &Resources) -> bool {
         self.cpus <= room.cpus + EPS && self.gpus <= room.gpus + EPS && self.mem <= room.mem + EPS
     }
 
     /// Adds another amount.
-    pub fn add(&mut self, o: &Res) {
+    pub fn add(&mut self, o: &Resources) {
         self.cpus += o.cpus;
         self.gpus += o.gpus;
         self.mem += o.mem;
     }
 
     /// Takes another amount away.
-    pub fn sub(&mut self, o: &Res) {
+    pub fn sub(&mut self, o: &Resources) {
         self.cpus -= o.cpus;
         self.gpus -= o.gpus;
         self.mem -= o.mem;
     }
 
     /// The larger of both in each dimension.
-    pub fn max(&self, o: &Res) -> Res {
-        Res { cpus: self.cpus.max(o.cpus), gpus: self.gpus.max(o.gpus), mem: self.mem.max(o.mem) }
+    pub fn max(&self, o: &Resources) -> Resources {
+        Resources { cpus: self.cpus.max(o.cpus), gpus: self.gpus.max(o.gpus), mem: self.mem.max(o.mem) }
     }
 
     /// So many times this.
-    pub fn times(&self, n: u32) -> Res {
+    pub fn times(&self, n: u32) -> Resources {
         let n = f64::from(n);
-        Res { cpus: self.cpus * n, gpus: self.gpus * n, mem: self.mem * n }
+        Resources { cpus: self.cpus * n, gpus: self.gpus * n, mem: self.mem * n }
     }
 
     /// The largest share of `room` taken in any dimension.
-    pub fn share_of(&self, room: &Res) -> f64 {
+    pub fn dominant_share(&self, room: &Resources) -> f64 {
         let part = |a: f64, b: f64| if b > 0.0 { a / b } else { 0.0 };
         part(self.cpus, room.cpus).max(part(self.gpus, room.gpus)).max(part(self.mem, room.mem))
     }
 
     /// How many tasks of this size go into `room`.
-    pub fn times_in(&self, room: &Res) -> u32 {
+    pub fn count_fitting(&self, room: &Resources) -> u32 {
         let part = |a: f64, b: f64| if a > 0.0 { ((b + EPS) / a).floor().max(0.0) } else { 1e6 };
         part(self.cpus, room.cpus).min(part(self.gpus, room.gpus)).min(part(self.mem, room.mem)) as u32
     }
@@ -156,7 +156,7 @@
     /// Name of the type.
     pub name: String,
     /// What one machine has.
-    pub room: Res,
+    pub room: Resources,
     /// Room for images.
     pub cache_gb: f64,
     /// Rate at which images are fetched.
@@ -174,7 +174,7 @@
 impl From<crate::wire::cloud::MachineType> for MachineType {
     fn from(t: crate::wire::cloud::MachineType) -> Self {
         MachineType {
-            room: Res { cpus: t.cpus, gpus: t.gpus, mem: t.memory_gb },
+            room: Resources { cpus: t.cpus, gpus: t.gpus, mem: t.memory_gb },
             name: t.name,
             cache_gb: t.cache_gb,
             fetch_gb_per_s: t.fetch_gb_per_s.max(0.01),
@@ -201,7 +201,7 @@
 
 /// One block of machines: a part of one zone.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Block {
+pub struct Shard {
     /// Name of the block.
     pub name: String,
     /// Zone that all its machines are in.
@@ -216,7 +216,7 @@
 
 /// Every node derives the same blocks from the same settings: one for each
 /// controller of a zone, and one for a zone without a controller.
-pub fn blocks_of(zones: &[String], nodes: &[(String, String)]) -> Vec<Block> {
+pub fn shards_of(zones: &[String], nodes: &[(String, String)]) -> Vec<Shard> {
     let mut zones: Vec<String> = zones.to_vec();
     zones.extend(nodes.iter().map(|(_, z)| z.clone()));
     zones.sort();
@@ -227,7 +227,7 @@
         homes.sort();
         let parts = homes.len().max(1) as u32;
         for part in 0..parts {
-            out.push(Block {
+            out.push(Shard {
                 name: format!("{zone}.{part}"),
                 zone: zone.clone(),
                 home: homes.get(part as usize).map(|s| s.to_string()),
@@ -240,11 +240,11 @@
 }
 
 /// Machine names end in digits that count up, which spreads them evenly.
-pub fn block_of(blocks: &[Block], zone: &str, machine: &str) -> Option<u32> {
+pub fn shard_of(shards: &[Shard], zone: &str, machine: &str) -> Option<u32> {
     let digits: String = machine.chars().filter(char::is_ascii_digit).collect();
     let tail = &digits[digits.len().saturating_sub(9)..];
     let number: u32 = tail.parse().unwrap_or(0);
-    blocks.iter().position(|b| b.zone == zone && number % b.parts == b.part).map(|ix| ix as u32)
+    shards.iter().position(|b| b.zone == zone && number % b.parts == b.part).map(|ix| ix as u32)
 }
 
 /// `run-000412/3` -> (`run-000412`, 3)
--- a/src/core/common/shared.rs
+++ b/src/core/common/shared.rs
@@ -3,11 +3,11 @@
 
 use super::cell_leases::CellLeases;
 use super::job_table::{CellLink, Job, JobTable};
-use super::model::{Block, MachineType, Ms, Spec, block_of, blocks_of};
+use super::model::{MachineType, Ms, Shard, Spec, shard_of, shards_of};
 use crate::config::{Operator, Platform};
-use crate::core::{Answer, CloudOp, Output, Purpose, StateOp, StateResult};
-use crate::wire::peer::{Body, Frame, Heartbeat};
-use crate::wire::state::{BlockRecord, JobRecord, JobState, LeaderRecord};
+use crate::core::{Answer, CloudRequest, Output, StoreCallOwner, StoreRequest, StoreResponse};
+use crate::wire::peer::{Frame, PeerHeartbeat, PeerMessage};
+use crate::wire::store::{JobRecord, JobState, LeaderRecord, ShardRecord};
 use crate::wire::users::{ErrorBody, valid_id};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -16,7 +16,7 @@
 use std::sync::Arc;
 use woadlever_cells::message::CellMessage;
 use woadlever_cells::record::Origin;
-use woadlever_recovery::session::Timing;
+use woadlever_recovery::worker::Timing;
 
 /// Machines and tasks in state messages that a whole core is taken to handle in a
 /// millisecond beside all else; it sets how rare large state messages are.
@@ -70,7 +70,7 @@
     /// The process that sent it.
     pub incarnation: u64,
     /// Time since the state service last answered that node.
-    pub state_age: u64,
+    pub store_silence_ms: u64,
     /// It gets our frames, as far as it says.
     pub receives_our_frames: bool,
     reset_at: Ms,
@@ -78,17 +78,17 @@
 
 /// A token bucket: our side of a rate limit.
 #[derive(Debug)]
-pub struct Pace {
+pub struct TokenBucket {
     rate: f64,
     tokens: f64,
     burst: f64,
     at: Ms,
 }
 
-impl Pace {
+impl TokenBucket {
     /// A bucket of `burst` tokens that refills at `rate` a second.
-    pub fn new(rate: f64, burst: f64, now: Ms) -> Pace {
-        Pace { rate, tokens: burst, burst, at: now }
+    pub fn new(rate: f64, burst: f64, now: Ms) -> TokenBucket {
+        TokenBucket { rate, tokens: burst, burst, at: now }
     }
 
     fn refill(&mut self, now: Ms) {
@@ -128,16 +128,16 @@
     /// When this process started.
     pub started: Ms,
     /// How long one proof of authority lasts.
-    pub authority_ms: Ms,
+    pub control_lease_ms: Ms,
     /// A machine silent for longer gets no new tasks.
     pub fresh_ms: Ms,
     /// Source of randomness.
     pub rng: StdRng,
 
     /// All blocks of machines.
-    pub blocks: Vec<Block>,
+    pub shards: Vec<Shard>,
     /// Who holds each block, with the record's version.
-    pub block_recs: Vec<Option<(BlockRecord, u64)>>,
+    pub shard_records: Vec<Option<(ShardRecord, u64)>>,
     /// Who leads, with the term.
     pub leader: Option<(LeaderRecord, u64)>,
     /// Newest version of the leader's record seen, deletions included.
@@ -151,8 +151,8 @@
     /// Machine types of the catalog.
     pub types: Vec<MachineType>,
     /// Types that live work depends on, as it fits no other.
-    pub scarce: FxHashSet<usize>,
-    scarce_at: Ms,
+    pub scarce_types: FxHashSet<usize>,
+    scarce_types_due_at: Ms,
     /// Versions of the catalog's records.
     pub catalog_versions: HashMap<String, u64>,
 
@@ -162,34 +162,34 @@
     /// are read for the first time, or again.
     pub watched_revision: Option<u64>,
     /// When the newest answered read or watch of the records was sent.
-    pub proof_at: Option<Ms>,
+    pub control_lease_renewed_at: Option<Ms>,
     /// When the state service last answered.
-    pub state_ok_at: Ms,
+    pub store_responded_at: Ms,
     /// Since when workers have been answered without a break.
-    pub authority_since: Ms,
+    pub control_lease_held_since: Ms,
     /// The other nodes, as they look from here.
     pub peers: HashMap<String, PeerView>,
     /// Tasks (done, running) per job, as the leader last told.
     pub counts: HashMap<String, (u32, u32)>,
     /// Task counts to be told with the next heartbeat.
-    pub counts_out: Vec<(String, u32, u32)>,
+    pub task_counts_to_announce: Vec<(String, u32, u32)>,
     /// Jobs whose cancellation has just become known, for the holder.
-    pub cancelled_now: Vec<u32>,
+    pub newly_cancelled: Vec<u32>,
     /// Those that this node has just confirmed, for the others.
-    pub cancelled_here: Vec<String>,
+    pub cancellations_to_announce: Vec<String>,
 
     /// What the present input gives rise to.
     pub out: Vec<Output>,
     /// Frames from this node to itself.
     pub local: Vec<Frame>,
-    pub(crate) calls: FxHashMap<u64, (Purpose, Ms)>,
+    pub(crate) calls: FxHashMap<u64, (StoreCallOwner, Ms)>,
     next_call: u64,
     last_heartbeat: Ms,
     next_drop: Ms,
     /// Pace of changes to the state service.
-    pub writes: Pace,
+    pub writes: TokenBucket,
     /// Pace of requests to the state service.
-    pub reads: Pace,
+    pub reads: TokenBucket,
 }
 
 impl Shared {
@@ -198,7 +198,7 @@
         let mut nodes: Vec<(String, String)> =
             cfg.peers.iter().map(|p| (p.node.clone(), p.zone.clone())).collect();
         nodes.push((cfg.node.clone(), cfg.zone.clone()));
-        let blocks = blocks_of(&cfg.cluster.zones, &nodes);
+        let shards = shards_of(&cfg.cluster.zones, &nodes);
         // Nodes share the limits; a busy one may use more than its part,
         // since not all are busy at once, and a 429 only makes us wait.
         let share = if nodes.len() > 1 { 0.5 } else { 0.9 };
@@ -206,11 +206,11 @@
         let r = cfg.cluster.state.rps * share;
         Shared {
             me: cfg.node.clone(),
-            authority_ms: cfg.authority_ms(&op),
+            control_lease_ms: cfg.control_lease_ms(&op),
             // The longest time between two reports, and a change of node.
             fresh_ms: (cfg.cluster.workers.report_s * 1250.0) as Ms + 5_250,
-            block_recs: vec![None; blocks.len()],
-            blocks,
+            shard_records: vec![None; shards.len()],
+            shards,
             op,
             incarnation,
             now,
@@ -223,27 +223,27 @@
             jobs_changed: Vec::new(),
             cell_leases: CellLeases::new(cfg.cell_timing()),
             types: Vec::new(),
-            scarce: FxHashSet::default(),
-            scarce_at: 0,
+            scarce_types: FxHashSet::default(),
+            scarce_types_due_at: 0,
             catalog_versions: HashMap::new(),
             synced: false,
             watched_revision: None,
-            proof_at: None,
-            state_ok_at: now,
-            authority_since: now,
+            control_lease_renewed_at: None,
+            store_responded_at: now,
+            control_lease_held_since: now,
             peers: HashMap::new(),
             counts: HashMap::new(),
-            counts_out: Vec::new(),
-            cancelled_now: Vec::new(),
-            cancelled_here: Vec::new(),
+            task_counts_to_announce: Vec::new(),
+            newly_cancelled: Vec::new(),
+            cancellations_to_announce: Vec::new(),
             out: Vec::new(),
             local: Vec::new(),
             calls: FxHashMap::default(),
             next_call: 1,
             last_heartbeat: 0,
             next_drop: 0,
-            writes: Pace::new(w, w, now),
-            reads: Pace::new(r, r, now),
+            writes: TokenBucket::new(w, w, now),
+            reads: TokenBucket::new(r, r, now),
             cfg,
         }
     }
@@ -259,7 +259,7 @@
     /// Times that verdicts on workers rest on.
     pub fn timing(&self) -> Timing {
         let lease_ms = (self.cfg.cluster.workers.lease_s * 1000.0) as Ms;
-        Timing { lease_ms, authority_ms: self.authority_ms }
+        Timing { lease_ms, control_lease_ms: self.control_lease_ms }
     }
 
     // ---- putting out ----
@@ -287,19 +287,19 @@
         self.answer(req, 503, body.unwrap_or_default(), Some(1));
     }
 
-    pub(crate) fn state_call(&mut self, purpose: Purpose, op: StateOp) {
+    pub(crate) fn send_store_request(&mut self, purpose: StoreCallOwner, op: StoreRequest) {
         let call = self.next_call;
         self.next_call += 1;
         self.calls.insert(call, (purpose, self.now));
         self.reads.take(self.now, 1.0);
-        if let StateOp::Txn(t) = &op {
+        if let StoreRequest::CompareAndSwap(t) = &op {
             self.writes.take(self.now, t.changes.len() as f64);
         }
-        self.out.push(Output::State { call, op });
+        self.out.push(Output::Store { call, op });
     }
 
     /// Makes a call to the cloud; the result is its number.
-    pub fn cloud_call(&mut self, op: CloudOp) -> u64 {
+    pub fn send_cloud_request(&mut self, op: CloudRequest) -> u64 {
         let call = self.next_call;
         self.next_call += 1;
         self.out.push(Output::Cloud { call, op });
@@ -317,7 +317,7 @@
     }
 
     /// Sends a frame to a node.
-    pub fn send(&mut self, to: &str, body: Body) {
+    pub fn send(&mut self, to: &str, body: PeerMessage) {
         let frame = Frame { from: self.me.clone(), incarnation: self.incarnation, body };
         if to == self.me {
             self.local.push(frame);
@@ -329,7 +329,7 @@
     /// The gap between two state messages or scheduling cycles: the more there is in one, the
     /// rarer it gets, so that what it costs stays a part of the processor's
     /// share whatever the fleet's size.
-    pub fn widened(&self, base: Ms, size: usize) -> Ms {
+    pub fn load_adjusted_gap(&self, base: Ms, size: usize) -> Ms {
         base + (size as f64 / (ITEMS_PER_MS * self.cfg.cluster.limits.cpu.clamp(0.01, 1.0))) as Ms
     }
 
@@ -355,10 +355,14 @@
                 self.out.push(Output::Reconnect { to: to.clone() });
             }
         }
-        let counts = std::mem::take(&mut self.counts_out);
-        let beat = Heartbeat { state_age_ms: self.state_age(), unheard: self.unheard(), counts };
+        let counts = std::mem::take(&mut self.task_counts_to_announce);
+        let beat = PeerHeartbeat {
+            store_silence_ms: self.store_silence_ms(),
+            silent_peers: self.silent_peers(),
+            counts,
+        };
         for p in self.cfg.clone().peers.iter() {
-            self.send(&p.node, Body::Heartbeat(beat.clone()));
+            self.send(&p.node, PeerMessage::PeerHeartbeat(beat.clone()));
         }
         for (job, done, running) in beat.counts {
             self.counts.insert(job, (done, running));
@@ -366,7 +370,7 @@
     }
 
     /// Nodes whose frames no longer arrive.
-    fn unheard(&self) -> Vec<String> {
+    fn silent_peers(&self) -> Vec<String> {
         let silence = (self.op.node_silence_s * 1000.0) as Ms;
         let heard = |n: &str| self.peers.get(n).map_or(self.started, |v| v.heard) + silence >= self.now;
         let names = self.cfg.peers.iter().map(|p| &p.node);
@@ -376,27 +380,32 @@
     /// Tells the other nodes at once of cancellations confirmed here: one that
     /// the state service refuses would start and keep the jobs' tasks for as long
     /// as its authority lasts. A lost word does no harm, as the records count.
-    pub fn spread_cancellations(&mut self) {
-        for some in std::mem::take(&mut self.cancelled_here).chunks(CANCELLATIONS_A_HEARTBEAT) {
-            let mut unheard = self.unheard();
-            unheard.extend(some.iter().map(|id| format!("{CANCELLED}{id}")));
-            let beat = Heartbeat { state_age_ms: self.state_age(), unheard, counts: Vec::new() };
+    pub fn announce_cancellations(&mut self) {
+        for some in std::mem::take(&mut self.cancellations_to_announce).chunks(CANCELLATIONS_A_HEARTBEAT)
+        {
+            let mut silent_peers = self.silent_peers();
+            silent_peers.extend(some.iter().map(|id| format!("{CANCELLED}{id}")));
+            let beat = PeerHeartbeat {
+                store_silence_ms: self.store_silence_ms(),
+                silent_peers,
+                counts: Vec::new(),
+            };
             for p in self.cfg.clone().peers.iter() {
-                self.send(&p.node, Body::Heartbeat(beat.clone()));
+                self.send(&p.node, PeerMessage::PeerHeartbeat(beat.clone()));
             }
         }
     }
 
-    fn hear_cancelled(&mut self, id: &str) {
+    fn note_cancellation(&mut self, id: &str) {
         if !valid_id(id) {
             return;
         }
-        let ix = self.job_slot(id);
+        let ix = self.job_index_or_lookup(id);
         let Some(job) = self.jobs.get_mut(ix) else { return };
         if job.state == JobState::Live && !job.cancellation_noticed {
             job.cancellation_noticed = true;
             self.jobs_changed.push(ix);
-            self.cancelled_now.push(ix);
+            self.newly_cancelled.push(ix);
         }
     }
 
@@ -411,7 +420,7 @@
     }
 
     /// Notes a sign of life of another node.
-    pub fn note_peer(&mut self, f: &Frame) {
+    pub fn on_peer_frame(&mut self, f: &Frame) {
         if f.from == self.me || !self.cfg.peers.iter().any(|p| p.node == f.from) {
             return;
         }
@@ -421,7 +430,7 @@
             heard: now,
             since: now,
             incarnation: f.incarnation,
-            state_age: 0,
+            store_silence_ms: 0,
             receives_our_frames: true,
             reset_at: now,
         });
@@ -439,12 +448,12 @@
         }
         v.incarnation = f.incarnation;
         v.heard = now;
-        if let Body::Heartbeat(b) = &f.body {
-            v.state_age = b.state_age_ms;
+        if let PeerMessage::PeerHeartbeat(b) = &f.body {
+            v.store_silence_ms = b.store_silence_ms;
             // A connection may lead nowhere although writing into it succeeds,
             // as one that a node dropped on waking from a standstill. Only the
             // other side can tell: without this it stays deaf for ever.
-            v.receives_our_frames = !b.unheard.contains(&self.me);
+            v.receives_our_frames = !b.silent_peers.contains(&self.me);
             if !v.receives_our_frames && v.reset_at + silence < now {
                 v.reset_at = now;
                 self.out.push(Output::Reconnect { to: f.from.clone() });
@@ -454,8 +463,8 @@
                     self.counts.insert(job.clone(), (*done, *running));
                 }
             }
-            for id in b.unheard.iter().filter_map(|n| n.strip_prefix(CANCELLED)) {
-                self.hear_cancelled(id);
+            for id in b.silent_peers.iter().filter_map(|n| n.strip_prefix(CANCELLED)) {
+                self.note_cancellation(id);
             }
         }
     }
@@ -463,21 +472,21 @@
     /// When to try again what the state service did not take: the later, the
     /// longer it has not answered.
     pub fn retry_ms(&mut self, base: Ms) -> Ms {
-        let age = self.state_age();
+        let age = self.store_silence_ms();
         self.jitter(base + (age / 8).min(1_500))
     }
 
     /// Time since the state service last answered.
-    pub fn state_age(&self) -> u64 {
-        self.now.saturating_sub(self.state_ok_at)
+    pub fn store_silence_ms(&self) -> u64 {
+        self.now.saturating_sub(self.store_responded_at)
     }
 
     /// Notes whether the state service answered.
-    pub fn note_state_result(&mut self, sent: Ms, r: &StateResult) {
+    pub fn note_store_response(&mut self, sent: Ms, r: &StoreResponse) {
         let _ = sent;
         match r {
-            StateResult::NotExecuted | StateResult::Unknown => {}
-            _ => self.state_ok_at = self.now,
+            StoreResponse::NotExecuted | StoreResponse::OutcomeUnknown => {}
+            _ => self.store_responded_at = self.now,
         }
     }
 
@@ -485,28 +494,28 @@
     /// that is served says so. In an outage for all, being taken out by the
     /// load balancer would last longer than most outages.
     pub fn is_ready(&self) -> bool {
-        if self.state_age() < 4000 {
+        if self.store_silence_ms() < 4000 {
             return true;
         }
-        !self.peers.values().any(|p| p.heard + 2000 > self.now && p.state_age < 2000)
+        !self.peers.values().any(|p| p.heard + 2000 > self.now && p.store_silence_ms < 2000)
     }
 
     // ---- machine types ----
 
     /// Machine types that the job may use.
-    pub fn kinds_for(&self, spec: &Spec) -> impl Iterator<Item = usize> {
+    pub fn machine_types_for(&self, spec: &Spec) -> impl Iterator<Item = usize> {
         let may = |t: &MachineType| {
-            spec.need().fits(&t.room) && spec.types.as_ref().is_none_or(|l| l.contains(&t.name))
+            spec.need().fits_within(&t.room) && spec.types.as_ref().is_none_or(|l| l.contains(&t.name))
         };
         self.types.iter().enumerate().filter(move |(_, t)| may(t)).map(|(k, _)| k)
     }
 
     /// Finds the machine types that live work depends on.
-    pub fn find_scarce(&mut self) {
-        if self.now < self.scarce_at {
+    pub fn update_scarce_types(&mut self) {
+        if self.now < self.scarce_types_due_at {
             return;
         }
-        self.scarce_at = self.now + SCARCE_EVERY_MS;
+        self.scarce_types_due_at = self.now + SCARCE_EVERY_MS;
         let mut found = FxHashSet::default();
         for spec in self
             .jobs
@@ -514,49 +523,49 @@
             .filter(|j| j.state == JobState::Live && !j.is_away())
             .filter_map(|j| j.spec.as_ref())
         {
-            let mut kinds = self.kinds_for(spec);
+            let mut kinds = self.machine_types_for(spec);
             if let (Some(only), None) = (kinds.next(), kinds.next()) {
                 found.insert(only);
             }
         }
-        self.scarce = found;
+        self.scarce_types = found;
     }
 
     /// What a machine of this type is worse by in a choice: work that has one
     /// keeps off the type that other work depends on, as long as it can.
-    pub fn scarcity(&self, kind: usize) -> f64 {
-        if self.scarce.contains(&kind) { SCARCE } else { 0.0 }
+    pub fn scarcity_penalty(&self, kind: usize) -> f64 {
+        if self.scarce_types.contains(&kind) { SCARCE } else { 0.0 }
     }
 
     // ---- the watched records ----
 
     /// The term that we lead in, if the watched record names this process.
-    pub fn my_term(&self) -> Option<u64> {
+    pub fn own_term(&self) -> Option<u64> {
         let (l, term) = self.leader.as_ref()?;
         (l.node == self.me && l.incarnation == self.incarnation).then_some(*term)
     }
 
     /// Whether our knowledge of blocks and cancellations is fresh enough to
     /// answer workers on it.
-    pub fn has_authority(&self) -> bool {
-        self.proof_at.is_some_and(|at| self.now < at + self.authority_ms)
+    pub fn has_control_lease(&self) -> bool {
+        self.control_lease_renewed_at.is_some_and(|at| self.now < at + self.control_lease_ms)
     }
 
     /// Without authority no worker is answered, and leases end. Their silence
     /// counts only from when they can be heard again.
-    pub fn follow_authority(&mut self) {
-        if !self.has_authority() {
-            self.authority_since = self.now;
+    pub fn track_control_lease(&mut self) {
+        if !self.has_control_lease() {
+            self.control_lease_held_since = self.now;
         }
     }
 
     /// The block of a machine.
-    pub fn block_of(&self, zone: &str, machine: &str) -> Option<u32> {
-        block_of(&self.blocks, zone, machine)
+    pub fn shard_of(&self, zone: &str, machine: &str) -> Option<u32> {
+        shard_of(&self.shards, zone, machine)
     }
 
     /// Index of a machine type.
-    pub fn type_ix(&self, name: &str) -> Option<usize> {
+    pub fn machine_type_index(&self, name: &str) -> Option<usize> {
         self.types.iter().position(|t| t.name == name)
     }
 
@@ -566,20 +575,26 @@
     }
 
     /// The job's index, if its record has been read and is kept.
-    pub fn job_ix(&self, id: &str) -> Option<u32> {
+    pub fn job_index(&self, id: &str) -> Option<u32> {
         self.jobs.index_of(id)
     }
 
     /// The index of a job that a record or a frame names. If it is not in memory,
     /// its own record is read by itself.
-    pub(crate) fn job_slot(&mut self, id: &str) -> u32 {
+    pub(crate) fn job_index_or_lookup(&mut self, id: &str) -> u32 {
         self.jobs.index_for(id, self.now)
     }
 
     /// Takes in a job's record. Older ones are ignored: reads and watch events
     /// cross each other. The result is whether the record may be relied on.
-    pub fn put_job(&mut self, id: &str, rec: JobRecord, version: u64, source: RecordSource) -> bool {
-        if self.job_ix(id).is_none() {
+    pub fn apply_job_record(
+        &mut self,
+        id: &str,
+        rec: JobRecord,
+        version: u64,
+        source: RecordSource,
+    ) -> bool {
+        if self.job_index(id).is_none() {
             match source {
                 // Nothing in memory refers to it. The watch goes on from the first
                 // page, so no older record of it will come.
@@ -608,7 +623,7 @@
 
     fn update_job(&mut self, id: &str, rec: JobRecord, version: u64) {
         let is_new = !self.jobs.has_index(id);
-        let ix = self.job_slot(id);
+        let ix = self.job_index_or_lookup(id);
         let now = self.now;
         let Some(job) = self.jobs.get_mut(ix) else { return };
         let is_offered_again = job.is_tombstone_before(&rec);
@@ -646,15 +661,15 @@
             return;
         }
         if is_news {
-            self.cancelled_now.push(ix);
+            self.newly_cancelled.push(ix);
         }
-        self.pass_on(ix);
+        self.propagate_completion(ix);
         self.jobs_changed.push(ix);
     }
 
     /// Final jobs give their description up after a while; by then nothing
     /// of them is left on any machine.
-    pub fn forget_specs(&mut self) {
+    pub fn drop_final_specs(&mut self) {
         self.jobs.drop_specs(self.now.saturating_sub(SPEC_KEPT_MS));
         let jobs = &self.jobs;
         self.counts
@@ -672,7 +687,7 @@
         let mut indices: FxHashSet<u32> = FxHashSet::default();
         in_use(&mut indices);
         indices.extend(&self.jobs_changed);
-        indices.extend(&self.cancelled_now);
+        indices.extend(&self.newly_cancelled);
         let live = self.jobs.values().filter(|job| job.state == JobState::Live);
         indices.extend(live.flat_map(|job| &job.links.before));
         self.jobs.drop_final(&indices, watched_revision);
--- a/src/core/common/sync.rs
+++ b/src/core/common/watch_cache.rs
@@ -7,10 +7,10 @@
 use super::cell_leases::CELL_LEASES;
 use super::model::{MachineType, Ms, merge_types};
 use super::shared::{RecordSource, Shared};
-use crate::core::{Purpose, StateOp, StateResult};
+use crate::core::{StoreCallOwner, StoreRequest, StoreResponse};
 use crate::wire::cloud;
 use crate::wire::encoded::Encoded;
-use crate::wire::state::{BlockRecord, Item, JobRecord, LeaderRecord};
+use crate::wire::store::{JobRecord, KeyValue, LeaderRecord, ShardRecord};
 use woadlever_cells::record::CellLease;
 
 pub const PREFIX: &str = "w/";
@@ -26,27 +26,27 @@
     format!("w/job/{id}")
 }
 
-pub fn block_key(block: &str) -> String {
-    format!("w/block/{block}")
+pub fn shard_key(shard: &str) -> String {
+    format!("w/block/{shard}")
 }
 
 const BLOCK_MS: u64 = 2000;
 
 #[derive(Debug)]
-pub enum SyncCall {
-    Page { first_sent: Ms, revision: Option<u64>, saw_leader: bool, roles: Vec<Item> },
+pub enum WatchCacheCall {
+    Page { first_sent: Ms, revision: Option<u64>, saw_leader: bool, roles: Vec<KeyValue> },
     Watch { since: u64 },
 }
 
 #[derive(Debug, Default)]
-pub struct Sync {
+pub struct WatchCache {
     /// Revision that the watch goes on from; none: read everything again.
     at: Option<u64>,
     busy: bool,
     retry_at: Ms,
 }
 
-impl Sync {
+impl WatchCache {
     pub fn poll(&mut self, shared: &mut Shared) {
         if self.busy || shared.now < self.retry_at {
             return;
@@ -54,7 +54,7 @@
         self.busy = true;
         match self.at {
             None => {
-                let call = SyncCall::Page {
+                let call = WatchCacheCall::Page {
                     first_sent: shared.now,
                     revision: None,
                     saw_leader: false,
@@ -62,29 +62,37 @@
                 };
                 self.list(shared, call, None);
             }
-            Some(since) => shared.state_call(
-                Purpose::Sync(SyncCall::Watch { since }),
+            Some(since) => shared.send_store_request(
+                StoreCallOwner::WatchCache(WatchCacheCall::Watch { since }),
                 // Short enough that authority is proven anew several times over.
-                StateOp::Watch {
+                StoreRequest::Watch {
                     prefix: PREFIX.into(),
                     since,
-                    block_ms: BLOCK_MS.min(shared.authority_ms / 4),
+                    block_ms: BLOCK_MS.min(shared.control_lease_ms / 4),
                 },
             ),
         }
     }
 
-    fn list(&mut self, shared: &mut Shared, call: SyncCall, since: Option<String>) {
-        shared
-            .state_call(Purpose::Sync(call), StateOp::List { prefix: PREFIX.into(), since, most: 500 });
+    fn list(&mut self, shared: &mut Shared, call: WatchCacheCall, since: Option<String>) {
+        shared.send_store_request(
+            StoreCallOwner::WatchCache(call),
+            StoreRequest::List { prefix: PREFIX.into(), since, most: 500 },
+        );
     }
 
-    pub fn on_result(&mut self, shared: &mut Shared, call: SyncCall, sent: Ms, result: StateResult) {
+    pub fn on_result(
+        &mut self,
+        shared: &mut Shared,
+        call: WatchCacheCall,
+        sent: Ms,
+        result: StoreResponse,
+    ) {
         self.busy = false;
         match (call, result) {
             (
-                SyncCall::Page { first_sent, revision, mut saw_leader, mut roles },
-                StateResult::Page(p),
+                WatchCacheCall::Page { first_sent, revision, mut saw_leader, mut roles },
+                StoreResponse::Page(p),
             ) => {
                 // Changes made while we page are seen again by the watch,
                 // which therefore starts at the first page's revision.
@@ -102,7 +110,7 @@
                 if p.more && last.is_some() {
                     self.busy = true;
                     let revision = Some(revision);
-                    let call = SyncCall::Page { first_sent, revision, saw_leader, roles };
+                    let call = WatchCacheCall::Page { first_sent, revision, saw_leader, roles };
                     self.list(shared, call, last);
                     return;
                 }
@@ -120,9 +128,9 @@
                 self.at = Some(revision);
                 shared.watched_revision = self.at;
                 shared.synced = true;
-                shared.proof_at = shared.proof_at.max(Some(first_sent));
+                shared.control_lease_renewed_at = shared.control_lease_renewed_at.max(Some(first_sent));
             }
-            (SyncCall::Watch { since }, StateResult::Watch(w)) => {
+            (WatchCacheCall::Watch { since }, StoreResponse::Watch(w)) => {
                 for e in w.events {
                     match (e.put, e.delete) {
                         (Some(k), _) => apply(shared, &k, Some(e.value), e.version, RecordSource::Watch),
@@ -132,9 +140,9 @@
                 }
                 self.at = Some(since.max(w.revision));
                 shared.watched_revision = self.at;
-                shared.proof_at = shared.proof_at.max(Some(sent));
+                shared.control_lease_renewed_at = shared.control_lease_renewed_at.max(Some(sent));
             }
-            (_, StateResult::TooOld) => {
+            (_, StoreResponse::Compacted) => {
                 tracing::info!("watch fell behind; reading all records again");
                 self.at = None;
                 shared.watched_revision = None;
@@ -169,16 +177,16 @@
         shared.leader_seen = version;
         shared.leader = value.and_then(|v| read::<LeaderRecord>(key, v)).map(|l| (l, version));
     } else if let Some(name) = key.strip_prefix("w/block/") {
-        let Some(ix) = shared.blocks.iter().position(|b| b.name == name) else { return };
-        if shared.block_recs[ix].as_ref().is_some_and(|(_, s)| *s >= version) {
+        let Some(ix) = shared.shards.iter().position(|b| b.name == name) else { return };
+        if shared.shard_records[ix].as_ref().is_some_and(|(_, s)| *s >= version) {
             return;
         }
-        if let Some(r) = value.and_then(|v| read::<BlockRecord>(key, v)) {
-            shared.block_recs[ix] = Some((r, version));
+        if let Some(r) = value.and_then(|v| read::<ShardRecord>(key, v)) {
+            shared.shard_records[ix] = Some((r, version));
         }
     } else if let Some(id) = key.strip_prefix("w/job/") {
         if let Some(r) = value.and_then(|v| read::<JobRecord>(key, v)) {
-            shared.put_job(id, r, version, source);
+            shared.apply_job_record(id, r, version, source);
         }
     } else if let Some(cell) = key.strip_prefix(CELL_LEASES) {
         if let Some(lease) = value.and_then(|v| read::<CellLease>(key, v)) {
--- a/src/core/common/window.rs
+++ b/src/core/common/window.rs
@@ -1,14 +1,14 @@
 //! The design's projection, and what fits where. Pure functions: leader and
 //! holders must judge alike.
 
-use super::model::{Ms, Res, Spec};
+use super::model::{Ms, Resources, Spec};
 use crate::config::Operator;
 
 /// A task on a machine, or about to be.
 #[derive(Debug, Clone, Copy)]
 pub struct Booking {
     /// What the task takes.
-    pub need: Res,
+    pub need: Resources,
     /// How long it has run.
     pub ran_ms: Ms,
     /// How long it is expected to run in all.
@@ -38,15 +38,20 @@
 
 /// Projects the bookings over the horizon in one-second steps. `waiting` is
 /// counted in every step: it stands for tasks that wait for this machine.
-pub fn project(op: &Operator, room: &Res, bookings: &[Booking], waiting: &Res) -> Projection {
-    let mut ends: Vec<(u64, Res)> =
+pub fn project(
+    op: &Operator,
+    room: &Resources,
+    bookings: &[Booking],
+    waiting: &Resources,
+) -> Projection {
+    let mut ends: Vec<(u64, Resources)> =
         bookings.iter().map(|b| (remaining_s(op, b).ceil() as u64, b.need)).collect();
     ends.sort_by_key(|e| e.0);
-    let mut used = Res::default();
+    let mut used = Resources::default();
     for (_, need) in &ends {
         used.add(need);
     }
-    let peak = used.share_of(room);
+    let peak = used.dominant_share(room);
     let mut over = 0usize;
     let mut next = 0;
     for step in 0..op.horizon as u64 {
@@ -56,7 +61,7 @@
         }
         let mut load = used;
         load.add(waiting);
-        if load.share_of(room) > op.overload_level {
+        if load.dominant_share(room) > op.overload_level {
             over += 1;
         }
     }
@@ -72,10 +77,16 @@
 
 /// Lower is better: the task's image at hand, little room left over, and
 /// ordinary machines left to those who need them.
-pub fn fit_score(need: &Res, free: &Res, room: &Res, wastes_ordinary: bool, has_image: bool) -> f64 {
+pub fn fit_score(
+    need: &Resources,
+    free: &Resources,
+    room: &Resources,
+    wastes_ordinary: bool,
+    has_image: bool,
+) -> f64 {
     let mut left = *free;
     left.sub(need);
-    let mut score = left.share_of(room);
+    let mut score = left.dominant_share(room);
     if wastes_ordinary {
         score += 10.0;
     }
--- a/src/core/leader/attempts.rs
+++ b/src/core/leader/attempts.rs
@@ -2,24 +2,24 @@
 //! told. Thousands are alive at once and a hundred end each second, so those of
 //! one task or job are found without a look at all others.
 
-use crate::core::common::model::{Ms, Res};
+use crate::core::common::model::{Ms, Resources};
 use crate::wire::peer::ReportedPhase;
 use rustc_hash::FxHashMap;
 use std::collections::BTreeSet;
 use woadlever_recovery::ledger;
 
 #[derive(Debug)]
-pub struct LeaderAttempt {
+pub struct AttemptView {
     pub job: u32,
     pub task: u32,
-    pub block: u32,
+    pub shard: u32,
     /// Machine as the holder told, or as this leader guesses.
     pub machine: Option<u32>,
     /// The holder may still choose a machine for it.
     pub bind: bool,
     pub want: bool,
     pub state: ReportedPhase,
-    pub need: Res,
+    pub need: Resources,
     pub team: Option<usize>,
     pub ran_ms: Ms,
     /// Serial of the first message to the holder that named it, under the present
@@ -27,7 +27,7 @@
     pub named_in: Option<u64>,
 }
 
-impl LeaderAttempt {
+impl AttemptView {
     /// Whether it takes, or may take, room and quota.
     pub fn counts(&self) -> bool {
         use ReportedPhase::*;
@@ -37,28 +37,28 @@
 
 #[derive(Debug, Default)]
 pub struct Attempts {
-    by_id: FxHashMap<u64, LeaderAttempt>,
+    by_id: FxHashMap<u64, AttemptView>,
     /// (job, task, attempt)
     by_task: BTreeSet<(u32, u32, u64)>,
 }
 
 impl Attempts {
-    pub fn insert(&mut self, id: u64, a: LeaderAttempt) {
+    pub fn insert(&mut self, id: u64, a: AttemptView) {
         self.by_task.insert((a.job, a.task, id));
         self.by_id.insert(id, a);
     }
 
-    pub fn remove(&mut self, id: u64) -> Option<LeaderAttempt> {
+    pub fn remove(&mut self, id: u64) -> Option<AttemptView> {
         let a = self.by_id.remove(&id)?;
         self.by_task.remove(&(a.job, a.task, id));
         Some(a)
     }
 
-    pub fn get(&self, id: u64) -> Option<&LeaderAttempt> {
+    pub fn get(&self, id: u64) -> Option<&AttemptView> {
         self.by_id.get(&id)
     }
 
-    pub fn get_mut(&mut self, id: u64) -> Option<&mut LeaderAttempt> {
+    pub fn get_mut(&mut self, id: u64) -> Option<&mut AttemptView> {
         self.by_id.get_mut(&id)
     }
 
@@ -70,19 +70,19 @@
         self.by_id.len()
     }
 
-    pub fn values(&self) -> impl Iterator<Item = &LeaderAttempt> {
+    pub fn values(&self) -> impl Iterator<Item = &AttemptView> {
         self.by_id.values()
     }
 
-    pub fn values_mut(&mut self) -> impl Iterator<Item = &mut LeaderAttempt> {
+    pub fn values_mut(&mut self) -> impl Iterator<Item = &mut AttemptView> {
         self.by_id.values_mut()
     }
 
-    pub fn iter(&self) -> impl Iterator<Item = (u64, &LeaderAttempt)> {
+    pub fn iter(&self) -> impl Iterator<Item = (u64, &AttemptView)> {
         self.by_id.iter().map(|(id, a)| (*id, a))
     }
 
-    pub fn iter_mut(&mut self) -> impl Iterator<Item = (u64, &mut LeaderAttempt)> {
+    pub fn iter_mut(&mut self) -> impl Iterator<Item = (u64, &mut AttemptView)> {
         self.by_id.iter_mut().map(|(id, a)| (*id, a))
     }
 
--- a/src/core/leader/cells/capacity.rs
+++ b/src/core/leader/cells/capacity.rs
@@ -1,7 +1,7 @@
 //! What this cell has room for, as it tells the others.
 
 use super::Cells;
-use crate::core::common::model::{Ms, Res, Spec};
+use crate::core::common::model::{Ms, Resources, Spec};
 use crate::core::common::shared::Shared;
 use crate::core::leader::Leader;
 use crate::core::leader::quota::quota_tasks;
@@ -15,7 +15,7 @@
 const REFRESH_MS: Ms = 1_000;
 
 /// An amount as cells speak of it.
-fn amount(res: &Res) -> Amount {
+fn amount(res: &Resources) -> Amount {
     Amount { cpus: res.cpus, gpus: res.gpus, memory_gb: res.mem }
 }
 
@@ -35,7 +35,8 @@
 impl Cells {
     /// Counts free room anew. What waits here has the first claim on it.
     pub(super) fn refresh_capacity(&mut self, leader: &Leader, shared: &Shared) {
-        self.capacity_at = shared.now + shared.widened(REFRESH_MS, leader.fleet.machines.len());
+        self.capacity_at =
+            shared.now + shared.load_adjusted_gap(REFRESH_MS, leader.fleet.machines.len());
         self.team_use = leader.team_use(shared);
         self.capacity.clear();
         if !shared.op.cells.accept || shared.types.is_empty() {
@@ -56,7 +57,7 @@
         let Some(team) = teams.iter().position(|team| team.name == spec.team) else { return false };
         let Some(used) = self.team_use.get(team) else { return false };
         let within_limit = quota_tasks(&teams[team], used, &spec.need()) > 0;
-        within_limit && shape_of(spec).fits(&self.capacity, shared.op.cells.fit_share)
+        within_limit && shape_of(spec).fits_within(&self.capacity, shared.op.cells.fit_share)
     }
 }
 
--- a/src/core/leader/cells/host.rs
+++ b/src/core/leader/cells/host.rs
@@ -6,13 +6,13 @@
 use crate::core::common::feasibility::can_run;
 use crate::core::common::model::{Ms, Spec};
 use crate::core::common::shared::{RecordSource, Shared};
-use crate::core::common::sync::job_key;
-use crate::core::leader::live_jobs::CellStanding;
+use crate::core::common::watch_cache::job_key;
+use crate::core::leader::live_jobs::JobLocation;
 use crate::core::leader::{Leader, LeaderCall};
-use crate::core::{Purpose, StateOp, StateResult};
+use crate::core::{StoreCallOwner, StoreRequest, StoreResponse};
 use crate::wire::encoded::Encoded;
 use crate::wire::peer::{MAX_FRAME, ReportedPhase};
-use crate::wire::state::{Change, Cond, JobRecord, JobState, Txn};
+use crate::wire::store::{Compare, CompareAndSwap, JobRecord, JobState, Mutation};
 use crate::wire::users::{MAX_TASKS, valid_id};
 use rustc_hash::FxHashMap;
 use std::collections::{HashMap, HashSet};
@@ -54,13 +54,13 @@
             for (index, listing) in &hosted {
                 self.follow_live(leader, shared, *index, *listing);
             }
-            let mut reports = Vec::new();
+            let mut heartbeats = Vec::new();
             let mut bytes_left = MAX_DONE_BYTES;
             for job in &forwarded.jobs {
-                let report = self.follow_listed(leader, shared, &cell, &forwarded, job, &running);
-                reports.extend(report.map(|report| limit_done(report, &mut bytes_left)));
+                let heartbeat = self.follow_listed(leader, shared, &cell, &forwarded, job, &running);
+                heartbeats.extend(heartbeat.map(|heartbeat| limit_done(heartbeat, &mut bytes_left)));
             }
-            self.hosted.insert(cell.clone(), reports);
+            self.hosted.insert(cell.clone(), heartbeats);
             self.extend_lease(leader, shared, &cell, &forwarded, revision, &hosted);
         }
     }
@@ -95,8 +95,8 @@
     fn follow_live(&mut self, leader: &mut Leader, shared: &mut Shared, index: u32, listing: Listing) {
         let is_listed = listing == Listing::Active;
         let Some(job) = leader.jobs.get_mut(&index) else { return };
-        if (job.standing != CellStanding::Hosted { is_listed }) {
-            job.standing = CellStanding::Hosted { is_listed };
+        if (job.standing != JobLocation::Hosted { is_listed }) {
+            job.standing = JobLocation::Hosted { is_listed };
             leader.cycle_due = true;
         }
         if is_listed {
@@ -201,14 +201,17 @@
         let key = job_key(&job.id);
         let value = Encoded::new(&record);
         // The tombstone of an earlier epoch is replaced.
-        let version = shared.job_ix(&job.id).map_or(0, |index| shared.job(index).version);
-        let txn = Txn {
-            conds: vec![leader.leader_cond(), Cond { key: key.clone(), version }],
-            changes: vec![Change::Put { key, value, lease: None }],
+        let version = shared.job_index(&job.id).map_or(0, |index| shared.job(index).version);
+        let txn = CompareAndSwap {
+            compares: vec![leader.compare_term(), Compare { key: key.clone(), version }],
+            changes: vec![Mutation::Put { key, value, lease: None }],
         };
         self.creations.insert(job.id.clone(), Creation { in_flight: true, retry_at: 0 });
         let call = CellCall::Create { id: job.id.clone(), record: Box::new(record) };
-        shared.state_call(Purpose::Leader(LeaderCall::Cells(call)), StateOp::Txn(txn));
+        shared.send_store_request(
+            StoreCallOwner::Leader(LeaderCall::Cells(call)),
+            StoreRequest::CompareAndSwap(txn),
+        );
     }
 
     pub(super) fn on_created(
@@ -216,20 +219,20 @@
         shared: &mut Shared,
         id: String,
         record: JobRecord,
-        result: StateResult,
+        result: StoreResponse,
     ) {
         match result {
-            StateResult::Done { revision } => {
+            StoreResponse::Committed { revision } => {
                 self.creations.remove(&id);
                 let is_live = record.state == JobState::Live;
                 let event = if is_live { MoveEvent::Accepted } else { MoveEvent::Withdrawn };
                 log_record(&id, &record, event);
-                shared.put_job(&id, record, revision, RecordSource::Single);
+                shared.apply_job_record(&id, record, revision, RecordSource::Single);
             }
-            StateResult::Failed(_) => {
+            StoreResponse::Conflict(_) => {
                 self.creations.remove(&id);
                 // There is one already: it is read if it is not in memory.
-                shared.job_slot(&id);
+                shared.job_index_or_lookup(&id);
             }
             _ => {
                 let retry_at = shared.now + shared.retry_ms(RETRY_MS);
@@ -261,12 +264,15 @@
         self.lease_after.insert(cell.to_string(), Ms::MAX);
         let lease = CellLease { until_ms: forwarded.lease_until_ms, revision };
         let key = cell_lease_key(cell);
-        let txn = Txn {
-            conds: vec![leader.leader_cond(), Cond { key: key.clone(), version }],
-            changes: vec![Change::Put { key, value: Encoded::new(&lease), lease: None }],
+        let txn = CompareAndSwap {
+            compares: vec![leader.compare_term(), Compare { key: key.clone(), version }],
+            changes: vec![Mutation::Put { key, value: Encoded::new(&lease), lease: None }],
         };
         let call = CellCall::Lease { cell: cell.to_string(), lease };
-        shared.state_call(Purpose::Leader(LeaderCall::Cells(call)), StateOp::Txn(txn));
+        shared.send_store_request(
+            StoreCallOwner::Leader(LeaderCall::Cells(call)),
+            StoreRequest::CompareAndSwap(txn),
+        );
     }
 
     pub(super) fn on_lease_written(
@@ -274,9 +280,9 @@
         shared: &mut Shared,
         cell: String,
         lease: CellLease,
-        result: StateResult,
+        result: StoreResponse,
     ) {
-        if let StateResult::Done { revision } = result {
+        if let StoreResponse::Committed { revision } = result {
             shared.cell_leases.put(&cell, lease, revision);
             self.lease_after.remove(&cell);
         } else {
@@ -297,13 +303,13 @@
 }
 
 /// Leaves out what would make a message too long.
-fn limit_done(report: HostedJob, bytes_left: &mut usize) -> HostedJob {
-    match bytes_left.checked_sub(report.done.len()) {
+fn limit_done(heartbeat: HostedJob, bytes_left: &mut usize) -> HostedJob {
+    match bytes_left.checked_sub(heartbeat.done.len()) {
         Some(left) => {
             *bytes_left = left;
-            report
+            heartbeat
         }
-        None => HostedJob { done: String::new(), ..report },
+        None => HostedJob { done: String::new(), ..heartbeat },
     }
 }
 
@@ -328,7 +334,7 @@
         forwarded.jobs.iter().map(|job| (job.id.as_str(), job)).collect();
     let mut hosted = Vec::new();
     for (index, job) in &leader.jobs {
-        if !matches!(job.standing, CellStanding::Hosted { .. }) {
+        if !matches!(job.standing, JobLocation::Hosted { .. }) {
             continue;
         }
         let Some(origin) = shared.job(*index).origin().filter(|o| o.cell == cell) else {
@@ -355,7 +361,7 @@
     job: &ForwardedJob,
     running: &FxHashMap<u32, u32>,
 ) -> HostRecord {
-    let Some(index) = shared.job_ix(&job.id) else { return HostRecord::Unknown };
+    let Some(index) = shared.job_index(&job.id) else { return HostRecord::Unknown };
     let known = shared.job(index);
     let Some(origin) = known.origin().filter(|origin| origin.cell == cell) else {
         return HostRecord::Foreign;
@@ -379,7 +385,7 @@
 
 /// The tasks of a hosted job that are done, as hexadecimal bits.
 fn done_bits(leader: &Leader, shared: &Shared, id: &str, record: HostRecord) -> String {
-    let Some(index) = shared.job_ix(id) else { return String::new() };
+    let Some(index) = shared.job_index(id) else { return String::new() };
     match record {
         HostRecord::Live { .. } => {
             leader.jobs.get(&index).map(|job| job.done.to_hex(0, usize::MAX)).unwrap_or_default()
--- a/src/core/leader/cells/mod.rs
+++ b/src/core/leader/cells/mod.rs
@@ -10,12 +10,12 @@
 
 use super::live_jobs::LiveJob;
 use super::{Leader, LeaderCall};
-use crate::core::common::model::{Ms, Res};
-use crate::core::common::shared::{Pace, RecordSource, Shared};
-use crate::core::common::sync::job_key;
-use crate::core::{Purpose, StateOp, StateResult};
+use crate::core::common::model::{Ms, Resources};
+use crate::core::common::shared::{RecordSource, Shared, TokenBucket};
+use crate::core::common::watch_cache::job_key;
+use crate::core::{StoreCallOwner, StoreRequest, StoreResponse};
 use crate::wire::encoded::Encoded;
-use crate::wire::state::{Change, Cond, JobRecord, Txn};
+use crate::wire::store::{Compare, CompareAndSwap, JobRecord, Mutation};
 use rustc_hash::FxHashMap;
 use std::collections::{BTreeMap, HashMap};
 use woadlever_cells::event::{LOG_FORMAT, LOG_TARGET, MoveEvent};
@@ -42,7 +42,7 @@
     /// A job begins to be forwarded.
     Forward { job: u32 },
     /// A change of a job's record after that; what it means.
-    Change { job: u32, record: Box<JobRecord>, event: MoveEvent },
+    Mutation { job: u32, record: Box<JobRecord>, event: MoveEvent },
     /// The first record of another cell's job: accepted, or a tombstone.
     Create { id: String, record: Box<JobRecord> },
     /// The lease of another cell.
@@ -61,7 +61,7 @@
     neighbors: BTreeMap<String, Neighbor>,
     step_at: Ms,
     send_at: Ms,
-    pace: Pace,
+    pace: TokenBucket,
     /// Jobs whose forwarding is not settled; none of their tasks may be granted.
     pending: FxHashMap<u32, origin::PendingForward>,
     /// Since when a forwarded job has been as it is.
@@ -77,7 +77,7 @@
     hosted: HashMap<String, Vec<HostedJob>>,
     capacity: Vec<ClassCapacity>,
     /// Use per team when the room was counted.
-    team_use: Vec<Res>,
+    team_use: Vec<Resources>,
     capacity_at: Ms,
 }
 
@@ -91,7 +91,7 @@
             neighbors: neighbors.map(|n| (n.name.clone(), Neighbor::new(shared.now))).collect(),
             step_at: 0,
             send_at: 0,
-            pace: Pace::new(rate, rate.max(1.0), shared.now),
+            pace: TokenBucket::new(rate, rate.max(1.0), shared.now),
             pending: FxHashMap::default(),
             observed: FxHashMap::default(),
             change_after: FxHashMap::default(),
@@ -128,8 +128,11 @@
         }
         self.change_after.insert(job, Ms::MAX);
         let txn = record_change(leader, shared, job, &record);
-        let call = CellCall::Change { job, record: Box::new(record), event };
-        shared.state_call(Purpose::Leader(LeaderCall::Cells(call)), StateOp::Txn(txn));
+        let call = CellCall::Mutation { job, record: Box::new(record), event };
+        shared.send_store_request(
+            StoreCallOwner::Leader(LeaderCall::Cells(call)),
+            StoreRequest::CompareAndSwap(txn),
+        );
     }
 
     fn on_changed(
@@ -138,13 +141,13 @@
         job: u32,
         record: JobRecord,
         event: MoveEvent,
-        result: StateResult,
+        result: StoreResponse,
     ) {
-        if let StateResult::Done { revision } = result {
+        if let StoreResponse::Committed { revision } = result {
             self.change_after.remove(&job);
             let id = shared.jobs.id(job).to_string();
             log_record(&id, &record, event);
-            shared.put_job(&id, record, revision, RecordSource::Single);
+            shared.apply_job_record(&id, record, revision, RecordSource::Single);
         } else {
             let pause = shared.retry_ms(RETRY_MS);
             self.change_after.insert(job, shared.now + pause);
@@ -206,12 +209,12 @@
 }
 
 /// A change of a job's record that holds only for the version that is known here.
-fn record_change(leader: &Leader, shared: &Shared, job: u32, record: &JobRecord) -> Txn {
+fn record_change(leader: &Leader, shared: &Shared, job: u32, record: &JobRecord) -> CompareAndSwap {
     let key = job_key(shared.jobs.id(job));
     let version = shared.job(job).version;
-    Txn {
-        conds: vec![leader.leader_cond(), Cond { key: key.clone(), version }],
-        changes: vec![Change::Put { key, value: Encoded::new(record), lease: None }],
+    CompareAndSwap {
+        compares: vec![leader.compare_term(), Compare { key: key.clone(), version }],
+        changes: vec![Mutation::Put { key, value: Encoded::new(record), lease: None }],
     }
 }
 
@@ -221,7 +224,7 @@
         if shared.now >= cells.step_at {
             let is_shared = shared.op.cells.enabled;
             let gap = if is_shared { STEP_GAP_MS } else { IDLE_STEP_GAP_MS };
-            cells.step_at = shared.now + shared.widened(gap, self.jobs.len());
+            cells.step_at = shared.now + shared.load_adjusted_gap(gap, self.jobs.len());
             cells.follow_pending(self, shared);
             cells.follow_forwarded(self, shared);
             cells.abandon(self, shared);
@@ -244,11 +247,11 @@
         self.cells = Some(cells);
     }
 
-    pub(super) fn on_cell_result(&mut self, shared: &mut Shared, call: CellCall, result: StateResult) {
+    pub(super) fn on_cell_result(&mut self, shared: &mut Shared, call: CellCall, result: StoreResponse) {
         let Some(mut cells) = self.cells.take() else { return };
         match call {
             CellCall::Forward { job } => cells.on_forwarded(shared, job, result),
-            CellCall::Change { job, record, event } => {
+            CellCall::Mutation { job, record, event } => {
                 cells.on_changed(shared, job, *record, event, result);
             }
             CellCall::Create { id, record } => cells.on_created(shared, id, *record, result),
--- a/src/core/leader/cells/origin.rs
+++ b/src/core/leader/cells/origin.rs
@@ -4,11 +4,11 @@
 use super::{CellCall, Cells, RECORD_SLACK, RETRY_MS, log_move, log_record, record_change};
 use crate::core::common::model::{Ms, Spec};
 use crate::core::common::shared::{RecordSource, Shared};
-use crate::core::leader::live_jobs::{CellStanding, LiveJob};
+use crate::core::leader::live_jobs::{JobLocation, LiveJob};
 use crate::core::leader::{Leader, LeaderCall};
-use crate::core::{Purpose, StateOp, StateResult};
+use crate::core::{StoreCallOwner, StoreRequest, StoreResponse};
 use crate::wire::encoded::Encoded;
-use crate::wire::state::{JobRecord, JobState};
+use crate::wire::store::{JobRecord, JobState};
 use std::collections::BTreeMap;
 use woadlever_cells::event::MoveEvent;
 use woadlever_cells::message::{
@@ -76,7 +76,7 @@
 
     /// Takes in what a host says of one of our jobs.
     fn take_report(&mut self, leader: &mut Leader, shared: &Shared, cell: &str, reported: &HostedJob) {
-        let Some(index) = shared.job_ix(&reported.id) else { return };
+        let Some(index) = shared.job_index(&reported.id) else { return };
         let forwarding = shared.job(index).forwarding();
         let is_ours = |f: &Forwarding| f.is_away() && f.cell == cell && f.epoch == reported.epoch;
         let Some(job) = leader.jobs.get_mut(&index).filter(|_| forwarding.is_some_and(is_ours)) else {
@@ -94,7 +94,7 @@
             HostedPhase::Live { running, .. } => running_now = running,
             HostedPhase::Refused { .. } | HostedPhase::Released => {}
         }
-        job.standing = CellStanding::Away { running: running_now };
+        job.standing = JobLocation::Away { running: running_now };
         if running_now == 0 {
             return;
         }
@@ -139,8 +139,9 @@
     /// Until when the cell may run our jobs; 0 if not at all.
     fn lease_until_ms(&self, shared: &Shared, cell: &str) -> u64 {
         let Some(hosted) = self.neighbors[cell].hosted() else { return 0 };
-        let Some(proof_at) = shared.proof_at else { return 0 };
-        let proof_wall_ms = shared.wall.saturating_sub(shared.now.saturating_sub(proof_at));
+        let Some(control_lease_renewed_at) = shared.control_lease_renewed_at else { return 0 };
+        let proof_wall_ms =
+            shared.wall.saturating_sub(shared.now.saturating_sub(control_lease_renewed_at));
         let timing = shared.cell_leases.timing();
         timing.lease_until_ms(proof_wall_ms, hosted.stop_within_ms).unwrap_or(0)
     }
@@ -158,7 +159,7 @@
         for index in waiting {
             let Some(job) = leader.jobs.get(&index) else { continue };
             let shape = shape_of(&job.spec);
-            if shape.fits(&to_come, WHOLE) && !is_long_wait(shared, job) {
+            if shape.fits_within(&to_come, WHOLE) && !is_long_wait(shared, job) {
                 shape.reserve(&mut to_come);
                 continue;
             }
@@ -228,18 +229,18 @@
         true
     }
 
-    pub(super) fn on_forwarded(&mut self, shared: &mut Shared, index: u32, result: StateResult) {
+    pub(super) fn on_forwarded(&mut self, shared: &mut Shared, index: u32, result: StoreResponse) {
         let Some(pending) = self.pending.get_mut(&index) else { return };
         match result {
-            StateResult::Done { revision } => {
+            StoreResponse::Committed { revision } => {
                 let record = pending.record.clone();
                 let id = shared.jobs.id(index).to_string();
                 log_record(&id, &record, MoveEvent::Forwarded);
-                shared.put_job(&id, record, revision, RecordSource::Single);
+                shared.apply_job_record(&id, record, revision, RecordSource::Single);
                 pending.state = ForwardWrite::Superseded;
             }
-            StateResult::Failed(_) => pending.state = ForwardWrite::Superseded,
-            StateResult::NotExecuted | StateResult::Bad if !pending.is_uncertain => {
+            StoreResponse::Conflict(_) => pending.state = ForwardWrite::Superseded,
+            StoreResponse::NotExecuted | StoreResponse::Malformed if !pending.is_uncertain => {
                 // Never carried out: the job is as it was.
                 pending.version = 0;
             }
@@ -346,7 +347,7 @@
 /// ever granted, and it belongs here.
 fn may_be_forwarded(leader: &Leader, shared: &Shared, index: u32, job: &LiveJob) -> bool {
     let waited_ms = shared.wall.saturating_sub(job.ready_ms);
-    job.standing == CellStanding::Local
+    job.standing == JobLocation::Local
         && waited_ms >= shared.op.cells.spill_after_ms
         && job.hold_until <= shared.now
         && job.done.is_empty()
@@ -376,5 +377,8 @@
 fn send_forward(leader: &Leader, shared: &mut Shared, index: u32, pending: &PendingForward) {
     let txn = record_change(leader, shared, index, &pending.record);
     let call = CellCall::Forward { job: index };
-    shared.state_call(Purpose::Leader(LeaderCall::Cells(call)), StateOp::Txn(txn));
+    shared.send_store_request(
+        StoreCallOwner::Leader(LeaderCall::Cells(call)),
+        StoreRequest::CompareAndSwap(txn),
+    );
 }
--- a/src/core/leader/fleet/cloud_calls.rs
+++ b/src/core/leader/fleet/cloud_calls.rs
@@ -5,7 +5,7 @@
 use crate::core::common::model::Ms;
 use crate::core::common::shared::{MAX_RETURNS, Shared};
 use crate::core::leader::Leader;
-use crate::core::{CloudOp, CloudResult};
+use crate::core::{CloudRequest, CloudResponse};
 use crate::wire::cloud::{ListedMachine, RentRequest, ReturnRequest};
 
 impl Leader {
@@ -21,7 +21,7 @@
         }
         let op = if !f.catalog_known && now >= f.catalog_at || now >= f.catalog_at + CATALOG_EVERY_MS {
             f.catalog_at = now + if f.catalog_known { 0 } else { 2000 };
-            (CloudOp::Catalog, CloudCall::Catalog)
+            (CloudRequest::Catalog, CloudCall::Catalog)
         } else if let Some(r) =
             f.rents.iter_mut().find(|r| r.call.is_none() && now >= r.retry_at && r.count > 0)
         {
@@ -34,30 +34,33 @@
                 count: r.count,
             };
             r.call = Some(0);
-            (CloudOp::Rent(req), CloudCall::Rent(r.number))
-        } else if let Some(returning) = f.ready_to_return(now) {
-            let names =
-                returning.iter().filter_map(|ix| f.machines.get(*ix)).map(|m| m.name.clone()).collect();
-            for ix in &returning {
+            (CloudRequest::Rent(req), CloudCall::Rent(r.number))
+        } else if let Some(terminating) = f.ready_to_return(now) {
+            let names = terminating
+                .iter()
+                .filter_map(|ix| f.machines.get(*ix))
+                .map(|m| m.name.clone())
+                .collect();
+            for ix in &terminating {
                 if let Some(m) = f.machines.get_mut(*ix) {
                     m.phase = Phase::Returning;
                 }
             }
-            (CloudOp::Return(ReturnRequest { machines: names }), CloudCall::Return(returning))
+            (CloudRequest::Return(ReturnRequest { machines: names }), CloudCall::Return(terminating))
         } else if now >= f.list_at {
             f.list_at = now + 30_000;
-            (CloudOp::List { since: f.list_page.clone() }, CloudCall::List)
+            (CloudRequest::List { since: f.list_page.clone() }, CloudCall::List)
         } else {
             return;
         };
         f.pace.take(now, 1.0);
-        let call = shared.cloud_call(op.0);
+        let call = shared.send_cloud_request(op.0);
         f.calls.insert(call, op.1);
     }
 
-    pub fn fleet_result(&mut self, shared: &mut Shared, call: u64, result: CloudResult) {
+    pub fn fleet_result(&mut self, shared: &mut Shared, call: u64, result: CloudResponse) {
         let Some(what) = self.fleet.calls.remove(&call) else { return };
-        if let CloudResult::NotExecuted = result {
+        if let CloudResponse::NotExecuted = result {
             self.fleet.trouble_until = shared.now + shared.jitter(700);
         }
         match what {
@@ -65,7 +68,7 @@
             CloudCall::List => self.on_list(shared, result),
             CloudCall::Rent(number) => self.on_rented(shared, number, result),
             CloudCall::Return(list) => {
-                let ok = matches!(result, CloudResult::Returned);
+                let ok = matches!(result, CloudResponse::Returned);
                 for ix in list {
                     if !ok {
                         if let Some(m) = self.fleet.machines.get_mut(ix) {
@@ -75,7 +78,7 @@
                     }
                     let Some(m) = self.fleet.machines.remove(ix) else { continue };
                     self.fleet.gone.insert(&m.name);
-                    if let Some(b) = self.blocks.get_mut(m.block as usize) {
+                    if let Some(b) = self.shards.get_mut(m.shard as usize) {
                         b.gone.push((m.name, shared.now));
                         b.dirty = true;
                     }
@@ -84,8 +87,8 @@
         }
     }
 
-    fn on_catalog(&mut self, shared: &mut Shared, result: CloudResult) {
-        let CloudResult::Catalog(c) = result else { return };
+    fn on_catalog(&mut self, shared: &mut Shared, result: CloudResponse) {
+        let CloudResponse::Catalog(c) = result else { return };
         self.fleet.catalog_known = true;
         self.fleet.catalog_at = shared.now;
         let types = c.types.clone();
@@ -103,9 +106,9 @@
         }
     }
 
-    fn on_list(&mut self, shared: &mut Shared, result: CloudResult) {
+    fn on_list(&mut self, shared: &mut Shared, result: CloudResponse) {
         let f = &mut self.fleet;
-        let CloudResult::Page(p) = result else {
+        let CloudResponse::Page(p) = result else {
             f.list_at = shared.now + 500;
             return;
         };
@@ -132,10 +135,10 @@
         }
     }
 
-    fn on_rented(&mut self, shared: &mut Shared, number: u64, result: CloudResult) {
+    fn on_rented(&mut self, shared: &mut Shared, number: u64, result: CloudResponse) {
         let Some(i) = self.fleet.rents.iter().position(|r| r.number == number) else { return };
         match result {
-            CloudResult::Rented(a) => {
+            CloudResponse::Rented(a) => {
                 let r = self.fleet.rents.remove(i);
                 if (a.machines.len() as u32) < r.count {
                     self.fleet.refuse(shared.now, &r.offer);
@@ -158,7 +161,7 @@
                     m.ask = rented.next().map(Ask::Boot);
                 }
             }
-            CloudResult::NoCapacity | CloudResult::Bad => {
+            CloudResponse::NoCapacity | CloudResponse::Malformed => {
                 let r = self.fleet.rents.remove(i);
                 tracing::info!(
                     kind = kind_name(shared, r.offer.0, r.offer.2),
@@ -167,7 +170,7 @@
                 );
                 self.fleet.refuse(shared.now, &r.offer);
             }
-            CloudResult::NotExecuted => {
+            CloudResponse::NotExecuted => {
                 // Nothing was rented, and what was needed then may not be
                 // needed later; the next plan asks anew. But a request whose
                 // outcome was unknown before must be settled by its name.
--- a/src/core/leader/fleet/machine.rs
+++ b/src/core/leader/fleet/machine.rs
@@ -16,16 +16,16 @@
 }
 
 #[derive(Debug)]
-pub struct FleetMachine {
+pub struct Instance {
     pub name: String,
     pub kind: usize,
     pub zone: String,
     pub spot: bool,
-    pub block: u32,
+    pub shard: u32,
     pub since: Ms,
     pub(super) heard: Option<Ms>,
-    pub notice: bool,
-    pub isolated: bool,
+    pub preemption_notice: bool,
+    pub cordoned: bool,
     pub phase: Phase,
     pub(super) listed: bool,
     /// A record names it, so it was up, and listed, in an earlier term.
@@ -49,7 +49,7 @@
     pub(super) idle_since: Option<Ms>,
 }
 
-impl FleetMachine {
+impl Instance {
     /// Whether it is of this kind and not on its way back.
     pub(super) fn is_usable(&self, kind: usize, spot: bool) -> bool {
         self.kind == kind && self.spot == spot && self.phase < Phase::Retiring
@@ -57,8 +57,8 @@
 
     pub fn takes_tasks(&self, shared: &Shared) -> bool {
         self.phase == Phase::Up
-            && !self.isolated
-            && !self.notice
+            && !self.cordoned
+            && !self.preemption_notice
             && self.confirmed
             && self.deaf_since.is_none()
             && self.missed < 2
--- a/src/core/leader/fleet/mod.rs
+++ b/src/core/leader/fleet/mod.rs
@@ -18,10 +18,10 @@
 use crate::core::common::model::Ms;
 use crate::core::common::named_table::NamedTable;
 use crate::core::common::recent_names::RecentNames;
-use crate::core::common::shared::{Pace, Shared};
+use crate::core::common::shared::{Shared, TokenBucket};
 use crate::wire::cloud::MachineType;
-use crate::wire::peer::{ReportedMachine, Retire};
-use machine::FleetMachine;
+use crate::wire::peer::{Decommission, ReportedMachine};
+use machine::Instance;
 use rustc_hash::{FxHashMap, FxHashSet};
 use std::collections::BTreeMap;
 
@@ -73,17 +73,17 @@
 
 /// What the leader wants of the machines of a block.
 #[derive(Debug, Clone, Default)]
-pub struct BlockWishes {
+pub struct MachineDirectives {
     /// Machines that get no new tasks until they are drained.
-    pub isolated: Vec<String>,
+    pub cordoned: Vec<String>,
     /// Machines to be made ready for their return.
-    pub retire: Vec<Retire>,
+    pub decommission: Vec<Decommission>,
     /// Machines that must not get new tasks for now.
     pub quarantined: Vec<String>,
 }
 
 pub struct Fleet {
-    pub machines: NamedTable<FleetMachine>,
+    pub machines: NamedTable<Instance>,
     /// Returned; late lists and reports must not bring them back.
     gone: RecentNames,
     pub waiting: Vec<(u32, u32)>,
@@ -96,7 +96,7 @@
     next_rent: u64,
     pub(in crate::core::leader) refused: FxHashMap<Offer, (Ms, Ms)>,
     calls: FxHashMap<u64, CloudCall>,
-    pace: Pace,
+    pace: TokenBucket,
     trouble_until: Ms,
     returns_at: Ms,
     list_at: Ms,
@@ -128,7 +128,7 @@
             next_rent: 0,
             refused: FxHashMap::default(),
             calls: FxHashMap::default(),
-            pace: Pace::new(rps * 0.85, rps, shared.now),
+            pace: TokenBucket::new(rps * 0.85, rps, shared.now),
             trouble_until: 0,
             returns_at: 0,
             list_at: 0,
@@ -184,19 +184,19 @@
         if self.gone.contains(name) {
             return NO_MACHINE;
         }
-        let kind = shared.type_ix(type_name);
-        let block = shared.block_of(zone, name);
-        let (Some(kind), Some(block)) = (kind, block) else { return NO_MACHINE };
-        let (ix, _) = self.machines.get_or_insert_with(name, || FleetMachine {
+        let kind = shared.machine_type_index(type_name);
+        let shard = shared.shard_of(zone, name);
+        let (Some(kind), Some(shard)) = (kind, shard) else { return NO_MACHINE };
+        let (ix, _) = self.machines.get_or_insert_with(name, || Instance {
             name: name.into(),
             kind,
             zone: zone.into(),
             spot,
-            block,
+            shard,
             since: shared.now,
             heard: None,
-            notice: false,
-            isolated: false,
+            preemption_notice: false,
+            cordoned: false,
             phase: Phase::Booting,
             listed: false,
             recorded: false,
@@ -225,12 +225,12 @@
                     m.phase = Phase::Up;
                 }
             }
-            m.notice = h.notice;
+            m.preemption_notice = h.preemption_notice;
             m.confirmed |= h.fenced;
-            m.deaf_since = h.deaf.then(|| m.deaf_since.unwrap_or(shared.now));
+            m.deaf_since = h.unreachable.then(|| m.deaf_since.unwrap_or(shared.now));
             m.overloaded = h.overloaded;
             m.peak = h.peak;
-            if h.returning && matches!(m.phase, Phase::Booting | Phase::Up | Phase::Retiring) {
+            if h.terminating && matches!(m.phase, Phase::Booting | Phase::Up | Phase::Retiring) {
                 m.phase = Phase::Ready;
             }
         }
@@ -238,18 +238,18 @@
     }
 
     /// What the leader wants of the machines of each block.
-    pub fn wishes(&self, shared: &Shared) -> Vec<BlockWishes> {
-        let mut wishes = vec![BlockWishes::default(); shared.blocks.len()];
+    pub fn wishes(&self, shared: &Shared) -> Vec<MachineDirectives> {
+        let mut wishes = vec![MachineDirectives::default(); shared.shards.len()];
         for m in self.machines.values() {
-            let Some(of_block) = wishes.get_mut(m.block as usize) else { continue };
-            if m.isolated {
-                of_block.isolated.push(m.name.clone());
+            let Some(of_block) = wishes.get_mut(m.shard as usize) else { continue };
+            if m.cordoned {
+                of_block.cordoned.push(m.name.clone());
             }
             if m.quarantined_until > shared.now {
                 of_block.quarantined.push(m.name.clone());
             }
             if m.phase >= Phase::Retiring {
-                of_block.retire.push(Retire {
+                of_block.decommission.push(Decommission {
                     machine: m.name.clone(),
                     machine_type: shared.types.get(m.kind).map(|t| t.name.clone()).unwrap_or_default(),
                     zone: m.zone.clone(),
@@ -300,7 +300,7 @@
             return;
         }
         let looked_at = self.fleet.machines.len() + self.attempts.len();
-        self.fleet.tick_at = shared.now + shared.widened(TICK_MS, looked_at / 8);
+        self.fleet.tick_at = shared.now + shared.load_adjusted_gap(TICK_MS, looked_at / 8);
         self.upkeep(shared);
         self.plans += 1;
         let plan = self.plan(shared);
--- a/src/core/leader/fleet/overload_rents.rs
+++ b/src/core/leader/fleet/overload_rents.rs
@@ -20,7 +20,7 @@
             // Rather one that is isolated than a new one.
             if let Some(spare) = spares.get_mut(&(offer.0, offer.2)).and_then(Vec::pop) {
                 if let Some(m) = self.fleet.machines.get_mut(spare) {
-                    m.isolated = false;
+                    m.cordoned = false;
                 }
                 continue;
             }
@@ -34,7 +34,7 @@
     /// Overloaded machines whose rent is neither pending nor booting.
     fn machines_that_ask(&mut self) -> Vec<u32> {
         let pending: FxHashSet<u64> = self.fleet.rents.iter().map(|r| r.number).collect();
-        let is_booting = |(_, m): &(u32, &super::FleetMachine)| m.phase == Phase::Booting;
+        let is_booting = |(_, m): &(u32, &super::Instance)| m.phase == Phase::Booting;
         let booting: FxHashSet<u32> =
             self.fleet.machines.iter().filter(is_booting).map(|(ix, _)| ix).collect();
         let mut asking = Vec::new();
@@ -57,7 +57,7 @@
     /// Isolated machines that are up, by type and kind; the oldest last.
     fn isolated_by_kind(&self) -> FxHashMap<(usize, bool), Vec<u32>> {
         let mut found: FxHashMap<(usize, bool), Vec<u32>> = FxHashMap::default();
-        for (ix, m) in self.fleet.machines.iter().filter(|(_, m)| m.isolated && m.phase == Phase::Up) {
+        for (ix, m) in self.fleet.machines.iter().filter(|(_, m)| m.cordoned && m.phase == Phase::Up) {
             found.entry((m.kind, m.spot)).or_default().push(ix);
         }
         for list in found.values_mut() {
--- a/src/core/leader/fleet/upkeep.rs
+++ b/src/core/leader/fleet/upkeep.rs
@@ -34,24 +34,24 @@
             // What this leader never heard of has been silent since it leads; and
             // while no worker could be answered, none was there to hear.
             let heard = m.heard.unwrap_or(self.active_at.max(m.since));
-            let silent = now.saturating_sub(heard.max(shared.authority_since));
+            let silent = now.saturating_sub(heard.max(shared.control_lease_held_since));
             // Listed once and no more, and silent: its return, once confirmed,
             // proves that it is gone.
             let vanished = m.missed >= 2 && silent > shared.fresh_ms;
             let lost = m.heard.is_some() && silent > lease + 5_000;
-            let deaf = m.deaf_since.is_some_and(|at| now > at + lease);
-            let drained = m.isolated && !busy.contains(&ix) && m.phase == Phase::Up;
+            let unreachable = m.deaf_since.is_some_and(|at| now > at + lease);
+            let drained = m.cordoned && !busy.contains(&ix) && m.phase == Phase::Up;
             let reasons = [
                 (never, "did not boot"),
                 (vanished, "vanished"),
                 (lost, "silent"),
-                (deaf, "unreachable"),
+                (unreachable, "unreachable"),
                 (drained, "drained"),
             ];
             if let Some((_, why)) = reasons.iter().find(|(is, _)| *is) {
                 tracing::info!(machine = m.name, why, "returning machine");
                 m.phase = Phase::Retiring;
-                if let Some(b) = self.blocks.get_mut(m.block as usize) {
+                if let Some(b) = self.shards.get_mut(m.shard as usize) {
                     b.dirty = true;
                 }
             }
@@ -59,9 +59,12 @@
         // Tasks with checkpoints leave a machine under notice in time.
         for a in self.attempts.values_mut().filter(|a| a.want && a.counts()) {
             let Some(m) = a.machine.and_then(|m| self.fleet.machines.get(m)) else { continue };
-            if m.notice && !a.bind && self.jobs.get(&a.job).is_some_and(|j| j.spec.checkpoint_s > 0.0) {
+            if m.preemption_notice
+                && !a.bind
+                && self.jobs.get(&a.job).is_some_and(|j| j.spec.checkpoint_s > 0.0)
+            {
                 a.want = false;
-                self.blocks[a.block as usize].dirty = true;
+                self.shards[a.shard as usize].dirty = true;
             }
         }
     }
--- a/src/core/leader/fleet/window_rule.rs
+++ b/src/core/leader/fleet/window_rule.rs
@@ -1,6 +1,6 @@
 //! The window rule and the drain that goes with it.
 
-use super::machine::{FleetMachine, Phase};
+use super::machine::{Instance, Phase};
 use super::{Fleet, MIN_CHARGE_MS, Offer, kind_name};
 use crate::core::common::shared::Shared;
 use crate::core::leader::plan::Plan;
@@ -49,7 +49,7 @@
                 }
                 // Right after an outage nothing is known of what machines could
                 // take: idle ones may only not have been heard yet.
-                let heard = shared.now > shared.authority_since + shared.fresh_ms;
+                let heard = shared.now > shared.control_lease_held_since + shared.fresh_ms;
                 if have > target && waiting == 0 && heard {
                     self.isolate_idle(shared, kind, spot, have - target, &busy);
                 }
@@ -63,12 +63,12 @@
 
     /// Takes isolated machines into use again, `most` at the most; how many.
     fn restore_isolated(&mut self, kind: usize, spot: bool, most: u32) -> u32 {
-        let isolated = |m: &&mut FleetMachine| m.is_usable(kind, spot) && m.isolated;
+        let cordoned = |m: &&mut Instance| m.is_usable(kind, spot) && m.cordoned;
         let mut restored = 0;
-        for m in self.fleet.machines.values_mut().filter(isolated).take(most as usize) {
-            m.isolated = false;
+        for m in self.fleet.machines.values_mut().filter(cordoned).take(most as usize) {
+            m.cordoned = false;
             restored += 1;
-            if let Some(b) = self.blocks.get_mut(m.block as usize) {
+            if let Some(b) = self.shards.get_mut(m.shard as usize) {
                 b.dirty = true;
             }
         }
@@ -84,16 +84,16 @@
         most: u32,
         busy: &FxHashSet<u32>,
     ) {
-        let idle = |(ix, m): &(u32, &mut FleetMachine)| {
+        let idle = |(ix, m): &(u32, &mut Instance)| {
             m.is_usable(kind, spot)
                 && m.phase == Phase::Up
-                && !m.isolated
+                && !m.cordoned
                 && !busy.contains(ix)
                 && shared.now > m.since + MIN_CHARGE_MS - 8_000
         };
         for (_, m) in self.fleet.machines.iter_mut().filter(idle).take(most as usize) {
-            m.isolated = true;
-            if let Some(b) = self.blocks.get_mut(m.block as usize) {
+            m.cordoned = true;
+            if let Some(b) = self.shards.get_mut(m.shard as usize) {
                 b.dirty = true;
             }
         }
@@ -137,8 +137,8 @@
             if let Some(m) = self.fleet.machines.get_mut(*ix)
                 && shared.now > m.since + MIN_CHARGE_MS - 8_000
             {
-                m.isolated = true;
-                if let Some(b) = self.blocks.get_mut(m.block as usize) {
+                m.cordoned = true;
+                if let Some(b) = self.shards.get_mut(m.shard as usize) {
                     b.dirty = true;
                 }
             }
@@ -161,7 +161,7 @@
 
     /// Machines of a kind that are there, boot or are asked for, isolated ones left out.
     fn usable(&self, kind: usize, spot: bool) -> u32 {
-        let there = self.machines.values().filter(|m| m.is_usable(kind, spot) && !m.isolated).count();
+        let there = self.machines.values().filter(|m| m.is_usable(kind, spot) && !m.cordoned).count();
         let asked = self.rents.iter().filter(|r| r.offer.0 == kind && r.offer.2 == spot);
         there as u32 + asked.map(|r| r.count).sum::<u32>()
     }
--- a/src/core/leader/live_jobs.rs
+++ b/src/core/leader/live_jobs.rs
@@ -1,20 +1,20 @@
 //! Live jobs that may run, as the leader keeps them.
 
 use super::Leader;
-use super::attempts::LeaderAttempt;
-use super::progress::Chunk;
+use super::attempts::AttemptView;
+use super::progress::ProgressSegment;
 use crate::core::common::job_table::Job;
 use crate::core::common::model::{Ms, Priority, Spec, TaskSet};
 use crate::core::common::shared::Shared;
 use crate::wire::peer::ReportedPhase;
-use crate::wire::state::JobState;
+use crate::wire::store::JobState;
 use rustc_hash::FxHashSet;
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
 /// Which cell runs a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum CellStanding {
+pub enum JobLocation {
     /// This one, whose job it is.
     Local,
     /// Another one; so many of its tasks run there.
@@ -37,7 +37,7 @@
     pub(super) recording: bool,
     pub(super) rereading: bool,
     /// Records of its progress, with the version that each has; none: in doubt.
-    pub(super) chunks: BTreeMap<Chunk, Option<u64>>,
+    pub(super) segments: BTreeMap<ProgressSegment, Option<u64>>,
     /// Tasks with an attempt, or waiting in `retry`.
     pub issued: TaskSet,
     pub(super) next: u32,
@@ -55,7 +55,7 @@
     pub(super) finish_busy: bool,
     pub(super) finish_at: Ms,
     /// Which cell runs it.
-    pub standing: CellStanding,
+    pub standing: JobLocation,
 }
 
 impl LiveJob {
@@ -68,7 +68,7 @@
             unrecorded: Vec::new(),
             recording: false,
             rereading: false,
-            chunks: BTreeMap::new(),
+            segments: BTreeMap::new(),
             issued: TaskSet::with_room(n),
             next: 0,
             retry: Vec::new(),
@@ -80,41 +80,41 @@
             priority: spec.priority,
             finish_busy: false,
             finish_at: 0,
-            standing: CellStanding::Local,
+            standing: JobLocation::Local,
             spec,
         }
     }
 
     /// Takes in a record of its progress.
-    pub(super) fn read_chunk(&mut self, chunk: Chunk, bits: &str, version: u64) {
-        self.done.add_hex(chunk.first_word(), bits);
-        self.recorded.add_hex(chunk.first_word(), bits);
-        self.chunks.insert(chunk, Some(version));
+    pub(super) fn read_chunk(&mut self, segment: ProgressSegment, bits: &str, version: u64) {
+        self.done.add_hex(segment.first_word(), bits);
+        self.recorded.add_hex(segment.first_word(), bits);
+        self.segments.insert(segment, Some(version));
     }
 
     /// Whether only another cell may run it.
     pub fn is_away(&self) -> bool {
-        matches!(self.standing, CellStanding::Away { .. })
+        matches!(self.standing, JobLocation::Away { .. })
     }
 
     /// Whether it belongs to another cell.
     pub fn is_hosted(&self) -> bool {
-        matches!(self.standing, CellStanding::Hosted { .. })
+        matches!(self.standing, JobLocation::Hosted { .. })
     }
 
     /// Whether tasks may be granted as far as other cells are concerned.
     pub fn may_be_granted(&self) -> bool {
-        matches!(self.standing, CellStanding::Local | CellStanding::Hosted { is_listed: true })
+        matches!(self.standing, JobLocation::Local | JobLocation::Hosted { is_listed: true })
     }
 
     /// Follows the job's record.
     fn follow_standing(&mut self, job: &Job) {
         self.standing = match (job.is_away(), job.origin(), self.standing) {
-            (true, _, CellStanding::Away { running }) => CellStanding::Away { running },
-            (true, _, _) => CellStanding::Away { running: 0 },
-            (false, Some(_), CellStanding::Hosted { is_listed }) => CellStanding::Hosted { is_listed },
-            (false, Some(_), _) => CellStanding::Hosted { is_listed: false },
-            (false, None, _) => CellStanding::Local,
+            (true, _, JobLocation::Away { running }) => JobLocation::Away { running },
+            (true, _, _) => JobLocation::Away { running: 0 },
+            (false, Some(_), JobLocation::Hosted { is_listed }) => JobLocation::Hosted { is_listed },
+            (false, Some(_), _) => JobLocation::Hosted { is_listed: false },
+            (false, None, _) => JobLocation::Local,
         };
     }
 
@@ -201,18 +201,18 @@
             for id in self.attempts.of_job(ix) {
                 if let Some(a) = self.attempts.get_mut(id) {
                     a.want = false;
-                    self.blocks[a.block as usize].dirty = true;
+                    self.shards[a.shard as usize].dirty = true;
                 }
             }
             // The bits of a final job are of no use to anyone. A job of many
             // tasks has more of them than go along with its last record.
-            let mut chunks: BTreeSet<Chunk> =
-                known.map(|j| j.chunks.into_keys().collect()).unwrap_or_default();
-            chunks.extend(left.into_iter().flatten().map(|(c, ..)| c));
-            self.trash.extend(chunks.into_iter().map(|c| c.key(&id)));
+            let mut segments: BTreeSet<ProgressSegment> =
+                known.map(|j| j.segments.into_keys().collect()).unwrap_or_default();
+            segments.extend(left.into_iter().flatten().map(|(c, ..)| c));
+            self.deletions.extend(segments.into_iter().map(|c| c.key(&id)));
             return;
         }
-        if job.links.doomed {
+        if job.links.has_cancelled_dependency {
             return self.cascade_later(ix);
         }
         // Not all that it awaits is on record as done: it takes no part in
@@ -230,8 +230,8 @@
         };
         let mut j = LiveJob::new(spec, team, shared.ready_ms(ix));
         j.follow_standing(job);
-        for (chunk, bits, version) in self.progress.remove(&id).unwrap_or_default() {
-            j.read_chunk(chunk, &bits, version);
+        for (segment, bits, version) in self.progress.remove(&id).unwrap_or_default() {
+            j.read_chunk(segment, &bits, version);
         }
         self.jobs.insert(ix, j);
     }
@@ -241,12 +241,12 @@
         spec.estimate_s * self.ratios.get(&spec.class).copied().unwrap_or(1.0)
     }
 
-    pub fn new_attempt(&mut self, job: u32, task: u32, machine: u32, block: u32) {
+    pub fn new_attempt(&mut self, job: u32, task: u32, machine: u32, shard: u32) {
         let Some(j) = self.jobs.get(&job) else { return };
-        let a = LeaderAttempt {
+        let a = AttemptView {
             job,
             task,
-            block,
+            shard,
             machine: Some(machine),
             bind: true,
             want: true,
@@ -258,7 +258,7 @@
         };
         self.attempts.insert(self.next_attempt, a);
         self.next_attempt += 1;
-        self.blocks[block as usize].dirty = true;
+        self.shards[shard as usize].dirty = true;
     }
 
     /// Puts a task back in line once an attempt at it is gone. An older attempt
--- a/src/core/leader/mod.rs
+++ b/src/core/leader/mod.rs
@@ -5,11 +5,9 @@
 //! that a new leader starts from what is, not from what was meant.
 
 mod attempts;
-mod blocks;
 mod cells;
 mod fleet;
 pub mod forecast;
-mod grants;
 mod live_jobs;
 mod order;
 mod persistence;
@@ -21,22 +19,24 @@
 mod rebuild;
 mod reconciliation;
 mod rooms;
+mod scheduling_cycle;
+mod shards;
 mod zones;
 
 use crate::core::common::model::Ms;
 use crate::core::common::shared::{RecordSource, Shared};
-use crate::core::common::sync::LEADER;
-use crate::core::{CloudResult, StateResult};
-use crate::wire::state::{Cond, JobRecord};
+use crate::core::common::watch_cache::LEADER;
+use crate::core::{CloudResponse, StoreResponse};
+use crate::wire::store::{Compare, JobRecord};
 use attempts::Attempts;
-use blocks::LeaderBlock;
 use cells::{CellCall, Cells};
 use fleet::Fleet;
 use forecast::History;
 use live_jobs::LiveJob;
 use pipelines::Cascade;
-use progress::{Chunk, Trash};
+use progress::{DeletionQueue, ProgressSegment};
 use serde::{Deserialize, Serialize};
+use shards::ShardAssignment;
 use std::collections::{BTreeMap, HashMap};
 
 const POLL_GAP_MS: Ms = 20;
@@ -47,10 +47,10 @@
     Places,
     Progress,
     Fleet,
-    Block { block: u32 },
-    Record { items: Vec<(u32, Vec<u32>)>, chunks: Vec<(u32, Chunk)> },
-    Reread { job: u32, chunk: Chunk },
-    Finish { job: u32, done_ms: u64, dropped: Vec<Chunk> },
+    AssignShard { shard: u32 },
+    Record { items: Vec<(u32, Vec<u32>)>, segments: Vec<(u32, ProgressSegment)> },
+    Reread { job: u32, segment: ProgressSegment },
+    Finish { job: u32, done_ms: u64, dropped: Vec<ProgressSegment> },
     Forget { keys: Vec<String> },
     Cascade { list: Vec<u32> },
     Cells(CellCall),
@@ -89,7 +89,7 @@
     pub jobs: BTreeMap<u32, LiveJob>,
     pub attempts: Attempts,
     pub(super) next_attempt: u64,
-    pub blocks: Vec<LeaderBlock>,
+    pub shards: Vec<ShardAssignment>,
     pub fleet: Fleet,
     pub ratios: BTreeMap<String, f64>,
     pub preempt_at: Ms,
@@ -102,9 +102,9 @@
     pub(super) record_at: Ms,
     pub(super) counts_at: Ms,
     /// Progress read before its job was known.
-    pub(super) progress: HashMap<String, Vec<(Chunk, String, u64)>>,
+    pub(super) progress: HashMap<String, Vec<(ProgressSegment, String, u64)>>,
     /// Records of progress that nobody needs any more.
-    pub(super) trash: Trash,
+    pub(super) deletions: DeletionQueue,
     /// The state service has shown that it takes no more than the next limits.
     pub(super) fine: bool,
     pub(super) cascade: Cascade,
@@ -124,15 +124,15 @@
             jobs: BTreeMap::new(),
             attempts: Attempts::default(),
             next_attempt: term << 20,
-            blocks: shared
-                .blocks
+            shards: shared
+                .shards
                 .iter()
-                .map(|_| LeaderBlock {
+                .map(|_| ShardAssignment {
                     serial: 0,
                     dirty: true,
                     sent_at: 0,
                     size: 0,
-                    grant: 0,
+                    fencing_token: 0,
                     shown: false,
                     gone: Vec::new(),
                     waiting: Vec::new(),
@@ -151,15 +151,15 @@
             record_at: 0,
             counts_at: 0,
             progress: HashMap::new(),
-            trash: Trash::default(),
+            deletions: DeletionQueue::default(),
             fine: false,
             cascade: Cascade::default(),
             cells: Some(Box::new(Cells::new(shared))),
         }
     }
 
-    pub fn leader_cond(&self) -> Cond {
-        Cond { key: LEADER.into(), version: self.term }
+    pub fn compare_term(&self) -> Compare {
+        Compare { key: LEADER.into(), version: self.term }
     }
 
     pub fn poll(&mut self, shared: &mut Shared) {
@@ -169,7 +169,7 @@
                 return;
             }
         }
-        self.follow_blocks(shared);
+        self.assign_shards(shared);
         // All else looks at jobs, machines or attempts one by one, and must not
         // do so with every input.
         if shared.now < self.poll_at {
@@ -182,7 +182,7 @@
         self.fleet_poll(shared);
         // What a scheduling cycle costs grows with what it has to look at.
         let gap = if self.cycle_due {
-            shared.widened(CYCLE_GAP_MS, (self.attempts.len() + self.fleet.machines.len()) / 8)
+            shared.load_adjusted_gap(CYCLE_GAP_MS, (self.attempts.len() + self.fleet.machines.len()) / 8)
         } else {
             CYCLE_EVERY_MS
         };
@@ -196,27 +196,32 @@
         self.tell_counts(shared);
     }
 
-    pub fn on_result(&mut self, shared: &mut Shared, call: LeaderCall, result: StateResult) {
+    pub fn on_result(&mut self, shared: &mut Shared, call: LeaderCall, result: StoreResponse) {
         match call {
             LeaderCall::Places => self.on_load(shared, 0, result),
             LeaderCall::Progress => self.on_load(shared, 1, result),
             LeaderCall::Fleet => self.on_load(shared, 2, result),
-            LeaderCall::Block { block } => {
+            LeaderCall::AssignShard { shard } => {
                 let wait = shared.jitter(300);
-                if let Some(b) = self.blocks.get_mut(block as usize) {
+                if let Some(b) = self.shards.get_mut(shard as usize) {
                     b.writing = false;
                     b.retry_at = shared.now + wait;
                 }
             }
-            LeaderCall::Record { items, chunks } => self.on_recorded(shared, items, chunks, result),
-            LeaderCall::Reread { job, chunk } => self.on_reread(shared, job, chunk, result),
+            LeaderCall::Record { items, segments } => self.on_recorded(shared, items, segments, result),
+            LeaderCall::Reread { job, segment } => self.on_reread(shared, job, segment, result),
             LeaderCall::Finish { job, done_ms, dropped } => {
-                if let StateResult::Done { revision } = result {
+                if let StoreResponse::Committed { revision } = result {
                     if let Some(j) = self.jobs.get_mut(&job) {
-                        j.chunks.retain(|c, _| !dropped.contains(c));
+                        j.segments.retain(|c, _| !dropped.contains(c));
                     }
                     let id = shared.jobs.id(job).to_string();
-                    shared.put_job(&id, JobRecord::done(0, done_ms), revision, RecordSource::Single);
+                    shared.apply_job_record(
+                        &id,
+                        JobRecord::done(0, done_ms),
+                        revision,
+                        RecordSource::Single,
+                    );
                 } else if let Some(j) = self.jobs.get_mut(&job) {
                     j.finish_busy = false;
                     j.finish_at = shared.now + shared.retry_ms(250);
@@ -224,16 +229,16 @@
             }
             LeaderCall::Cells(call) => self.on_cell_result(shared, call, result),
             LeaderCall::Cascade { list } => self.on_cascaded(shared, list, result),
-            LeaderCall::SaveFleet => self.fleet.saved(matches!(result, StateResult::Done { .. })),
+            LeaderCall::SaveFleet => self.fleet.saved(matches!(result, StoreResponse::Committed { .. })),
             LeaderCall::SaveCatalog => {
-                self.fine |= matches!(result, StateResult::Bad);
-                self.fleet.catalog_saved(shared.now, matches!(result, StateResult::Done { .. }));
+                self.fine |= matches!(result, StoreResponse::Malformed);
+                self.fleet.catalog_saved(shared.now, matches!(result, StoreResponse::Committed { .. }));
             }
             LeaderCall::Forget { keys } => self.on_forgotten(shared, keys, result),
         }
     }
 
-    pub fn on_cloud(&mut self, shared: &mut Shared, call: u64, result: CloudResult) {
+    pub fn on_cloud(&mut self, shared: &mut Shared, call: u64, result: CloudResponse) {
         self.fleet_result(shared, call, result);
     }
 }
--- a/src/core/leader/order.rs
+++ b/src/core/leader/order.rs
@@ -3,7 +3,7 @@
 use super::Leader;
 use super::pipelines::Inherited;
 use crate::config::Objective;
-use crate::core::common::model::{JobOrder, Res, Spec};
+use crate::core::common::model::{JobOrder, Resources, Spec};
 use crate::core::common::shared::Shared;
 use rustc_hash::FxHashMap;
 
@@ -18,7 +18,7 @@
         let mut by_age: Vec<(bool, u64, u32)> =
             here.map(|(ix, j)| (j.is_hosted(), j.ready_ms, *ix)).collect();
         by_age.sort_unstable();
-        let mut sums = vec![Res::default(); shared.cfg.cluster.teams.len()];
+        let mut sums = vec![Resources::default(); shared.cfg.cluster.teams.len()];
         let mut within: FxHashMap<u32, bool> = FxHashMap::default();
         for (_, _, ix) in by_age {
             let j = &self.jobs[&ix];
@@ -31,7 +31,7 @@
             sum.add(&need);
             within.insert(ix, sum.cpus <= t.cpus + 1e-6 && sum.gpus <= t.gpus + 1e-6);
         }
-        let heirs = self.heirs(shared);
+        let inherited_urgency = self.inherited_urgency(shared);
         let now = shared.now;
         let mut list: Vec<(JobOrder, u32)> = Vec::new();
         let wall = shared.wall;
@@ -48,7 +48,7 @@
             let next = next_start(&shared.cfg.cluster.objectives, &j.spec, clock, within[ix], run_s);
             j.within = within[ix];
             // What a pipeline's end needs in time, each stage needs the earlier.
-            let heir = heirs.get(ix);
+            let heir = inherited_urgency.get(ix);
             j.priority = heir.map_or(j.spec.priority, |h| h.priority);
             let by = heir.and_then(|h| h.finish_by).map(|by| by - wall as f64 / 1000.0 - run_s);
             let next = match (next, by.filter(|by| *by >= 0.0)) {
@@ -67,7 +67,7 @@
     }
 
     /// What jobs with others behind them inherit from those.
-    fn heirs(&self, shared: &Shared) -> FxHashMap<u32, Inherited> {
+    fn inherited_urgency(&self, shared: &Shared) -> FxHashMap<u32, Inherited> {
         let mut known = FxHashMap::default();
         for ix in self.jobs.keys().filter(|ix| !shared.job(**ix).links.after.is_empty()) {
             self.inherited(shared, *ix, &mut known);
--- a/src/core/leader/persistence.rs
+++ b/src/core/leader/persistence.rs
@@ -2,11 +2,11 @@
 
 use super::{FleetRecord, Leader, LeaderCall};
 use crate::core::common::shared::Shared;
-use crate::core::common::sync::catalog_key;
-use crate::core::{Purpose, StateOp};
+use crate::core::common::watch_cache::catalog_key;
+use crate::core::{StoreCallOwner, StoreRequest};
 use crate::wire::cloud;
 use crate::wire::encoded::Encoded;
-use crate::wire::state::{Change, Txn};
+use crate::wire::store::{CompareAndSwap, Mutation};
 
 /// Machine types in as few records as the limit allows.
 fn split_catalog(types: &[cloud::MachineType], limit: usize) -> Vec<Encoded> {
@@ -34,14 +34,17 @@
         let state = &shared.cfg.cluster.state;
         let limit = if self.fine { state.value_kb } else { state.today_kb };
         let records = split_catalog(&types, (limit * 1024.0) as usize);
-        let changes: Vec<Change> = records
+        let changes: Vec<Mutation> = records
             .into_iter()
             .enumerate()
-            .map(|(n, value)| Change::Put { key: catalog_key(n), value, lease: None })
+            .map(|(n, value)| Mutation::Put { key: catalog_key(n), value, lease: None })
             .collect();
         for some in changes.chunks(state.txn_ops.min(8)) {
-            let txn = Txn { conds: vec![self.leader_cond()], changes: some.to_vec() };
-            shared.state_call(Purpose::Leader(LeaderCall::SaveCatalog), StateOp::Txn(txn));
+            let txn = CompareAndSwap { compares: vec![self.compare_term()], changes: some.to_vec() };
+            shared.send_store_request(
+                StoreCallOwner::Leader(LeaderCall::SaveCatalog),
+                StoreRequest::CompareAndSwap(txn),
+            );
         }
     }
 
@@ -54,10 +57,13 @@
         // Users name classes as they like; learned run times are the least loss.
         while too_long(&rec) && rec.ratios.pop_last().is_some() {}
         while too_long(&rec) && rec.counts.pop_last().is_some() {}
-        let txn = Txn {
-            conds: vec![self.leader_cond()],
-            changes: vec![Change::Put { key: "fleet".into(), value: Encoded::new(&rec), lease: None }],
+        let txn = CompareAndSwap {
+            compares: vec![self.compare_term()],
+            changes: vec![Mutation::Put { key: "fleet".into(), value: Encoded::new(&rec), lease: None }],
         };
-        shared.state_call(Purpose::Leader(LeaderCall::SaveFleet), StateOp::Txn(txn));
+        shared.send_store_request(
+            StoreCallOwner::Leader(LeaderCall::SaveFleet),
+            StoreRequest::CompareAndSwap(txn),
+        );
     }
 }
--- a/src/core/leader/pipelines.rs
+++ b/src/core/leader/pipelines.rs
@@ -19,10 +19,10 @@
 use super::{Leader, LeaderCall};
 use crate::core::common::model::{Ms, Priority, Spec};
 use crate::core::common::shared::{RecordSource, Shared};
-use crate::core::common::sync::job_key;
-use crate::core::{Purpose, StateOp, StateResult};
+use crate::core::common::watch_cache::job_key;
+use crate::core::{StoreCallOwner, StoreRequest, StoreResponse};
 use crate::wire::encoded::Encoded;
-use crate::wire::state::{Change, Cond, JobRecord, JobState, Txn};
+use crate::wire::store::{Compare, CompareAndSwap, JobRecord, JobState, Mutation};
 use rustc_hash::{FxHashMap, FxHashSet};
 use std::collections::BTreeSet;
 
@@ -67,24 +67,27 @@
             return;
         }
         c.busy = true;
-        let mut txn = Txn { conds: vec![self.leader_cond()], changes: Vec::new() };
+        let mut txn = CompareAndSwap { compares: vec![self.compare_term()], changes: Vec::new() };
         for ix in &list {
             let key = job_key(shared.jobs.id(*ix));
             let job = shared.job(*ix);
             let value = Encoded::new(&JobRecord::cancelled(job.tasks));
-            txn.conds.push(Cond { key: key.clone(), version: job.version });
-            txn.changes.push(Change::Put { key, value, lease: None });
+            txn.compares.push(Compare { key: key.clone(), version: job.version });
+            txn.changes.push(Mutation::Put { key, value, lease: None });
         }
-        shared.state_call(Purpose::Leader(LeaderCall::Cascade { list }), StateOp::Txn(txn));
+        shared.send_store_request(
+            StoreCallOwner::Leader(LeaderCall::Cascade { list }),
+            StoreRequest::CompareAndSwap(txn),
+        );
     }
 
-    pub(super) fn on_cascaded(&mut self, shared: &mut Shared, list: Vec<u32>, result: StateResult) {
+    pub(super) fn on_cascaded(&mut self, shared: &mut Shared, list: Vec<u32>, result: StoreResponse) {
         self.cascade.busy = false;
-        if let StateResult::Done { revision } = result {
+        if let StoreResponse::Committed { revision } = result {
             for ix in list {
                 let id = shared.jobs.id(ix).to_string();
-                shared.put_job(&id, JobRecord::cancelled(0), revision, RecordSource::Single);
-                shared.cancelled_here.push(id);
+                shared.apply_job_record(&id, JobRecord::cancelled(0), revision, RecordSource::Single);
+                shared.cancellations_to_announce.push(id);
             }
         } else {
             // One that its own user, or the user API, has withdrawn meanwhile spoils
--- a/src/core/leader/plan.rs
+++ b/src/core/leader/plan.rs
@@ -6,7 +6,7 @@
 use super::quota::quota_tasks;
 use super::rooms::{Rooms, may_use};
 use super::zones::Zones;
-use crate::core::common::model::{Res, Spec};
+use crate::core::common::model::{Resources, Spec};
 use crate::core::common::shared::Shared;
 use crate::core::common::window::allowed;
 use rustc_hash::{FxHashMap, FxHashSet};
@@ -22,14 +22,14 @@
 impl Leader {
     /// Machines' worth of bookings now, by kind.
     pub(super) fn bookings(&self, shared: &Shared) -> BTreeMap<String, f64> {
-        let mut sums: BTreeMap<(usize, bool), Res> = BTreeMap::new();
+        let mut sums: BTreeMap<(usize, bool), Resources> = BTreeMap::new();
         for a in self.attempts.values().filter(|a| a.counts()) {
             if let Some(m) = a.machine.and_then(|m| self.fleet.machines.get(m)) {
                 sums.entry((m.kind, m.spot)).or_default().add(&a.need);
             }
         }
         sums.into_iter()
-            .map(|((k, s), r)| (kind_name(shared, k, s), r.share_of(&shared.types[k].room)))
+            .map(|((k, s), r)| (kind_name(shared, k, s), r.dominant_share(&shared.types[k].room)))
             .collect()
     }
 
@@ -62,7 +62,9 @@
             let Some(j) = self.jobs.get(job) else { return false };
             let serves = |(kind, zone, spot): &(usize, &str, bool)| {
                 let t = shared.types.get(*kind);
-                t.is_some_and(|t| allowed(&j.spec, &t.name, zone, *spot) && j.spec.need().fits(&t.room))
+                t.is_some_and(|t| {
+                    allowed(&j.spec, &t.name, zone, *spot) && j.spec.need().fits_within(&t.room)
+                })
             };
             !kinds.iter().any(serves)
         })
@@ -114,7 +116,7 @@
         let mut rooms = self.rooms(shared);
         for (ix, m) in self.fleet.machines.iter().filter(|(_, m)| m.phase == Phase::Booting) {
             if let Some(t) = shared.types.get(m.kind) {
-                rooms.push(m.kind, &m.zone, m.spot, t.room, (ix, m.block, t.room));
+                rooms.push(m.kind, &m.zone, m.spot, t.room, (ix, m.shard, t.room));
             }
         }
         for r in &self.fleet.rents {
@@ -164,7 +166,7 @@
         let mut order: Vec<(bool, usize, u32, u32)> = waiting
             .filter_map(|&(job, n)| {
                 let spec = &self.jobs.get(&job)?.spec;
-                Some((spec.spot, shared.kinds_for(spec).count(), job, n))
+                Some((spec.spot, shared.machine_types_for(spec).count(), job, n))
             })
             .collect();
         order.sort_by_key(|(spot, kinds, _, _)| (*spot, *kinds));
@@ -181,7 +183,7 @@
     have: u32,
     planned: u32,
     price: f64,
-    room: Res,
+    room: Resources,
 }
 
 /// An offer that a job may use.
@@ -193,17 +195,17 @@
 }
 
 fn candidates(shared: &Shared, offers: &[OpenOffer], spec: &Spec) -> Vec<Candidate> {
-    let elsewhere = shared.kinds_for(spec).any(|kind| !shared.scarce.contains(&kind));
+    let elsewhere = shared.machine_types_for(spec).any(|kind| !shared.scarce_types.contains(&kind));
     let need = spec.need();
     let mut found = Vec::new();
     for (index, o) in offers.iter().enumerate() {
         let (kind, zone, spot) = &o.offer;
-        let holds = need.times_in(&o.room);
+        let holds = need.count_fitting(&o.room);
         if holds == 0 || !allowed(spec, &shared.types[*kind].name, zone, *spot) {
             continue;
         }
         // Rather a type that no other work depends on.
-        let is_scarce = shared.scarce.contains(kind) && elsewhere;
+        let is_scarce = shared.scarce_types.contains(kind) && elsewhere;
         found.push(Candidate {
             index,
             holds,
@@ -289,11 +291,11 @@
 }
 
 /// Puts as many of `n` tasks into a room as it takes; how many.
-fn put(rooms: &mut Rooms, i: usize, need: &Res, n: u32, zones: &mut Zones) -> u32 {
+fn put(rooms: &mut Rooms, i: usize, need: &Resources, n: u32, zones: &mut Zones) -> u32 {
     let zone = &rooms.classes[rooms.list[i].class].zone;
     let free = &mut rooms.list[i].free;
     let mut done = 0;
-    while done < n && need.fits(free) && zones.allows(zone) {
+    while done < n && need.fits_within(free) && zones.allows(zone) {
         free.sub(need);
         zones.add(zone);
         done += 1;
--- a/src/core/leader/preemption.rs
+++ b/src/core/leader/preemption.rs
@@ -4,7 +4,7 @@
 use super::live_jobs::LiveJob;
 use super::rooms::{Rooms, may_use};
 use super::zones::Zones;
-use crate::core::common::model::Res;
+use crate::core::common::model::Resources;
 use crate::core::common::shared::Shared;
 use rustc_hash::FxHashMap;
 
@@ -23,7 +23,7 @@
         shared: &Shared,
         rooms: &Rooms,
         left: &[(u32, u32)],
-        mut used: Vec<Res>,
+        mut used: Vec<Resources>,
     ) {
         if shared.now < self.preempt_at || self.attempts.values().any(|a| !a.want && a.counts()) {
             return;
@@ -84,7 +84,7 @@
                 victims.sort_unstable();
                 let (mut free, mut cost, mut list) = (r.free, 0, Vec::new());
                 for (lost, id) in victims {
-                    if need.fits(&free) || list.len() >= budget {
+                    if need.fits_within(&free) || list.len() >= budget {
                         break;
                     }
                     if let Some(a) = self.attempts.get(id) {
@@ -94,14 +94,14 @@
                     list.push(id);
                 }
                 let better = best.as_ref().is_none_or(|(c, _)| cost < *c);
-                if need.fits(&free) && !list.is_empty() && better {
+                if need.fits_within(&free) && !list.is_empty() && better {
                     best = Some((cost, list));
                 }
             }
             for id in best.map(|(_, l)| l).unwrap_or_default() {
                 let Some(a) = self.attempts.get_mut(id) else { continue };
                 a.want = false;
-                self.blocks[a.block as usize].dirty = true;
+                self.shards[a.shard as usize].dirty = true;
                 if let Some(u) = a.team.and_then(|t| used.get_mut(t)) {
                     u.sub(&a.need);
                 }
--- a/src/core/leader/progress.rs
+++ b/src/core/leader/progress.rs
@@ -5,18 +5,18 @@
 use super::{Leader, LeaderCall};
 use crate::core::common::model::Ms;
 use crate::core::common::shared::Shared;
-use crate::core::common::sync::job_key;
-use crate::core::{Purpose, StateOp, StateResult};
+use crate::core::common::watch_cache::job_key;
+use crate::core::{StoreCallOwner, StoreRequest, StoreResponse};
 use crate::wire::encoded::Encoded;
 use crate::wire::peer::ReportedPhase;
-use crate::wire::state::{Change, Cond, JobRecord, Txn};
+use crate::wire::store::{Compare, CompareAndSwap, JobRecord, Mutation};
 use std::collections::{BTreeSet, VecDeque};
 
 /// Tasks per record: up to 4 KiB of hexadecimal digits.
-const CHUNK: u32 = 16_384;
+const SEGMENT_TASKS: u32 = 16_384;
 /// Tasks per record where less fits: half a KiB, below any limit that the
 /// settings take.
-const FINE: u32 = 2_048;
+const PART_TASKS: u32 = 2_048;
 const RECORD_GAP_MS: Ms = 150;
 /// Share of the service's changes that bits of unfinished jobs may take. They
 /// only spare work if the leader and a machine are lost together; meanwhile a
@@ -33,14 +33,17 @@
 /// its limits have fallen, and that comes after the last old process is gone.
 /// Both are read always; bits only ever grow, so that both together are right.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Chunk {
+pub struct ProgressSegment {
     number: u32,
     part: Option<u32>,
 }
 
-impl Chunk {
-    fn of(task: u32, parts: bool) -> Chunk {
-        Chunk { number: task / CHUNK, part: parts.then_some(task % CHUNK / FINE) }
+impl ProgressSegment {
+    fn of(task: u32, parts: bool) -> ProgressSegment {
+        ProgressSegment {
+            number: task / SEGMENT_TASKS,
+            part: parts.then_some(task % SEGMENT_TASKS / PART_TASKS),
+        }
     }
 
     /// Whether it is one of the smaller parts.
@@ -50,11 +53,11 @@
 
     /// Its first word in the job's set of tasks.
     pub fn first_word(self) -> usize {
-        ((self.number * CHUNK + self.part.unwrap_or(0) * FINE) / 64) as usize
+        ((self.number * SEGMENT_TASKS + self.part.unwrap_or(0) * PART_TASKS) / 64) as usize
     }
 
     fn words(self) -> usize {
-        if self.is_fine() { (FINE / 64) as usize } else { (CHUNK / 64) as usize }
+        if self.is_fine() { (PART_TASKS / 64) as usize } else { (SEGMENT_TASKS / 64) as usize }
     }
 
     /// Key of its record.
@@ -66,26 +69,26 @@
     }
 
     /// The job's id and the chunk that a key speaks of; none: it is not ours.
-    pub fn of_key(key: &str) -> Option<(&str, Chunk)> {
-        let (id, chunk) = key.strip_prefix("progress/")?.split_once('/')?;
-        let (number, part) = match chunk.split_once('.') {
-            Some((n, p)) => (n, Some(p.parse().ok().filter(|p| *p < CHUNK / FINE)?)),
-            None => (chunk, None),
+    pub fn of_key(key: &str) -> Option<(&str, ProgressSegment)> {
+        let (id, segment) = key.strip_prefix("progress/")?.split_once('/')?;
+        let (number, part) = match segment.split_once('.') {
+            Some((n, p)) => (n, Some(p.parse().ok().filter(|p| *p < SEGMENT_TASKS / PART_TASKS)?)),
+            None => (segment, None),
         };
-        let number = number.parse().ok().filter(|n| *n < u32::MAX / CHUNK)?;
-        Some((id, Chunk { number, part }))
+        let number = number.parse().ok().filter(|n| *n < u32::MAX / SEGMENT_TASKS)?;
+        Some((id, ProgressSegment { number, part }))
     }
 }
 
 /// Records to be removed, a transaction's worth at a time.
 #[derive(Debug, Default)]
-pub struct Trash {
+pub struct DeletionQueue {
     keys: VecDeque<String>,
     busy: bool,
     retry_at: Ms,
 }
 
-impl Trash {
+impl DeletionQueue {
     /// Adds keys of records to be deleted.
     pub fn extend(&mut self, keys: impl Iterator<Item = String>) {
         self.keys.extend(keys);
@@ -114,9 +117,9 @@
             return;
         }
         let max_ops = shared.cfg.cluster.state.txn_ops.min(8);
-        let mut txn = Txn { conds: vec![self.leader_cond()], changes: Vec::new() };
+        let mut txn = CompareAndSwap { compares: vec![self.compare_term()], changes: Vec::new() };
         let mut items = Vec::new();
-        let mut written: Vec<(u32, Chunk)> = Vec::new();
+        let mut written: Vec<(u32, ProgressSegment)> = Vec::new();
         let open = |j: &LiveJob| !j.unrecorded.is_empty() && !j.recording && j.done.len() < j.spec.tasks;
         // Where a change carries the most first.
         let mut due: Vec<(usize, u32)> =
@@ -125,56 +128,57 @@
         for (_, ix) in due {
             let Some(j) = self.jobs.get_mut(&ix) else { continue };
             let parts = in_parts(shared, j.spec.tasks, self.fine);
-            let chunks: BTreeSet<Chunk> = j.unrecorded.iter().map(|t| Chunk::of(*t, parts)).collect();
-            if txn.changes.len() + chunks.len() > max_ops {
+            let segments: BTreeSet<ProgressSegment> =
+                j.unrecorded.iter().map(|t| ProgressSegment::of(*t, parts)).collect();
+            if txn.changes.len() + segments.len() > max_ops {
                 if !items.is_empty() {
                     break;
                 }
                 // One job alone passes the limit: take what fits.
-                let few: BTreeSet<Chunk> = chunks.iter().copied().take(max_ops).collect();
+                let few: BTreeSet<ProgressSegment> = segments.iter().copied().take(max_ops).collect();
                 let (now, later): (Vec<u32>, Vec<u32>) =
-                    j.unrecorded.iter().partition(|t| few.contains(&Chunk::of(**t, parts)));
+                    j.unrecorded.iter().partition(|t| few.contains(&ProgressSegment::of(**t, parts)));
                 j.unrecorded = later;
                 push_chunks(shared, ix, j, &few, &mut txn);
                 written.extend(few.iter().map(|c| (ix, *c)));
                 items.push((ix, now));
                 break;
             }
-            push_chunks(shared, ix, j, &chunks, &mut txn);
-            written.extend(chunks.iter().map(|c| (ix, *c)));
+            push_chunks(shared, ix, j, &segments, &mut txn);
+            written.extend(segments.iter().map(|c| (ix, *c)));
             items.push((ix, std::mem::take(&mut j.unrecorded)));
         }
         if items.is_empty() {
-            return self.empty_trash(shared);
+            return self.delete_obsolete_progress(shared);
         }
         let cost =
             txn.changes.len() as f64 * 1000.0 / (shared.cfg.cluster.state.write_rps * RECORD_SHARE);
         self.record_at = now + RECORD_GAP_MS.max(cost as Ms);
-        let call = LeaderCall::Record { items, chunks: written };
-        shared.state_call(Purpose::Leader(call), StateOp::Txn(txn));
+        let call = LeaderCall::Record { items, segments: written };
+        shared.send_store_request(StoreCallOwner::Leader(call), StoreRequest::CompareAndSwap(txn));
     }
 
     pub(super) fn on_recorded(
         &mut self,
         shared: &mut Shared,
         items: Vec<(u32, Vec<u32>)>,
-        chunks: Vec<(u32, Chunk)>,
-        result: StateResult,
+        segments: Vec<(u32, ProgressSegment)>,
+        result: StoreResponse,
     ) {
         let version = match result {
-            StateResult::Done { revision } => Some(revision),
+            StoreResponse::Committed { revision } => Some(revision),
             _ => None,
         };
-        let not_done = matches!(result, StateResult::NotExecuted | StateResult::Bad);
-        for (ix, chunk) in chunks {
+        let not_done = matches!(result, StoreResponse::NotExecuted | StoreResponse::Malformed);
+        for (ix, segment) in segments {
             if let Some(j) = self.jobs.get_mut(&ix).filter(|_| !not_done) {
-                j.chunks.insert(chunk, version);
+                j.segments.insert(segment, version);
             }
         }
         for (ix, tasks) in items {
             let Some(j) = self.jobs.get_mut(&ix) else { continue };
             // What is in doubt is read back before anything is written on it.
-            j.recording = j.chunks.values().any(Option::is_none);
+            j.recording = j.segments.values().any(Option::is_none);
             if version.is_none() {
                 j.unrecorded.extend(&tasks);
                 continue;
@@ -187,7 +191,7 @@
         if version.is_none() {
             self.record_at = self.record_at.max(shared.now + shared.retry_ms(250));
         }
-        if matches!(result, StateResult::Bad) {
+        if matches!(result, StoreResponse::Malformed) {
             // In parts it fits; a no for anything else is not asked for at every
             // turn.
             self.fine = true;
@@ -197,20 +201,23 @@
 
     /// Reads back the records whose last write had no answer.
     fn reread(&mut self, shared: &mut Shared) {
-        let doubt = |j: &LiveJob| j.chunks.iter().find(|(_, v)| v.is_none()).map(|(c, _)| *c);
-        let due: Vec<(u32, Chunk)> = self
+        let doubt = |j: &LiveJob| j.segments.iter().find(|(_, v)| v.is_none()).map(|(c, _)| *c);
+        let due: Vec<(u32, ProgressSegment)> = self
             .jobs
             .iter()
             .filter(|(_, j)| j.recording && !j.rereading)
             .filter_map(|(ix, j)| Some((*ix, doubt(j)?)))
             .take(MOST_REREADS)
             .collect();
-        for (job, chunk) in due {
+        for (job, segment) in due {
             if let Some(j) = self.jobs.get_mut(&job) {
                 j.rereading = true;
             }
-            let key = chunk.key(shared.jobs.id(job));
-            shared.state_call(Purpose::Leader(LeaderCall::Reread { job, chunk }), StateOp::Get(key));
+            let key = segment.key(shared.jobs.id(job));
+            shared.send_store_request(
+                StoreCallOwner::Leader(LeaderCall::Reread { job, segment }),
+                StoreRequest::Get(key),
+            );
         }
     }
 
@@ -218,24 +225,24 @@
         &mut self,
         shared: &mut Shared,
         job: u32,
-        chunk: Chunk,
-        result: StateResult,
+        segment: ProgressSegment,
+        result: StoreResponse,
     ) {
         let Some(j) = self.jobs.get_mut(&job) else { return };
         j.rereading = false;
         match result {
-            StateResult::Item(i) => {
+            StoreResponse::KeyValue(i) => {
                 let bits = i.value.decode::<String>().unwrap_or_default();
-                j.read_chunk(chunk, &bits, i.version);
+                j.read_chunk(segment, &bits, i.version);
                 let recorded = &j.recorded;
                 j.unrecorded.retain(|t| !recorded.contains(*t));
             }
-            StateResult::Missing => {
-                j.chunks.insert(chunk, Some(0));
+            StoreResponse::NotFound => {
+                j.segments.insert(segment, Some(0));
             }
             _ => self.record_at = self.record_at.max(shared.now + shared.retry_ms(250)),
         }
-        j.recording = j.chunks.values().any(Option::is_none);
+        j.recording = j.segments.values().any(Option::is_none);
         self.release_done(job);
     }
 
@@ -245,20 +252,22 @@
         let key = job_key(&id);
         let origin = shared.job(ix).origin().cloned();
         let rec = JobRecord::done(j.spec.tasks, shared.wall).with_origin(origin);
-        let mut changes = vec![Change::Put { key: key.clone(), value: Encoded::new(&rec), lease: None }];
+        let mut changes =
+            vec![Mutation::Put { key: key.clone(), value: Encoded::new(&rec), lease: None }];
         // What does not go along here goes later.
-        let dropped: Vec<Chunk> =
-            j.chunks.keys().copied().take(shared.cfg.cluster.state.txn_ops - 1).collect();
-        changes.extend(dropped.iter().map(|c| Change::Delete { key: c.key(&id) }));
+        let dropped: Vec<ProgressSegment> =
+            j.segments.keys().copied().take(shared.cfg.cluster.state.txn_ops - 1).collect();
+        changes.extend(dropped.iter().map(|c| Mutation::Delete { key: c.key(&id) }));
         let version = shared.job(ix).version;
-        let txn = Txn { conds: vec![self.leader_cond(), Cond { key, version }], changes };
+        let txn =
+            CompareAndSwap { compares: vec![self.compare_term(), Compare { key, version }], changes };
         let call = LeaderCall::Finish { job: ix, done_ms: shared.wall, dropped };
-        shared.state_call(Purpose::Leader(call), StateOp::Txn(txn));
+        shared.send_store_request(StoreCallOwner::Leader(call), StoreRequest::CompareAndSwap(txn));
     }
 
     /// Removes records of jobs that are final, when nothing else is to write.
-    fn empty_trash(&mut self, shared: &mut Shared) {
-        let t = &mut self.trash;
+    fn delete_obsolete_progress(&mut self, shared: &mut Shared) {
+        let t = &mut self.deletions;
         if t.busy || t.keys.is_empty() || shared.now < t.retry_at {
             return;
         }
@@ -268,17 +277,25 @@
         }
         t.busy = true;
         let keys: Vec<String> = t.keys.drain(..n).collect();
-        let changes = keys.iter().map(|k| Change::Delete { key: k.clone() }).collect();
-        let txn = Txn { conds: vec![self.leader_cond()], changes };
+        let changes = keys.iter().map(|k| Mutation::Delete { key: k.clone() }).collect();
+        let txn = CompareAndSwap { compares: vec![self.compare_term()], changes };
         self.record_at = shared.now + RECORD_GAP_MS;
-        shared.state_call(Purpose::Leader(LeaderCall::Forget { keys }), StateOp::Txn(txn));
+        shared.send_store_request(
+            StoreCallOwner::Leader(LeaderCall::Forget { keys }),
+            StoreRequest::CompareAndSwap(txn),
+        );
     }
 
-    pub(super) fn on_forgotten(&mut self, shared: &mut Shared, keys: Vec<String>, result: StateResult) {
-        self.trash.busy = false;
-        if matches!(result, StateResult::NotExecuted | StateResult::Unknown) {
-            self.trash.keys.extend(keys);
-            self.trash.retry_at = shared.now + shared.jitter(500);
+    pub(super) fn on_forgotten(
+        &mut self,
+        shared: &mut Shared,
+        keys: Vec<String>,
+        result: StoreResponse,
+    ) {
+        self.deletions.busy = false;
+        if matches!(result, StoreResponse::NotExecuted | StoreResponse::OutcomeUnknown) {
+            self.deletions.keys.extend(keys);
+            self.deletions.retry_at = shared.now + shared.jitter(500);
         }
     }
 
@@ -289,7 +306,7 @@
             let Some(a) = self.attempts.get_mut(id) else { continue };
             if a.want && a.state == ReportedPhase::Done && j.recorded.contains(a.task) {
                 a.want = false;
-                self.blocks[a.block as usize].dirty = true;
+                self.shards[a.shard as usize].dirty = true;
             }
         }
     }
@@ -298,21 +315,27 @@
 /// Whether a job's progress has to be recorded in parts: a whole chunk may pass
 /// the limit, today's or the next once that one is in force.
 fn in_parts(shared: &Shared, tasks: u32, fine: bool) -> bool {
-    let text = tasks.min(CHUNK).div_ceil(4) as usize + 2;
+    let text = tasks.min(SEGMENT_TASKS).div_ceil(4) as usize + 2;
     let state = &shared.cfg.cluster.state;
     text > state.value_bytes() && (fine || text as f64 > state.today_kb * 1024.0)
 }
 
-fn push_chunks(shared: &Shared, ix: u32, j: &mut LiveJob, chunks: &BTreeSet<Chunk>, txn: &mut Txn) {
+fn push_chunks(
+    shared: &Shared,
+    ix: u32,
+    j: &mut LiveJob,
+    segments: &BTreeSet<ProgressSegment>,
+    txn: &mut CompareAndSwap,
+) {
     j.recording = true;
     let id = shared.jobs.id(ix);
-    for c in chunks {
+    for c in segments {
         let from = c.first_word();
         // Under its own version: carried out late, after a newer one, it would
         // take bits back whose tasks have long been cleared from the machines.
-        let version = *j.chunks.entry(*c).or_insert(Some(0));
-        txn.conds.push(Cond { key: c.key(id), version: version.unwrap_or(0) });
-        txn.changes.push(Change::Put {
+        let version = *j.segments.entry(*c).or_insert(Some(0));
+        txn.compares.push(Compare { key: c.key(id), version: version.unwrap_or(0) });
+        txn.changes.push(Mutation::Put {
             key: c.key(id),
             value: Encoded::new(&j.done.to_hex(from, from + c.words())),
             lease: None,
--- a/src/core/leader/quota.rs
+++ b/src/core/leader/quota.rs
@@ -2,13 +2,13 @@
 
 use super::Leader;
 use crate::config::Team;
-use crate::core::common::model::Res;
+use crate::core::common::model::Resources;
 use crate::core::common::shared::Shared;
 
 impl Leader {
     /// Use per team by everything that may be on a machine.
-    pub fn team_use(&self, shared: &Shared) -> Vec<Res> {
-        let mut used = vec![Res::default(); shared.cfg.cluster.teams.len()];
+    pub fn team_use(&self, shared: &Shared) -> Vec<Resources> {
+        let mut used = vec![Resources::default(); shared.cfg.cluster.teams.len()];
         for a in self.attempts.values().filter(|a| a.counts()) {
             if let Some(u) = a.team.and_then(|t| used.get_mut(t)) {
                 u.add(&a.need);
@@ -19,7 +19,8 @@
 }
 
 /// How many more tasks the team's limit allows. A limit of 0 means none.
-pub fn quota_tasks(team: &Team, used: &Res, need: &Res) -> u32 {
-    let limit = Res { cpus: team.cpus_max - used.cpus, gpus: team.gpus_max - used.gpus, mem: f64::MAX };
-    need.times_in(&limit)
+pub fn quota_tasks(team: &Team, used: &Resources, need: &Resources) -> u32 {
+    let limit =
+        Resources { cpus: team.cpus_max - used.cpus, gpus: team.gpus_max - used.gpus, mem: f64::MAX };
+    need.count_fitting(&limit)
 }
--- a/src/core/leader/rebuild.rs
+++ b/src/core/leader/rebuild.rs
@@ -1,15 +1,15 @@
 //! What a new leader starts from: the records, and what they say of jobs, of
 //! attempts and of the fleet.
 
-use super::attempts::LeaderAttempt;
-use super::progress::Chunk;
+use super::attempts::AttemptView;
+use super::progress::ProgressSegment;
 use super::{FleetRecord, Leader, LeaderCall, Loading};
-use crate::core::common::model::Res;
+use crate::core::common::model::Resources;
 use crate::core::common::shared::Shared;
-use crate::core::{Purpose, StateOp, StateResult};
+use crate::core::{StoreCallOwner, StoreRequest, StoreResponse};
 use crate::wire::peer::ReportedPhase;
-use crate::wire::state::{PlacementRecord, RecordedMachine};
-use woadlever_recovery::ledger::{self, Standing};
+use crate::wire::store::{PlacementRecord, RecordedMachine};
+use woadlever_recovery::ledger::{self, AttemptDisposition};
 
 impl Leader {
     pub(super) fn load(&mut self, shared: &mut Shared) {
@@ -24,7 +24,10 @@
             match i {
                 0 => self.list(shared, LeaderCall::Places, "place/", None),
                 1 => self.list(shared, LeaderCall::Progress, "progress/", None),
-                _ => shared.state_call(Purpose::Leader(LeaderCall::Fleet), StateOp::Get("fleet".into())),
+                _ => shared.send_store_request(
+                    StoreCallOwner::Leader(LeaderCall::Fleet),
+                    StoreRequest::Get("fleet".into()),
+                ),
             }
         }
         if self.loading.iter().all(|l| *l == Loading::Done) {
@@ -35,7 +38,7 @@
             }
             // What is left belongs to final jobs that are not in memory.
             for id in self.progress.keys() {
-                shared.job_slot(id);
+                shared.job_index_or_lookup(id);
             }
             shared.jobs_changed.clear();
             self.settle_inherited();
@@ -57,7 +60,10 @@
         since: Option<String>,
     ) {
         let prefix = prefix.to_string();
-        shared.state_call(Purpose::Leader(call), StateOp::List { prefix, since, most: 1000 });
+        shared.send_store_request(
+            StoreCallOwner::Leader(call),
+            StoreRequest::List { prefix, since, most: 1000 },
+        );
     }
 
     /// What the records list is taken over, unless it is done.
@@ -66,7 +72,7 @@
         for a in self.attempts.values_mut() {
             let job = self.jobs.get_mut(&a.job).filter(|job| !job.is_away());
             let is_done = job.as_ref().is_some_and(|job| job.done.contains(a.task));
-            a.want = ledger::from_record(job.is_some(), is_done) == Standing::Keep;
+            a.want = ledger::from_record(job.is_some(), is_done) == AttemptDisposition::Keep;
             if let Some(job) = job {
                 job.issued.insert(a.task);
             }
@@ -79,14 +85,14 @@
         key: &str,
         rec: PlacementRecord,
     ) {
-        let Some(block) = key.split('/').nth(1) else { return };
-        let Some(b) = shared.blocks.iter().position(|b| b.name == block) else { return };
-        let zone = shared.blocks[b].zone.clone();
+        let Some(shard) = key.split('/').nth(1) else { return };
+        let Some(b) = shared.shards.iter().position(|b| b.name == shard) else { return };
+        let zone = shared.shards[b].zone.clone();
         for m in &rec.machines {
             let type_name = rec.types.get(m.1 as usize).map_or("", String::as_str);
             let ix = self.fleet.put_known(shared, &m.0, type_name, &zone, m.is(RecordedMachine::SPOT));
             if let Some(known) = self.fleet.machines.get_mut(ix) {
-                known.isolated |= m.is(RecordedMachine::ISOLATED);
+                known.cordoned |= m.is(RecordedMachine::CORDONED);
                 known.confirmed = true;
                 known.recorded |= !m.3.is_empty();
             }
@@ -94,18 +100,18 @@
                 let Some(j) = rec.jobs.get(job) else { continue };
                 // A job not in memory is final, but its tasks still use their machines
                 // and their team's share until they are proven gone.
-                let job = shared.job_slot(&j.0);
+                let job = shared.job_index_or_lookup(&j.0);
                 self.attempts.insert(
                     id,
-                    LeaderAttempt {
+                    AttemptView {
                         job,
                         task,
-                        block: b as u32,
+                        shard: b as u32,
                         machine: Some(ix),
                         bind: false,
                         want: true,
                         state: ReportedPhase::Bound,
-                        need: Res { cpus: j.2, gpus: j.3, mem: j.4 },
+                        need: Resources { cpus: j.2, gpus: j.3, mem: j.4 },
                         team: shared.cfg.cluster.teams.iter().position(|t| t.name == j.1),
                         ran_ms: 0,
                         named_in: None,
@@ -115,9 +121,9 @@
         }
     }
 
-    pub(super) fn on_load(&mut self, shared: &mut Shared, i: usize, result: StateResult) {
+    pub(super) fn on_load(&mut self, shared: &mut Shared, i: usize, result: StoreResponse) {
         match result {
-            StateResult::Page(p) => {
+            StoreResponse::Page(p) => {
                 let last = p.items.last().map(|i| i.key.clone());
                 for item in p.items {
                     if i == 0 {
@@ -126,12 +132,12 @@
                             Err(e) => tracing::error!(key = item.key, %e, "unreadable record"),
                         }
                     } else {
-                        let Some((id, chunk)) = Chunk::of_key(&item.key) else { continue };
+                        let Some((id, segment)) = ProgressSegment::of_key(&item.key) else { continue };
                         let Ok(bits) = item.value.decode::<String>() else { continue };
                         // Only ever written once the smaller limits were met.
-                        self.fine |= chunk.is_fine();
+                        self.fine |= segment.is_fine();
                         let list = self.progress.entry(id.to_string()).or_default();
-                        list.push((chunk, bits, item.version));
+                        list.push((segment, bits, item.version));
                     }
                 }
                 if p.more && last.is_some() {
@@ -144,13 +150,13 @@
                 }
                 self.loading[i] = Loading::Done;
             }
-            StateResult::Item(item) if i == 2 => {
+            StoreResponse::KeyValue(item) if i == 2 => {
                 let rec: FleetRecord = item.value.decode().unwrap_or_default();
                 self.ratios = rec.ratios;
                 self.fleet.resume(shared, rec.at_ms, rec.history);
                 self.loading[2] = Loading::Done;
             }
-            StateResult::Missing if i == 2 => {
+            StoreResponse::NotFound if i == 2 => {
                 // No window has ever begun: there is no fleet to wait for.
                 self.fleet.first(shared);
                 self.loading[2] = Loading::Done;
