--- a/src/core/leader/reconciliation.rs
+++ b/src/core/leader/reconciliation.rs
@@ -2,16 +2,16 @@
 //! wants there, sent out.
 
 use super::Leader;
-use super::attempts::LeaderAttempt;
-use super::live_jobs::CellStanding;
-use crate::core::common::model::{Ms, Res};
+use super::attempts::AttemptView;
+use super::live_jobs::JobLocation;
+use crate::core::common::model::{Ms, Resources};
 use crate::core::common::shared::Shared;
 use crate::wire::peer::{
-    Body, DesiredJob, DesiredState, ReportedJob, ReportedPhase, ReportedState, ReportedTask,
+    DesiredJob, DesiredState, PeerMessage, ReportedJob, ReportedPhase, ReportedState, ReportedTask,
 };
 use rustc_hash::{FxHashMap, FxHashSet};
 use std::collections::BTreeMap;
-use woadlever_recovery::ledger::{self, Standing};
+use woadlever_recovery::ledger::{self, AttemptDisposition};
 
 const DESIRED_GAP_MS: Ms = 30;
 const DESIRED_EVERY_MS: Ms = 500;
@@ -23,55 +23,55 @@
 pub(super) struct TaskOf {
     job: u32,
     team: Option<usize>,
-    need: Res,
+    need: Resources,
 }
 
 impl TaskOf {
     pub(super) fn new(shared: &mut Shared, j: &ReportedJob) -> TaskOf {
         TaskOf {
-            job: shared.job_slot(&j.job),
+            job: shared.job_index_or_lookup(&j.job),
             team: shared.cfg.cluster.teams.iter().position(|t| t.name == j.team),
-            need: Res { cpus: j.cpus, gpus: j.gpus, mem: j.memory_gb },
+            need: Resources { cpus: j.cpus, gpus: j.gpus, mem: j.memory_gb },
         }
     }
 }
 
 impl Leader {
     pub fn on_reported_state(&mut self, shared: &mut Shared, from: &str, h: ReportedState) {
-        let Some(b) = self.blocks.get(h.block as usize) else { return };
-        let holder = shared.block_recs[h.block as usize].as_ref();
+        let Some(b) = self.shards.get(h.shard as usize) else { return };
+        let shard_owner = shared.shard_records[h.shard as usize].as_ref();
         if !self.active
             || h.term != self.term
-            || h.grant != b.grant
-            || holder.is_none_or(|(r, _)| r.node != from)
+            || h.fencing_token != b.fencing_token
+            || shard_owner.is_none_or(|(r, _)| r.node != from)
         {
             return;
         }
         if !b.shown {
-            self.blocks[h.block as usize].shown = true;
+            self.shards[h.shard as usize].shown = true;
             self.cycle_due = true;
         }
         let mut listed: FxHashSet<u64> = FxHashSet::default();
-        let zone = shared.blocks[h.block as usize].zone.clone();
+        let zone = shared.shards[h.shard as usize].zone.clone();
         let jobs: Vec<TaskOf> = h.jobs.iter().map(|j| TaskOf::new(shared, j)).collect();
         for m in &h.machines {
             let type_name = h.types.get(m.machine_type as usize).map_or("", String::as_str);
             let ix = self.fleet.heard(shared, m, type_name, &zone);
             if let Some(m) = self.fleet.machines.get(ix)
-                && m.block != h.block
+                && m.shard != h.shard
             {
                 continue;
             }
             for t in &m.tasks {
                 let Some(of) = jobs.get(t.job as usize) else { continue };
                 listed.insert(t.attempt);
-                self.take_task(shared, h.block, ix, of, t);
+                self.take_task(shared, h.shard, ix, of, t);
             }
         }
         let gone: Vec<u64> = self
             .attempts
             .iter()
-            .filter(|(_, a)| a.block == h.block)
+            .filter(|(_, a)| a.shard == h.shard)
             .filter(|(id, a)| ledger::is_gone(listed.contains(id), a.named_in, h.echo))
             .map(|(id, _)| id)
             .collect();
@@ -85,7 +85,7 @@
     pub(super) fn take_task(
         &mut self,
         shared: &mut Shared,
-        block: u32,
+        shard: u32,
         machine: u32,
         of: &TaskOf,
         t: &ReportedTask,
@@ -97,18 +97,18 @@
             let has_attempt = self.attempts.has_task(job, t.task);
             let known = self.jobs.get(&job).filter(|known| !known.is_away());
             let is_done = known.is_some_and(|j| j.done.contains(t.task));
-            let standing = ledger::from_holder(known.is_some(), is_done, has_attempt);
-            let want = standing == Standing::Keep;
+            let standing = ledger::from_shard_owner(known.is_some(), is_done, has_attempt);
+            let want = standing == AttemptDisposition::Keep;
             if want && let Some(j) = self.jobs.get_mut(&job) {
                 j.issued.insert(t.task);
                 j.retry.retain(|x| *x != t.task);
             }
             self.attempts.insert(
                 t.attempt,
-                LeaderAttempt {
+                AttemptView {
                     job,
                     task: t.task,
-                    block,
+                    shard,
                     machine: Some(machine),
                     bind: false,
                     want,
@@ -119,7 +119,7 @@
                     named_in: None,
                 },
             );
-            self.blocks[block as usize].dirty = true;
+            self.shards[shard as usize].dirty = true;
         }
         let Some(a) = self.attempts.get_mut(t.attempt) else { return };
         if a.machine != Some(machine) || a.bind {
@@ -149,12 +149,12 @@
                     }
                 } else if j.recorded.contains(t.task) {
                     a.want = false;
-                    self.blocks[block as usize].dirty = true;
+                    self.shards[shard as usize].dirty = true;
                 }
             }
             ReportedPhase::Failed => {
                 a.want = false;
-                self.blocks[block as usize].dirty = true;
+                self.shards[shard as usize].dirty = true;
                 if let Some(j) = self.jobs.get_mut(&job) {
                     j.fails += 1;
                     j.failed_on.insert(machine);
@@ -170,7 +170,7 @@
             }
             ReportedPhase::Stopped | ReportedPhase::Refused => {
                 a.want = false;
-                self.blocks[block as usize].dirty = true;
+                self.shards[shard as usize].dirty = true;
             }
             _ => {}
         }
@@ -179,10 +179,10 @@
     pub(super) fn send_desired_states(&mut self, shared: &mut Shared) {
         let now = shared.now;
         let mut due: Vec<u32> = Vec::new();
-        for (b, lb) in self.blocks.iter_mut().enumerate() {
-            let gap = shared.widened(DESIRED_GAP_MS, lb.size);
+        for (b, lb) in self.shards.iter_mut().enumerate() {
+            let gap = shared.load_adjusted_gap(DESIRED_GAP_MS, lb.size);
             let at = lb.sent_at + if lb.dirty { gap } else { DESIRED_EVERY_MS.max(gap) };
-            if (now >= at || lb.sent_at == 0) && shared.block_recs[b].is_some() {
+            if (now >= at || lb.sent_at == 0) && shared.shard_records[b].is_some() {
                 lb.dirty = false;
                 lb.sent_at = now;
                 lb.serial += 1;
@@ -193,10 +193,10 @@
         if due.is_empty() {
             return;
         }
-        let mut jobs: Vec<DesiredJobs> = vec![BTreeMap::new(); self.blocks.len()];
-        for (id, a) in self.attempts.iter_mut().filter(|(_, a)| due.contains(&a.block)) {
-            let b = a.block as usize;
-            a.named_in.get_or_insert(self.blocks[b].serial);
+        let mut jobs: Vec<DesiredJobs> = vec![BTreeMap::new(); self.shards.len()];
+        for (id, a) in self.attempts.iter_mut().filter(|(_, a)| due.contains(&a.shard)) {
+            let b = a.shard as usize;
+            a.named_in.get_or_insert(self.shards[b].serial);
             if a.want {
                 jobs[b].entry(a.job).or_default().push((a.task, id, a.bind));
             }
@@ -204,14 +204,14 @@
         let mut wishes = self.fleet.wishes(shared);
         for b in due.into_iter().map(|b| b as usize) {
             let wishes = std::mem::take(&mut wishes[b]);
-            let Some((rec, grant)) = shared.block_recs[b].clone() else { continue };
-            let serial = self.blocks[b].serial;
+            let Some((rec, fencing_token)) = shared.shard_records[b].clone() else { continue };
+            let serial = self.shards[b].serial;
             let jobs = std::mem::take(&mut jobs[b]);
-            self.blocks[b].size = jobs.values().map(Vec::len).sum();
+            self.shards[b].size = jobs.values().map(Vec::len).sum();
             let want = DesiredState {
                 term: self.term,
-                block: b as u32,
-                grant,
+                shard: b as u32,
+                fencing_token,
                 serial,
                 jobs: jobs
                     .into_iter()
@@ -221,7 +221,7 @@
                         tasks,
                     })
                     .collect(),
-                waiting: self.blocks[b]
+                waiting: self.shards[b]
                     .waiting
                     .iter()
                     .map(|(j, n)| crate::wire::peer::WaitingTasks {
@@ -229,12 +229,12 @@
                         count: *n,
                     })
                     .collect(),
-                isolated: wishes.isolated,
-                retire: wishes.retire,
-                gone: self.blocks[b].gone.iter().map(|(n, _)| n.clone()).collect(),
+                cordoned: wishes.cordoned,
+                decommission: wishes.decommission,
+                gone: self.shards[b].gone.iter().map(|(n, _)| n.clone()).collect(),
                 quarantined: wishes.quarantined,
             };
-            shared.send(&rec.node, Body::DesiredState(want));
+            shared.send(&rec.node, PeerMessage::DesiredState(want));
         }
     }
 
@@ -247,12 +247,12 @@
         for a in self.attempts.values().filter(|a| a.state == ReportedPhase::Running) {
             *running.entry(a.job).or_default() += 1;
         }
-        shared.counts_out = self
+        shared.task_counts_to_announce = self
             .jobs
             .iter()
             .map(|(ix, j)| {
                 let here = running.get(ix).copied().unwrap_or(0);
-                let n = if let CellStanding::Away { running } = j.standing { running } else { here };
+                let n = if let JobLocation::Away { running } = j.standing { running } else { here };
                 (shared.jobs.id(*ix).to_string(), j.done.len(), n)
             })
             .filter(|(_, d, r)| *d > 0 || *r > 0)
--- a/src/core/leader/rooms.rs
+++ b/src/core/leader/rooms.rs
@@ -2,7 +2,7 @@
 
 use super::Leader;
 use super::zones::Zones;
-use crate::core::common::model::{Res, Spec};
+use crate::core::common::model::{Resources, Spec};
 use crate::core::common::shared::Shared;
 use crate::core::common::window::{allowed, fit_score};
 use rustc_hash::FxHashMap;
@@ -13,19 +13,19 @@
     pub kind: usize,
     pub zone: String,
     pub spot: bool,
-    pub total: Res,
+    pub total: Resources,
     rooms: Vec<usize>,
     /// No room of this class has more free than this.
-    most: Res,
+    most: Resources,
 }
 
 /// Free room of one machine, as far as the leader knows.
 #[derive(Debug, Clone)]
 pub struct Room {
     pub machine: u32,
-    pub block: u32,
+    pub shard: u32,
     pub class: usize,
-    pub free: Res,
+    pub free: Resources,
 }
 
 /// All rooms by class, so that a job looks at what it may use and nothing
@@ -38,10 +38,10 @@
 
 impl Rooms {
     /// The class of machines of a type, zone and kind.
-    pub fn class_of(&mut self, kind: usize, zone: &str, spot: bool, total: Res) -> usize {
+    pub fn class_of(&mut self, kind: usize, zone: &str, spot: bool, total: Resources) -> usize {
         let found = self.classes.iter().position(|c| c.kind == kind && c.spot == spot && c.zone == zone);
         found.unwrap_or_else(|| {
-            let most = Res::default();
+            let most = Resources::default();
             let zone = zone.to_string();
             self.classes.push(Class { kind, zone, spot, total, rooms: Vec::new(), most });
             self.classes.len() - 1
@@ -49,32 +49,39 @@
     }
 
     /// Adds a room (machine, block, free) to its class.
-    pub fn push_to(&mut self, class: usize, room: (u32, u32, Res)) {
-        let (machine, block, free) = room;
+    pub fn push_to(&mut self, class: usize, room: (u32, u32, Resources)) {
+        let (machine, shard, free) = room;
         let c = &mut self.classes[class];
         c.rooms.push(self.list.len());
         c.most = c.most.max(&free);
-        self.list.push(Room { machine, block, class, free });
+        self.list.push(Room { machine, shard, class, free });
     }
 
     /// Adds a room (machine, block, free).
-    pub fn push(&mut self, kind: usize, zone: &str, spot: bool, total: Res, room: (u32, u32, Res)) {
+    pub fn push(
+        &mut self,
+        kind: usize,
+        zone: &str,
+        spot: bool,
+        total: Resources,
+        room: (u32, u32, Resources),
+    ) {
         let class = self.class_of(kind, zone, spot, total);
         self.push_to(class, room);
     }
 
     /// Rooms with place for one task, of the classes that will do.
-    pub fn with_place(&mut self, need: &Res, will_do: impl Fn(&Class) -> bool) -> Vec<usize> {
+    pub fn with_place(&mut self, need: &Resources, will_do: impl Fn(&Class) -> bool) -> Vec<usize> {
         let mut out = Vec::new();
         for c in &mut self.classes {
-            if !need.fits(&c.most) || !will_do(c) {
+            if !need.fits_within(&c.most) || !will_do(c) {
                 continue;
             }
-            c.most = Res::default();
+            c.most = Resources::default();
             for &i in &c.rooms {
                 let free = &self.list[i].free;
                 c.most = c.most.max(free);
-                if need.fits(free) {
+                if need.fits_within(free) {
                     out.push(i);
                 }
             }
@@ -90,13 +97,13 @@
 /// Whether a job may use machines of this class.
 pub fn may_use(shared: &Shared, spec: &Spec, c: &Class) -> bool {
     shared.types.get(c.kind).is_some_and(|t| allowed(spec, &t.name, &c.zone, c.spot))
-        && spec.need().fits(&c.total)
+        && spec.need().fits_within(&c.total)
 }
 
 impl Leader {
     /// Machines that may get tasks now, with what is free on them.
     pub fn rooms(&self, shared: &Shared) -> Rooms {
-        let mut used: FxHashMap<u32, Res> = FxHashMap::default();
+        let mut used: FxHashMap<u32, Resources> = FxHashMap::default();
         for a in self.attempts.values().filter(|a| a.counts()) {
             if let Some(m) = a.machine {
                 used.entry(m).or_default().add(&a.need);
@@ -104,7 +111,7 @@
         }
         let mut out = Rooms::default();
         for (ix, m) in self.fleet.machines.iter() {
-            let Some(b) = self.blocks.get(m.block as usize) else { continue };
+            let Some(b) = self.shards.get(m.shard as usize) else { continue };
             if !b.shown || !m.takes_tasks(shared) {
                 continue;
             }
@@ -113,7 +120,7 @@
             if let Some(u) = used.get(&ix) {
                 free.sub(u);
             }
-            out.push(m.kind, &m.zone, m.spot, t.room, (ix, m.block, free));
+            out.push(m.kind, &m.zone, m.spot, t.room, (ix, m.shard, free));
         }
         out
     }
@@ -126,13 +133,13 @@
         rooms.classes.iter().map(|c| may_use(shared, spec, c) && zones.allows(&c.zone)).collect();
     let free = |r: &Room| {
         let total = rooms.classes[r.class].total;
-        1.0 - r.free.share_of(&total)
+        1.0 - r.free.dominant_share(&total)
     };
     let best = (0..rooms.list.len())
         .filter(|i| will_do[rooms.list[*i].class])
         .min_by(|a, b| free(&rooms.list[*a]).total_cmp(&free(&rooms.list[*b])));
     let Some(r) = best.map(|i| &mut rooms.list[i]) else { return };
-    r.free = Res::default();
+    r.free = Resources::default();
 }
 
 /// Rooms for the job's tasks, best fit first.
@@ -148,7 +155,7 @@
             let c = rooms.class(i);
             let wastes = spec.spot && !c.spot;
             let score = fit_score(&need, &rooms.list[i].free, &c.total, wastes, true);
-            let score = score + shared.scarcity(c.kind);
+            let score = score + shared.scarcity_penalty(c.kind);
             (score, i)
         })
         .collect();
--- a/src/core/leader/grants.rs
+++ b/src/core/leader/scheduling_cycle.rs
@@ -54,7 +54,7 @@
                 let Some(&i) = places.peek() else { break };
                 let zone = &rooms.classes[rooms.list[i].class].zone;
                 let r = &mut rooms.list[i];
-                if !need.fits(&r.free) || !zones.allows(zone) {
+                if !need.fits_within(&r.free) || !zones.allows(zone) {
                     places.next();
                     continue;
                 }
@@ -63,9 +63,9 @@
                 }
                 r.free.sub(&need);
                 zones.add(zone);
-                let (machine, block) = (r.machine, r.block);
+                let (machine, shard) = (r.machine, r.shard);
                 used[team_ix].add(&need);
-                self.new_attempt(ix, task, machine, block);
+                self.new_attempt(ix, task, machine, shard);
                 quota -= 1;
                 granted += 1;
             }
@@ -131,18 +131,18 @@
     /// Names the tasks that fit no free room to the blocks whose machines
     /// could take them, so that the holders count them in their projection.
     fn spread_waiting(&mut self, shared: &Shared, rooms: &Rooms, left: &[(u32, u32)]) {
-        let mut lists: Vec<Vec<(u32, u32)>> = vec![Vec::new(); self.blocks.len()];
+        let mut lists: Vec<Vec<(u32, u32)>> = vec![Vec::new(); self.shards.len()];
         let mut counts: BTreeMap<(usize, u32), u32> = BTreeMap::new();
         for r in &rooms.list {
-            *counts.entry((r.class, r.block)).or_default() += 1;
+            *counts.entry((r.class, r.shard)).or_default() += 1;
         }
         for &(ix, n) in left {
             let Some(j) = self.jobs.get(&ix) else { continue };
             let will_do: Vec<bool> = rooms.classes.iter().map(|c| may_use(shared, &j.spec, c)).collect();
-            let mut able = vec![0u32; self.blocks.len()];
-            for ((class, block), n) in &counts {
+            let mut able = vec![0u32; self.shards.len()];
+            for ((class, shard), n) in &counts {
                 if will_do[*class] {
-                    able[*block as usize] += n;
+                    able[*shard as usize] += n;
                 }
             }
             let sum: u32 = able.iter().sum();
@@ -160,8 +160,8 @@
             }
         }
         for (b, list) in lists.into_iter().enumerate() {
-            if self.blocks[b].waiting != list {
-                self.blocks[b].waiting = list;
+            if self.shards[b].waiting != list {
+                self.shards[b].waiting = list;
                 // Not pressing: goes along with the next state message.
             }
         }
--- a/src/core/leader/zones.rs
+++ b/src/core/leader/zones.rs
@@ -24,7 +24,7 @@
             // By block, which lies in one zone: the machine itself may be unknown
             // to a leader that has just begun.
             for a in l.attempts.values().filter(|a| a.job == ix && a.state != ReportedPhase::Done) {
-                if let Some(b) = shared.blocks.get(a.block as usize) {
+                if let Some(b) = shared.shards.get(a.shard as usize) {
                     z.add(&b.zone);
                 }
             }
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -6,247 +6,31 @@
 //! plays the same way every time.
 
 pub mod common;
-mod holder;
 mod leader;
+mod messages;
+mod shard_owner;
 mod user_api;
 
 pub use leader::{forecast, progress};
+pub use messages::{
+    Answer, CloudRequest, CloudResponse, HttpRequest, Input, Output, StoreRequest, StoreResponse,
+};
 
 use crate::config::{Operator, Platform};
-use crate::wire::cloud::{Catalog, MachinePage, RentAnswer, RentRequest, ReturnRequest};
-use crate::wire::peer::{Body, Frame};
-use crate::wire::state::{Item, Page, Txn, WatchAnswer};
-use crate::wire::workers::{DirectCommands, Report};
+use crate::wire::peer::{Frame, PeerMessage};
 use common::model::Ms;
 use common::shared::Shared;
-use common::{lookups, sync, term};
+use common::{election, lookups, watch_cache};
 use std::sync::Arc;
-use woadlever_cells::message::CellMessage;
-
-/// What happens to the core.
-#[derive(Debug)]
-pub enum Input {
-    /// Time has passed.
-    Tick,
-    /// A request has arrived.
-    Http {
-        /// Number of the request, for its answer.
-        req: u64,
-        /// What is asked.
-        call: HttpCall,
-    },
-    /// A call to the state service has ended.
-    State {
-        /// Number of the call.
-        call: u64,
-        /// How it ended.
-        result: StateResult,
-    },
-    /// A call to the cloud has ended.
-    Cloud {
-        /// Number of the call.
-        call: u64,
-        /// How it ended.
-        result: CloudResult,
-    },
-    /// A frame of another node has arrived.
-    Frame(Frame),
-    /// A message of another cell has arrived.
-    Cell(Box<CellMessage>),
-}
-
-/// A request of a user, a worker or the load balancer.
-#[derive(Debug)]
-pub enum HttpCall {
-    /// A submission with its body.
-    Submit(Vec<u8>),
-    /// A question about the job with this id.
-    Status(String),
-    /// The cancellation of the job with this id.
-    Cancel(String),
-    /// A worker's report.
-    Checkin(Box<Report>),
-    /// Whether the node can take requests.
-    Ready,
-}
-
-/// What the core wants done.
-#[derive(Debug)]
-pub enum Output {
-    /// Answer a request.
-    Answer {
-        /// Number of the request.
-        req: u64,
-        /// The answer.
-        answer: Answer,
-    },
-    /// Call the state service.
-    State {
-        /// Number of the call, for its result.
-        call: u64,
-        /// What to ask for.
-        op: StateOp,
-    },
-    /// Call the cloud.
-    Cloud {
-        /// Number of the call, for its result.
-        call: u64,
-        /// What to ask for.
-        op: CloudOp,
-    },
-    /// Send a frame to another node.
-    Send {
-        /// Name of the node.
-        to: String,
-        /// The frame.
-        frame: Frame,
-    },
-    /// Straight to a worker's address. No answer is waited for: what it has done
-    /// shows in the next report.
-    Direct {
-        /// The worker's address.
-        addr: String,
-        /// What it is to do.
-        commands: DirectCommands,
-    },
-    /// Send a message to all controllers of another cell.
-    SendCell {
-        /// Name of the cell.
-        cell: String,
-        /// The message.
-        message: Box<CellMessage>,
-    },
-    /// The connection to this node may lead to a process that is no more.
-    Reconnect {
-        /// Name of the node.
-        to: String,
-    },
-}
-
-/// The answer to a request.
-#[derive(Debug, Clone, PartialEq)]
-pub struct Answer {
-    /// HTTP status.
-    pub status: u16,
-    /// JSON body.
-    pub body: String,
-    /// When to come back.
-    pub retry_after_s: Option<u32>,
-}
-
-/// A call to the state service.
-#[derive(Debug, Clone)]
-pub enum StateOp {
-    /// Read one record.
-    Get(String),
-    /// Read a page of records.
-    List {
-        /// What their keys begin with.
-        prefix: String,
-        /// Key after which the page begins.
-        since: Option<String>,
-        /// Records on the page.
-        most: u32,
-    },
-    /// Carry out a transaction.
-    Txn(Txn),
-    /// Open a lease.
-    Grant {
-        /// Its time to live.
-        ttl_ms: u64,
-    },
-    /// Renew a lease.
-    Renew(u64),
-    /// End a lease.
-    Release(u64),
-    /// Wait for changes.
-    Watch {
-        /// What the keys begin with.
-        prefix: String,
-        /// Revision after which changes are told.
-        since: u64,
-        /// How long to wait for one.
-        block_ms: u64,
-    },
-}
-
-/// How a call to the state service ended.
-#[derive(Debug, Clone)]
-pub enum StateResult {
-    /// The record.
-    Item(Item),
-    /// There is no such record.
-    Missing,
-    /// A page of records.
-    Page(Page),
-    /// Carried out.
-    Done {
-        /// Revision of the changes.
-        revision: u64,
-    },
-    /// Conditions on these keys did not hold.
-    Failed(Vec<String>),
-    /// The lease that was opened.
-    Lease(u64),
-    /// There is no such lease.
-    NoLease,
-    /// Changes since the revision asked for.
-    Watch(WatchAnswer),
-    /// That revision is too old; read everything again.
-    TooOld,
-    /// Certainly not executed: refused with 429 or 503, or never sent.
-    NotExecuted,
-    /// May have been executed, or may yet be.
-    Unknown,
-    /// The service calls the request malformed.
-    Bad,
-}
-
-/// A call to the cloud.
-#[derive(Debug, Clone)]
-pub enum CloudOp {
-    /// Read the machine types.
-    Catalog,
-    /// Read a page of the list of machines.
-    List {
-        /// Name after which the page begins.
-        since: Option<String>,
-    },
-    /// Rent machines.
-    Rent(RentRequest),
-    /// Return machines.
-    Return(ReturnRequest),
-}
-
-/// How a call to the cloud ended.
-#[derive(Debug, Clone)]
-pub enum CloudResult {
-    /// The machine types.
-    Catalog(Catalog),
-    /// A page of the list of machines.
-    Page(MachinePage),
-    /// Machines were rented.
-    Rented(RentAnswer),
-    /// Machines are gone.
-    Returned,
-    /// No such machine is to be had.
-    NoCapacity,
-    /// Certainly not executed.
-    NotExecuted,
-    /// May have been executed, or may yet be.
-    Unknown,
-    /// The cloud calls the request malformed.
-    Bad,
-}
 
 /// What a call to the state service was for.
 #[derive(Debug)]
-pub(crate) enum Purpose {
-    Sync(sync::SyncCall),
+pub(crate) enum StoreCallOwner {
+    WatchCache(watch_cache::WatchCacheCall),
     Lookup(lookups::LookupCall),
-    Term(term::TermCall),
+    Election(election::ElectionCall),
     UserApi(user_api::UserApiCall),
-    Holder(holder::HolderCall),
+    ShardOwner(shard_owner::ShardOwnerCall),
     Leader(leader::LeaderCall),
 }
 
@@ -256,11 +40,11 @@
     /// Jobs, live and final.
     pub jobs: usize,
     /// Machines of the blocks held here.
-    pub held_machines: usize,
+    pub owned_machines: usize,
     /// Machines that the leader knows, on the leader.
     pub fleet_machines: usize,
     /// Calls to the state service without an answer yet.
-    pub state_calls: usize,
+    pub store_calls: usize,
     /// Plans for rents that the leader has made in its term.
     pub plans: u64,
 }
@@ -269,11 +53,11 @@
 pub struct Core {
     /// What all roles use.
     pub shared: Shared,
-    sync: sync::Sync,
+    watch_cache: watch_cache::WatchCache,
     lookups: lookups::Lookups,
-    term: term::Candidate,
+    election: election::Election,
     user_api: user_api::UserApi,
-    holder: holder::Holder,
+    shard_owner: shard_owner::ShardOwner,
     leader: Option<leader::Leader>,
 }
 
@@ -287,10 +71,10 @@
     pub fn new(cfg: Arc<Platform>, op: Operator, incarnation: u64, seed: u64, now: Ms) -> Core {
         let shared = Shared::new(cfg, op, incarnation, seed, BEFORE_START + now);
         Core {
-            holder: holder::Holder::new(&shared),
-            sync: sync::Sync::default(),
+            shard_owner: shard_owner::ShardOwner::new(&shared),
+            watch_cache: watch_cache::WatchCache::default(),
             lookups: lookups::Lookups::default(),
-            term: term::Candidate::default(),
+            election: election::Election::default(),
             user_api: user_api::UserApi::default(),
             leader: None,
             shared,
@@ -305,7 +89,7 @@
         match input {
             Input::Tick => {}
             Input::Http { req, call } => self.http(req, call),
-            Input::State { call, result } => self.state(call, result),
+            Input::Store { call, result } => self.state(call, result),
             Input::Cloud { call, result } => {
                 if let Some(l) = &mut self.leader {
                     l.on_cloud(&mut self.shared, call, result);
@@ -326,36 +110,40 @@
     pub fn statistics(&self) -> Statistics {
         Statistics {
             jobs: self.shared.jobs.len(),
-            held_machines: self.holder.machines.len(),
+            owned_machines: self.shard_owner.machines.len(),
             fleet_machines: self.leader.as_ref().map_or(0, |leader| leader.fleet.machines.len()),
-            state_calls: self.shared.calls.len(),
+            store_calls: self.shared.calls.len(),
             plans: self.leader.as_ref().map_or(0, |leader| leader.plans),
         }
     }
 
-    fn http(&mut self, req: u64, call: HttpCall) {
+    fn http(&mut self, req: u64, call: HttpRequest) {
         match call {
-            HttpCall::Submit(body) => self.user_api.submit(&mut self.shared, req, &body),
-            HttpCall::Status(id) => self.user_api.status(&mut self.shared, req, &id),
-            HttpCall::Cancel(id) => self.user_api.cancel(&mut self.shared, req, &id),
-            HttpCall::Checkin(report) => self.holder.checkin(&mut self.shared, req, *report),
-            HttpCall::Ready => {
+            HttpRequest::Submit(body) => self.user_api.submit(&mut self.shared, req, &body),
+            HttpRequest::Status(id) => self.user_api.status(&mut self.shared, req, &id),
+            HttpRequest::Cancel(id) => self.user_api.cancel(&mut self.shared, req, &id),
+            HttpRequest::WorkerHeartbeat(heartbeat) => {
+                self.shard_owner.on_worker_heartbeat(&mut self.shared, req, *heartbeat)
+            }
+            HttpRequest::Ready => {
                 let status = if self.shared.is_ready() { 200 } else { 503 };
                 self.shared.answer(req, status, "{}".into(), None);
             }
         }
     }
 
-    fn state(&mut self, call: u64, result: StateResult) {
+    fn state(&mut self, call: u64, result: StoreResponse) {
         let Some((purpose, sent)) = self.shared.calls.remove(&call) else { return };
-        self.shared.note_state_result(sent, &result);
+        self.shared.note_store_response(sent, &result);
         match purpose {
-            Purpose::Sync(c) => self.sync.on_result(&mut self.shared, c, sent, result),
-            Purpose::Lookup(c) => self.lookups.on_result(&mut self.shared, c, result),
-            Purpose::Term(c) => self.term.on_result(&mut self.shared, c, result),
-            Purpose::UserApi(c) => self.user_api.on_result(&mut self.shared, c, result),
-            Purpose::Holder(c) => self.holder.on_result(&mut self.shared, c, result),
-            Purpose::Leader(c) => {
+            StoreCallOwner::WatchCache(c) => {
+                self.watch_cache.on_result(&mut self.shared, c, sent, result)
+            }
+            StoreCallOwner::Lookup(c) => self.lookups.on_result(&mut self.shared, c, result),
+            StoreCallOwner::Election(c) => self.election.on_result(&mut self.shared, c, result),
+            StoreCallOwner::UserApi(c) => self.user_api.on_result(&mut self.shared, c, result),
+            StoreCallOwner::ShardOwner(c) => self.shard_owner.on_result(&mut self.shared, c, result),
+            StoreCallOwner::Leader(c) => {
                 if let Some(l) = &mut self.leader {
                     l.on_result(&mut self.shared, c, result);
                 }
@@ -364,11 +152,11 @@
     }
 
     fn frame(&mut self, f: Frame) {
-        self.shared.note_peer(&f);
+        self.shared.on_peer_frame(&f);
         match f.body {
-            Body::Heartbeat(_) => {}
-            Body::DesiredState(w) => self.holder.on_desired_state(&mut self.shared, w),
-            Body::ReportedState(h) => {
+            PeerMessage::PeerHeartbeat(_) => {}
+            PeerMessage::DesiredState(w) => self.shard_owner.on_desired_state(&mut self.shared, w),
+            PeerMessage::ReportedState(h) => {
                 if let Some(l) = &mut self.leader {
                     l.on_reported_state(&mut self.shared, &f.from, h);
                 }
@@ -378,15 +166,15 @@
 
     /// Everything that follows from the input, until nothing is left to do.
     fn settle(&mut self) {
-        self.shared.find_scarce();
-        self.shared.follow_authority();
+        self.shared.update_scarce_types();
+        self.shared.track_control_lease();
         for _ in 0..8 {
-            self.sync.poll(&mut self.shared);
+            self.watch_cache.poll(&mut self.shared);
             self.lookups.poll(&mut self.shared);
-            self.term.poll(&mut self.shared);
+            self.election.poll(&mut self.shared);
             self.follow_term();
             self.user_api.poll(&mut self.shared);
-            self.holder.poll(&mut self.shared);
+            self.shard_owner.poll(&mut self.shared);
             match &mut self.leader {
                 Some(l) => l.poll(&mut self.shared),
                 // Only a leader follows each change; a new one looks at all.
@@ -402,14 +190,14 @@
             }
         }
         self.drop_final_jobs();
-        self.shared.spread_cancellations();
+        self.shared.announce_cancellations();
         self.shared.send_heartbeat();
     }
 
     fn drop_final_jobs(&mut self) {
-        let (holder, leader) = (&self.holder, &self.leader);
+        let (shard_owner, leader) = (&self.shard_owner, &self.leader);
         self.shared.drop_final_jobs(|in_use| {
-            in_use.extend(holder.jobs_in_use());
+            in_use.extend(shard_owner.jobs_in_use());
             if let Some(leader) = leader {
                 in_use.extend(leader.attempts.values().map(|attempt| attempt.job));
             }
@@ -418,7 +206,7 @@
 
     /// Starts or ends our leadership as the watched record says.
     fn follow_term(&mut self) {
-        let mine = self.shared.my_term();
+        let mine = self.shared.own_term();
         match (&self.leader, mine) {
             (Some(l), Some(term)) if l.term == term => {}
             (_, Some(term)) => {
--- a/src/core/holder/binding.rs
+++ b/src/core/shard_owner/binding.rs
@@ -1,12 +1,12 @@
 //! The choice of a machine for a task that was granted to this holder.
 
-use super::Holder;
+use super::ShardOwner;
 use super::machine::{Attempt, Machine};
 use super::placement_records;
-use crate::core::common::model::{Ms, Res};
+use crate::core::common::model::{Ms, Resources};
 use crate::core::common::shared::Shared;
 use crate::core::common::window;
-use crate::wire::state::JobState;
+use crate::wire::store::JobState;
 use woadlever_recovery::attempt::AttemptPhase;
 
 /// What a waiting report is worth in the choice of a machine.
@@ -16,7 +16,7 @@
 pub(super) struct FreeMachine {
     index: u32,
     kind: usize,
-    room: Res,
+    room: Resources,
 }
 
 /// A task that the leader allows to bind.
@@ -28,13 +28,13 @@
     pub(super) expected: Ms,
 }
 
-impl Holder {
+impl ShardOwner {
     /// Machines of a block that may take tasks now, with what is free on them.
-    pub(super) fn free_machines(&self, shared: &Shared, block: u32) -> Vec<FreeMachine> {
-        let able = |m: &Machine| m.block == block && m.takes_tasks(shared);
+    pub(super) fn free_machines(&self, shared: &Shared, shard: u32) -> Vec<FreeMachine> {
+        let able = |m: &Machine| m.shard == shard && m.takes_tasks(shared);
         let mut free = Vec::new();
         for (index, m) in self.machines.iter().filter(|(_, m)| able(m)) {
-            let Some(kind) = shared.type_ix(&m.type_name) else { continue };
+            let Some(kind) = shared.machine_type_index(&m.type_name) else { continue };
             let mut room = shared.types[kind].room;
             room.sub(&m.used());
             free.push(FreeMachine { index, kind, room });
@@ -47,7 +47,7 @@
     pub(super) fn bind(
         &mut self,
         shared: &Shared,
-        block: u32,
+        shard: u32,
         granted: &Granted,
         free: &mut [FreeMachine],
     ) -> bool {
@@ -58,10 +58,10 @@
             return false;
         };
         let need = spec.need();
-        let Some(h) = &mut self.blocks[block as usize] else { return false };
+        let Some(h) = &mut self.shards[shard as usize] else { return false };
         let mut best: Option<(f64, usize)> = None;
         for (place, candidate) in free.iter().enumerate() {
-            if !need.fits(&candidate.room) {
+            if !need.fits_within(&candidate.room) {
                 continue;
             }
             let Some(m) = self.machines.get(candidate.index) else { continue };
@@ -72,7 +72,7 @@
             let has_image = spec.image_gb <= 0.0 || m.images.iter().any(|(n, _)| *n == spec.image);
             let wastes = spec.spot && !m.spot;
             let mut score = window::fit_score(&need, &candidate.room, total, wastes, has_image);
-            score += shared.scarcity(candidate.kind);
+            score += shared.scarcity_penalty(candidate.kind);
             // One whose report waits for an answer starts the task now, not
             // with its next report.
             if m.held.is_none() {
@@ -85,7 +85,7 @@
         let Some((_, place)) = best else { return false };
         let ix = free[place].index;
         free[place].room.sub(&need);
-        placement_records::open_record(shared, h, &self.machines, block);
+        placement_records::open_record(shared, h, &self.machines, shard);
         let Some(m) = self.machines.get_mut(ix) else { return false };
         let record = placement_records::reserve(shared, h, m, job, &spec.team);
         m.attempts.push(Attempt {
@@ -109,7 +109,7 @@
             bound_at: shared.now,
             written_at: 0,
         });
-        let cache = shared.type_ix(&m.type_name).map_or(0.0, |t| shared.types[t].cache_gb);
+        let cache = shared.machine_type_index(&m.type_name).map_or(0.0, |t| shared.types[t].cache_gb);
         remember_image(&mut m.images, &spec.image, spec.image_gb, cache);
         true
     }
--- a/src/core/holder/desired_state.rs
+++ b/src/core/shard_owner/desired_state.rs
@@ -2,18 +2,18 @@
 
 use super::binding::Granted;
 use super::machine::{Attempt, Machine};
-use super::{Holder, Load, placement_records};
+use super::{Load, ShardOwner, placement_records};
 use crate::core::common::model::Ms;
 use crate::core::common::shared::Shared;
 use crate::wire::peer::DesiredState;
 use rustc_hash::{FxHashMap, FxHashSet};
 use woadlever_recovery::attempt;
 
-impl Holder {
+impl ShardOwner {
     pub fn on_desired_state(&mut self, shared: &mut Shared, w: DesiredState) {
         let current = shared.leader.as_ref().map(|(_, t)| *t);
-        let Some(Some(h)) = self.blocks.get_mut(w.block as usize) else { return };
-        if current != Some(w.term) || w.grant != h.grant || h.load != Load::Done {
+        let Some(Some(h)) = self.shards.get_mut(w.shard as usize) else { return };
+        if current != Some(w.term) || w.fencing_token != h.fencing_token || h.load != Load::Done {
             return;
         }
         if h.term == w.term && w.serial <= h.echo {
@@ -29,9 +29,9 @@
     }
 
     pub(super) fn take_desired_state(&mut self, shared: &mut Shared, w: DesiredState) {
-        let b = w.block as usize;
-        let Some(h) = &mut self.blocks[b] else { return };
-        if h.grant != w.grant {
+        let b = w.shard as usize;
+        let Some(h) = &mut self.shards[b] else { return };
+        if h.fencing_token != w.fencing_token {
             return;
         }
         h.term = w.term;
@@ -43,7 +43,7 @@
         // for good: bound with a later state message, it would run twice.
         let mut unknown: FxHashSet<u64> = FxHashSet::default();
         for j in &w.jobs {
-            let Some(job) = shared.job_ix(&j.job) else {
+            let Some(job) = shared.job_index(&j.job) else {
                 unknown.extend(j.tasks.iter().map(|t| t.1));
                 continue;
             };
@@ -53,31 +53,32 @@
         }
         h.rejected.retain(|id| wanted.contains_key(id));
         h.rejected.extend(unknown);
-        h.waiting = w.waiting.iter().filter_map(|x| Some((shared.job_ix(&x.job)?, x.count))).collect();
+        h.waiting =
+            w.waiting.iter().filter_map(|x| Some((shared.job_index(&x.job)?, x.count))).collect();
         for name in &w.gone {
-            self.forget_machine(shared, name, w.block);
+            self.forget_machine(shared, name, w.shard);
         }
-        let isolated: FxHashSet<&str> = w.isolated.iter().map(String::as_str).collect();
-        let retire: FxHashSet<&str> = w.retire.iter().map(|r| r.machine.as_str()).collect();
+        let cordoned: FxHashSet<&str> = w.cordoned.iter().map(String::as_str).collect();
+        let decommission: FxHashSet<&str> = w.decommission.iter().map(|r| r.machine.as_str()).collect();
         let quarantined: FxHashSet<&str> = w.quarantined.iter().map(String::as_str).collect();
-        for r in &w.retire {
+        for r in &w.decommission {
             if self.gone.contains(&r.machine) {
                 continue;
             }
-            let grant = w.grant;
+            let fencing_token = w.fencing_token;
             let (_, m) = self.machines.get_or_insert_with(&r.machine, || {
-                let mut m = Machine::blank(&r.machine, w.block, grant);
+                let mut m = Machine::blank(&r.machine, w.shard, fencing_token);
                 m.type_name = r.machine_type.clone();
                 m.zone = r.zone.clone();
                 m.spot = r.spot;
                 m
             });
-            m.retire = true;
+            m.decommission = true;
         }
         let mut known: FxHashSet<u64> = FxHashSet::default();
-        for m in self.machines.values_mut().filter(|m| m.block == w.block) {
-            m.isolated = isolated.contains(m.name.as_str());
-            m.retire = m.returning_written || retire.contains(m.name.as_str());
+        for m in self.machines.values_mut().filter(|m| m.shard == w.shard) {
+            m.cordoned = cordoned.contains(m.name.as_str());
+            m.decommission = m.terminating_recorded || decommission.contains(m.name.as_str());
             m.quarantined = quarantined.contains(m.name.as_str());
             let lease_ended = m.worker.has_ended();
             for a in &mut m.attempts {
@@ -92,7 +93,7 @@
             }
             // What was never sent is nowhere, whatever the record says; what
             // ended on a dead machine needs no clearing.
-            if let Some(h) = &mut self.blocks[b] {
+            if let Some(h) = &mut self.shards[b] {
                 let is_gone = |a: &mut Attempt| attempt::ends_when_unwanted(&a.state(), lease_ended);
                 let gone = m.attempts.extract_if(.., is_gone);
                 placement_records::mark_stale(h, gone.map(|a| a.record), shared.now);
@@ -105,24 +106,24 @@
             .collect();
         granted.sort_unstable_by_key(|granted| granted.id);
         if !granted.is_empty() {
-            self.bind_all(shared, w.block, &granted);
+            self.bind_all(shared, w.shard, &granted);
         }
     }
 
-    fn bind_all(&mut self, shared: &Shared, block: u32, granted: &[Granted]) {
-        let mut free = self.free_machines(shared, block);
+    fn bind_all(&mut self, shared: &Shared, shard: u32, granted: &[Granted]) {
+        let mut free = self.free_machines(shared, shard);
         for task in granted {
-            let rejected = self.blocks[block as usize].as_ref().map(|h| h.rejected.contains(&task.id));
-            if rejected != Some(false) || self.bind(shared, block, task, &mut free) {
+            let rejected = self.shards[shard as usize].as_ref().map(|h| h.rejected.contains(&task.id));
+            if rejected != Some(false) || self.bind(shared, shard, task, &mut free) {
                 continue;
             }
-            if let Some(h) = &mut self.blocks[block as usize] {
+            if let Some(h) = &mut self.shards[shard as usize] {
                 h.rejected.insert(task.id);
             }
         }
     }
 
-    fn forget_machine(&mut self, shared: &mut Shared, name: &str, block: u32) {
+    fn forget_machine(&mut self, shared: &mut Shared, name: &str, shard: u32) {
         if !self.gone.insert(name) {
             return;
         }
@@ -131,13 +132,13 @@
         if let Some(held) = &m.held {
             shared.busy(held.req, "this machine has been returned");
         }
-        if let Some(h) = &mut self.blocks[block as usize] {
-            h.give_up(m.attempts.iter().map(|a| (a.id, a.record)), shared.now);
+        if let Some(h) = &mut self.shards[shard as usize] {
+            h.note_gone_attempts(m.attempts.iter().map(|a| (a.id, a.record)), shared.now);
             placement_records::mark_stale(h, m.record, shared.now);
         }
     }
 }
 
 pub(super) fn knows_jobs(shared: &Shared, w: &DesiredState) -> bool {
-    w.jobs.iter().all(|j| shared.job_ix(&j.job).is_some())
+    w.jobs.iter().all(|j| shared.job_index(&j.job).is_some())
 }
--- a/src/core/holder/direct_commands.rs
+++ b/src/core/shard_owner/direct_commands.rs
@@ -1,11 +1,11 @@
 //! Commands sent straight to workers: only ever to stop what is cancelled.
 
-use super::Holder;
+use super::ShardOwner;
 use super::machine::{Attempt, Machine};
 use crate::core::Output;
 use crate::core::common::model::Ms;
 use crate::core::common::shared::Shared;
-use crate::wire::workers::{Command, DirectCommands, Op};
+use crate::wire::workers::{Command, CommandAction, DirectCommands};
 use rustc_hash::FxHashSet;
 use woadlever_recovery::attempt;
 
@@ -14,15 +14,15 @@
 const DIRECT_MS: Ms = 3_000;
 const MOST_DIRECT: u32 = 5;
 
-impl Holder {
+impl ShardOwner {
     /// Tasks of a job that is cancelled are stopped by direct command, where no
     /// report waits for an answer: one that still waits for its image would start
     /// before the next report, and machines whose reports reach nobody would go on.
     pub(super) fn stop_cancelled(&mut self, shared: &mut Shared) {
-        if shared.cancelled_now.is_empty() {
+        if shared.newly_cancelled.is_empty() {
             return;
         }
-        let jobs: FxHashSet<u32> = std::mem::take(&mut shared.cancelled_now).into_iter().collect();
+        let jobs: FxHashSet<u32> = std::mem::take(&mut shared.newly_cancelled).into_iter().collect();
         for m in self.machines.values_mut() {
             if m.held.is_none() && m.attempts.iter().any(|a| jobs.contains(&a.job)) {
                 stop_directly(shared, m);
@@ -49,7 +49,7 @@
 /// Never a `run`, which could be carried out minutes late.
 fn stop_directly(shared: &mut Shared, m: &mut Machine) {
     let stop = |a: &Attempt| Command {
-        op: Op::Stop,
+        op: CommandAction::Stop,
         task: format!("{}/{}", shared.jobs.id(a.job), a.task),
         attempt: a.id,
         grace_s: Some(0.0),
@@ -62,7 +62,7 @@
     }
     m.direct_at = shared.now;
     m.worker.note_direct_command();
-    let session = m.worker.newest().session;
-    let direct = DirectCommands { token: m.grant, session, commands };
-    shared.out.push(Output::Direct { addr: m.addr.clone(), commands: direct });
+    let incarnation = m.worker.newest().incarnation;
+    let direct = DirectCommands { fencing_token: m.fencing_token, incarnation, commands };
+    shared.out.push(Output::DirectCommands { addr: m.addr.clone(), commands: direct });
 }
--- a/src/core/holder/loading.rs
+++ b/src/core/shard_owner/loading.rs
@@ -2,16 +2,16 @@
 
 use super::machine::{Attempt, Machine};
 use super::placement_records::{self, HeldRecord};
-use super::{Holder, HolderCall, Load, place_prefix, squaring};
-use crate::core::common::model::Res;
+use super::{Load, ShardOwner, ShardOwnerCall, place_prefix, reconciliation};
+use crate::core::common::model::Resources;
 use crate::core::common::shared::Shared;
-use crate::core::{Purpose, StateOp, StateResult};
-use crate::wire::state::{Item, PlacementRecord, RecordedMachine};
+use crate::core::{StoreCallOwner, StoreRequest, StoreResponse};
+use crate::wire::store::{KeyValue, PlacementRecord, RecordedMachine};
 use woadlever_recovery::attempt::AttemptPhase;
 
-impl Holder {
+impl ShardOwner {
     /// The machines of one record as its record tells them.
-    fn load_record(&mut self, shared: &mut Shared, block: u32, grant: u64, item: Item) {
+    fn load_record(&mut self, shared: &mut Shared, shard: u32, fencing_token: u64, item: KeyValue) {
         let number = item.key.rsplit('/').next().and_then(|n| n.parse::<u32>().ok());
         let bytes = item.value.len();
         let rec = item.value.decode::<PlacementRecord>();
@@ -19,7 +19,7 @@
             tracing::error!(key = item.key, "unreadable record");
             return;
         };
-        if let Some(h) = &mut self.blocks[block as usize] {
+        if let Some(h) = &mut self.shards[shard as usize] {
             while h.records.len() <= number as usize {
                 h.records.push(HeldRecord::new(0, 0));
             }
@@ -27,20 +27,20 @@
         }
         for row in &rec.machines {
             // Another record may have told of it already.
-            let blank = || Machine::blank(&row.0, block, grant);
+            let blank = || Machine::blank(&row.0, shard, fencing_token);
             let (_, m) = self.machines.get_or_insert_with(&row.0, blank);
-            if m.grant != grant {
-                *m = Machine::blank(&row.0, block, grant);
+            if m.fencing_token != fencing_token {
+                *m = Machine::blank(&row.0, shard, fencing_token);
             }
             m.type_name = rec.types.get(row.1 as usize).cloned().unwrap_or_default();
-            m.zone = shared.blocks[block as usize].zone.clone();
+            m.zone = shared.shards[shard as usize].zone.clone();
             m.spot = row.is(RecordedMachine::SPOT);
-            m.returning_written |= row.is(RecordedMachine::RETURNING);
-            m.retire |= m.returning_written;
-            if row.is(RecordedMachine::ISOLATED | RecordedMachine::RETURNING) || m.record.is_none() {
+            m.terminating_recorded |= row.is(RecordedMachine::TERMINATING);
+            m.decommission |= m.terminating_recorded;
+            if row.is(RecordedMachine::CORDONED | RecordedMachine::TERMINATING) || m.record.is_none() {
                 m.record = Some(number);
-                m.isolated_written = row.is(RecordedMachine::ISOLATED);
-                m.isolated |= m.isolated_written;
+                m.cordoned_recorded = row.is(RecordedMachine::CORDONED);
+                m.cordoned |= m.cordoned_recorded;
             }
             // What its report told meanwhile stays; and the record may be read
             // a second time.
@@ -51,7 +51,7 @@
                     m.attempts.push(new);
                     continue;
                 };
-                if let Some(h) = &mut self.blocks[block as usize] {
+                if let Some(h) = &mut self.shards[shard as usize] {
                     placement_records::mark_stale(h, [old.record], shared.now);
                 }
                 (old.record, old.moving) = (number, None);
@@ -59,34 +59,41 @@
         }
     }
 
-    pub(super) fn on_load(&mut self, shared: &mut Shared, block: u32, grant: u64, result: StateResult) {
-        let Some(h) = self.blocks[block as usize].as_mut().filter(|h| h.grant == grant) else {
+    pub(super) fn on_load(
+        &mut self,
+        shared: &mut Shared,
+        shard: u32,
+        fencing_token: u64,
+        result: StoreResponse,
+    ) {
+        let Some(h) = self.shards[shard as usize].as_mut().filter(|h| h.fencing_token == fencing_token)
+        else {
             return;
         };
-        let StateResult::Page(p) = result else {
+        let StoreResponse::Page(p) = result else {
             h.load = Load::Wanted { at: shared.now + shared.jitter(300) };
             return;
         };
         let revision = p.revision;
         let last = p.items.last().map(|i| i.key.clone());
         for i in p.items {
-            self.load_record(shared, block, grant, i);
+            self.load_record(shared, shard, fencing_token, i);
         }
         if p.more && last.is_some() {
-            let prefix = place_prefix(&shared.blocks[block as usize].name);
-            shared.state_call(
-                Purpose::Holder(HolderCall::Load { block, grant }),
-                StateOp::List { prefix, since: last, most: 1000 },
+            let prefix = place_prefix(&shared.shards[shard as usize].name);
+            shared.send_store_request(
+                StoreCallOwner::ShardOwner(ShardOwnerCall::Load { shard, fencing_token }),
+                StoreRequest::List { prefix, since: last, most: 1000 },
             );
             return;
         }
-        if let Some(h) = self.blocks[block as usize].as_mut() {
-            let of_block = self.machines.values().filter(|m| m.block == block);
-            let recorded: usize = of_block.map(Machine::unsquared).sum();
+        if let Some(h) = self.shards[shard as usize].as_mut() {
+            let of_block = self.machines.values().filter(|m| m.shard == shard);
+            let recorded: usize = of_block.map(Machine::unreconciled_attempts).sum();
             h.load = Load::Done;
             h.recovery.records_read(revision, recorded as u32);
             h.dirty = true;
-            squaring::log_phase(shared, block as usize, h.grant, &h.recovery);
+            reconciliation::log_phase(shared, shard as usize, h.fencing_token, &h.recovery);
         }
     }
 }
@@ -102,8 +109,8 @@
         let Some(j) = rec.jobs.get(job) else { continue };
         // A job not in memory is final, and its tasks are to be stopped. Left out,
         // they would pass for gone.
-        let job = shared.job_slot(&j.0);
-        let need = Res { cpus: j.2, gpus: j.3, mem: j.4 };
+        let job = shared.job_index_or_lookup(&j.0);
+        let need = Resources { cpus: j.2, gpus: j.3, mem: j.4 };
         out.push(Attempt {
             job,
             task,
--- a/src/core/holder/machine.rs
+++ b/src/core/shard_owner/machine.rs
@@ -1,11 +1,11 @@
 //! A machine of a held block, with the attempts that may be on it.
 
-use crate::core::common::model::{Ms, Res};
+use crate::core::common::model::{Ms, Resources};
 use crate::core::common::named_table::NamedTable;
 use crate::core::common::shared::Shared;
 use crate::wire::workers::Command;
 use woadlever_recovery::attempt::{AttemptPhase, AttemptState};
-use woadlever_recovery::session::{ReportVersion, WorkerSession};
+use woadlever_recovery::worker::{HeartbeatVersion, WorkerLiveness};
 
 /// Machines of the blocks held here.
 pub type Machines = NamedTable<Machine>;
@@ -16,7 +16,7 @@
     pub job: u32,
     pub task: u32,
     pub id: u64,
-    pub need: Res,
+    pub need: Resources,
     pub team: String,
     /// Length of its job's row in a placement record.
     pub job_row_bytes: usize,
@@ -31,7 +31,7 @@
     /// Whether the leader wants it there.
     pub wanted: bool,
     /// The report whose answer first carried its `run`.
-    pub(super) run_sent: Option<ReportVersion>,
+    pub(super) run_sent: Option<HeartbeatVersion>,
     /// A report has listed it.
     pub(super) listed: bool,
     pub(super) started: Option<Ms>,
@@ -62,16 +62,16 @@
     pub type_name: String,
     pub(super) zone: String,
     pub spot: bool,
-    pub block: u32,
-    pub grant: u64,
+    pub shard: u32,
+    pub fencing_token: u64,
     /// What its reports and our answers prove.
-    pub(super) worker: WorkerSession,
-    pub(super) notice: bool,
-    pub isolated: bool,
+    pub(super) worker: WorkerLiveness,
+    pub(super) preemption_notice: bool,
+    pub cordoned: bool,
     pub(super) quarantined: bool,
-    pub(super) retire: bool,
-    pub returning_written: bool,
-    pub isolated_written: bool,
+    pub(super) decommission: bool,
+    pub terminating_recorded: bool,
+    pub cordoned_recorded: bool,
     /// Room for its row is kept in that record.
     pub row_kept: bool,
     /// The record that speaks of it, once there's something to say.
@@ -97,22 +97,22 @@
 
 impl Machine {
     /// A machine of which nothing is known yet.
-    pub(super) fn blank(name: &str, block: u32, grant: u64) -> Machine {
+    pub(super) fn blank(name: &str, shard: u32, fencing_token: u64) -> Machine {
         Machine {
             name: name.into(),
             addr: String::new(),
             type_name: String::new(),
             zone: String::new(),
             spot: false,
-            block,
-            grant,
-            worker: WorkerSession::default(),
-            notice: false,
-            isolated: false,
+            shard,
+            fencing_token,
+            worker: WorkerLiveness::default(),
+            preemption_notice: false,
+            cordoned: false,
             quarantined: false,
-            retire: false,
-            returning_written: false,
-            isolated_written: false,
+            decommission: false,
+            terminating_recorded: false,
+            cordoned_recorded: false,
             row_kept: false,
             record: None,
             row_from: None,
@@ -126,8 +126,8 @@
     }
 
     /// What its attempts take.
-    pub(super) fn used(&self) -> Res {
-        let mut used = Res::default();
+    pub(super) fn used(&self) -> Resources {
+        let mut used = Resources::default();
         for attempt in self.attempts.iter().filter(|attempt| !attempt.phase.has_ended()) {
             used.add(&attempt.need);
         }
@@ -136,28 +136,28 @@
 
     /// Whether new tasks may be bound to it.
     pub(super) fn takes_tasks(&self, shared: &Shared) -> bool {
-        !self.notice
-            && !self.isolated
+        !self.preemption_notice
+            && !self.cordoned
             && !self.quarantined
-            && !self.retire
-            && !self.returning_written
+            && !self.decommission
+            && !self.terminating_recorded
             && self.worker.takes_work(shared.fresh_ms, shared.now)
     }
 
     /// Attempts that no report has confirmed or disproved.
-    pub(super) fn unsquared(&self) -> usize {
+    pub(super) fn unreconciled_attempts(&self) -> usize {
         self.attempts.iter().filter(|attempt| attempt.phase == AttemptPhase::Inherited).count()
     }
 
     /// Its record has to speak of it though nothing may be on it.
     pub fn has_state(&self) -> bool {
-        self.isolated || self.returning_written
+        self.cordoned || self.terminating_recorded
     }
 
     /// Its return may be recorded: nothing is on it any more.
-    pub fn can_retire(&self) -> bool {
-        let unheard = self.worker.last_report().is_none();
-        let is_empty = self.worker.has_ended() || self.attempts.is_empty() || unheard;
-        self.retire && !self.returning_written && is_empty
+    pub fn can_decommission(&self) -> bool {
+        let silent_peers = self.worker.last_heartbeat().is_none();
+        let is_empty = self.worker.has_ended() || self.attempts.is_empty() || silent_peers;
+        self.decommission && !self.terminating_recorded && is_empty
     }
 }
--- a/src/core/holder/mod.rs
+++ b/src/core/shard_owner/mod.rs
@@ -15,21 +15,21 @@
 mod loading;
 mod machine;
 mod placement_records;
+mod reconciliation;
 mod record_draft;
 mod reported_state;
-mod squaring;
 mod worker_heartbeats;
 
 use crate::core::common::model::Ms;
 use crate::core::common::recent_names::RecentNames;
 use crate::core::common::shared::Shared;
-use crate::core::{Purpose, StateOp, StateResult};
+use crate::core::{StoreCallOwner, StoreRequest, StoreResponse};
 use crate::wire::peer::DesiredState;
 use desired_state::knows_jobs;
 use machine::Machines;
 use placement_records::{HeldRecord, Written};
 use rustc_hash::FxHashSet;
-use woadlever_recovery::block::BlockRecovery;
+use woadlever_recovery::shard::ShardRecovery;
 
 /// Sooner than this no second look at all machines for work to write or send.
 const SCAN_GAP_MS: Ms = 20;
@@ -39,15 +39,15 @@
 /// yet to bring.
 const DESIRED_WAIT_MS: Ms = 2_000;
 
-pub fn place_prefix(block: &str) -> String {
-    format!("place/{block}/")
+pub fn place_prefix(shard: &str) -> String {
+    format!("place/{shard}/")
 }
 
 #[derive(Debug)]
-pub enum HolderCall {
-    Load { block: u32, grant: u64 },
+pub enum ShardOwnerCall {
+    Load { shard: u32, fencing_token: u64 },
     Write(Written),
-    Reread { block: u32, record: u32, grant: u64 },
+    Reread { shard: u32, record: u32, fencing_token: u64 },
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -58,11 +58,11 @@
 }
 
 #[derive(Debug)]
-pub struct HeldBlock {
-    pub grant: u64,
+pub struct OwnedShard {
+    pub fencing_token: u64,
     pub load: Load,
     /// How far what is on record has been squared with what workers report.
-    pub(super) recovery: BlockRecovery,
+    pub(super) recovery: ShardRecovery,
     pub term: u64,
     pub(super) echo: u64,
     /// Bindings refused here, until the leader has taken note.
@@ -81,11 +81,11 @@
     pub tidy_at: Ms,
 }
 
-impl HeldBlock {
+impl OwnedShard {
     /// Attempts that are proven gone, with their records. Pictures under way may
     /// still allow to bind them, and our next one, which leaves them out, has their
     /// tasks granted elsewhere: bound again here, they would run twice.
-    pub(super) fn give_up(&mut self, gone: impl IntoIterator<Item = (u64, u32)>, now: Ms) {
+    pub(super) fn note_gone_attempts(&mut self, gone: impl IntoIterator<Item = (u64, u32)>, now: Ms) {
         for (id, record) in gone {
             self.rejected.insert(id);
             placement_records::mark_stale(self, [record], now);
@@ -93,8 +93,8 @@
     }
 }
 
-pub struct Holder {
-    pub(super) blocks: Vec<Option<HeldBlock>>,
+pub struct ShardOwner {
+    pub(super) shards: Vec<Option<OwnedShard>>,
     pub(super) machines: Machines,
     /// Machines whose return is confirmed; a late report must not revive them.
     pub(super) gone: RecentNames,
@@ -103,10 +103,10 @@
     pub(super) next_project: Ms,
 }
 
-impl Holder {
-    pub fn new(shared: &Shared) -> Holder {
-        Holder {
-            blocks: shared.blocks.iter().map(|_| None).collect(),
+impl ShardOwner {
+    pub fn new(shared: &Shared) -> ShardOwner {
+        ShardOwner {
+            shards: shared.shards.iter().map(|_| None).collect(),
             machines: Machines::default(),
             gone: RecentNames::new(shared.returned_kept()),
             next_scan: 0,
@@ -116,31 +116,31 @@
     }
 
     /// Takes blocks over and gives them up as the watched records say.
-    fn follow_grants(&mut self, shared: &mut Shared) {
-        for b in 0..self.blocks.len() {
-            let granted = match &shared.block_recs[b] {
+    fn follow_shard_records(&mut self, shared: &mut Shared) {
+        for b in 0..self.shards.len() {
+            let granted = match &shared.shard_records[b] {
                 Some((r, version)) if r.node == shared.me && r.incarnation == shared.incarnation => {
                     Some(*version)
                 }
                 _ => None,
             };
-            let have = self.blocks[b].as_ref().map(|h| h.grant);
+            let have = self.shards[b].as_ref().map(|h| h.fencing_token);
             if granted == have {
                 continue;
             }
             for ix in self.machines.indices() {
-                if self.machines.get(ix).is_some_and(|m| m.block == b as u32)
+                if self.machines.get(ix).is_some_and(|m| m.shard == b as u32)
                     && let Some(held) = self.machines.remove(ix).and_then(|m| m.held)
                 {
                     shared.busy(held.req, "the block went to another holder");
                 }
             }
-            self.blocks[b] = granted.map(|grant| {
-                tracing::info!(block = shared.blocks[b].name, grant, "holding block");
-                HeldBlock {
-                    grant,
+            self.shards[b] = granted.map(|fencing_token| {
+                tracing::info!(shard = shared.shards[b].name, fencing_token, "holding block");
+                OwnedShard {
+                    fencing_token,
                     load: Load::Wanted { at: shared.now },
-                    recovery: BlockRecovery::new(shared.now),
+                    recovery: ShardRecovery::new(shared.now),
                     term: 0,
                     echo: 0,
                     rejected: FxHashSet::default(),
@@ -155,31 +155,31 @@
                 }
             });
             if granted.is_none() {
-                tracing::info!(block = shared.blocks[b].name, "block went to another holder");
+                tracing::info!(shard = shared.shards[b].name, "block went to another holder");
             }
         }
     }
 
     pub fn poll(&mut self, shared: &mut Shared) {
-        self.follow_grants(shared);
+        self.follow_shard_records(shared);
         let now = shared.now;
-        for b in 0..self.blocks.len() {
-            let Some(h) = &mut self.blocks[b] else { continue };
+        for b in 0..self.shards.len() {
+            let Some(h) = &mut self.shards[b] else { continue };
             if let Load::Wanted { at } = h.load
                 && now >= at
             {
                 h.load = Load::Reading;
-                let call = HolderCall::Load { block: b as u32, grant: h.grant };
-                let prefix = place_prefix(&shared.blocks[b].name);
-                shared.state_call(
-                    Purpose::Holder(call),
-                    StateOp::List { prefix, since: None, most: 1000 },
+                let call = ShardOwnerCall::Load { shard: b as u32, fencing_token: h.fencing_token };
+                let prefix = place_prefix(&shared.shards[b].name);
+                shared.send_store_request(
+                    StoreCallOwner::ShardOwner(call),
+                    StoreRequest::List { prefix, since: None, most: 1000 },
                 );
             }
             if let Some((w, at)) = h.parked.take() {
                 if now > at + DESIRED_WAIT_MS || knows_jobs(shared, &w) {
                     self.take_desired_state(shared, w);
-                } else if let Some(h) = &mut self.blocks[b] {
+                } else if let Some(h) = &mut self.shards[b] {
                     h.parked = Some((w, at));
                 }
             }
@@ -192,14 +192,15 @@
             self.follow_recovery(shared);
         }
         if now >= self.next_project {
-            self.next_project = now + shared.widened(PROJECT_EVERY_MS, self.machines.len() / 4);
+            self.next_project =
+                now + shared.load_adjusted_gap(PROJECT_EVERY_MS, self.machines.len() / 4);
             self.project(shared);
         }
         // These look at every machine, so they must not follow every input:
         // hundreds of reports a second reach a node.
         if now >= self.next_scan {
             self.next_scan = now + SCAN_GAP_MS;
-            placement_records::write_all(shared, &mut self.blocks, &mut self.machines);
+            placement_records::write_all(shared, &mut self.shards, &mut self.machines);
             self.answer_due(shared);
             self.tell_leader(shared);
         }
@@ -210,18 +211,21 @@
         self.machines.values().flat_map(|m| m.attempts.iter().map(|a| a.job))
     }
 
-    pub fn on_result(&mut self, shared: &mut Shared, call: HolderCall, result: StateResult) {
+    pub fn on_result(&mut self, shared: &mut Shared, call: ShardOwnerCall, result: StoreResponse) {
         match call {
-            HolderCall::Load { block, grant } => self.on_load(shared, block, grant, result),
-            HolderCall::Write(w) => {
-                if let Some(h) = &mut self.blocks[w.block as usize] {
+            ShardOwnerCall::Load { shard, fencing_token } => {
+                self.on_load(shared, shard, fencing_token, result)
+            }
+            ShardOwnerCall::Write(w) => {
+                if let Some(h) = &mut self.shards[w.shard as usize] {
                     placement_records::on_written(shared, h, &mut self.machines, w, result);
                 }
             }
-            HolderCall::Reread { block, record, grant } => {
-                let h = self.blocks[block as usize].as_mut().filter(|h| h.grant == grant);
+            ShardOwnerCall::Reread { shard, record, fencing_token } => {
+                let h =
+                    self.shards[shard as usize].as_mut().filter(|h| h.fencing_token == fencing_token);
                 if let Some(h) = h {
-                    placement_records::on_reread(shared, h, &mut self.machines, (block, record), result);
+                    placement_records::on_reread(shared, h, &mut self.machines, (shard, record), result);
                 }
             }
         }
--- a/src/core/holder/placement_records.rs
+++ b/src/core/shard_owner/placement_records.rs
@@ -18,13 +18,15 @@
 
 use super::machine::{Attempt, Machine, Machines};
 use super::record_draft::RecordDraft;
-use super::{HeldBlock, HolderCall, Load};
-use crate::core::common::model::{Ms, Res};
+use super::{Load, OwnedShard, ShardOwnerCall};
+use crate::core::common::model::{Ms, Resources};
 use crate::core::common::shared::Shared;
-use crate::core::common::sync::{LEADER, block_key};
-use crate::core::{Purpose, StateOp, StateResult};
+use crate::core::common::watch_cache::{LEADER, shard_key};
+use crate::core::{StoreCallOwner, StoreRequest, StoreResponse};
 use crate::wire::encoded::Encoded;
-use crate::wire::state::{Change, Cond, JobState, PlacementRecord, RecordedMachine, Txn};
+use crate::wire::store::{
+    Compare, CompareAndSwap, JobState, Mutation, PlacementRecord, RecordedMachine,
+};
 use rustc_hash::{FxHashMap, FxHashSet};
 
 /// Bytes kept free in a record for what the estimate leaves out.
@@ -87,9 +89,9 @@
 /// One write under way.
 #[derive(Debug)]
 pub struct Written {
-    pub block: u32,
+    pub shard: u32,
     pub record: u32,
-    grant: u64,
+    fencing_token: u64,
     /// Attempts whose `run` may go out once this is on record.
     pub(super) attempts: FxHashSet<u64>,
     /// Copied from longer records.
@@ -118,20 +120,20 @@
 /// What a job's row takes, to the byte: an estimate would leave bound tasks
 /// waiting for room that is there. It is worked out once for an attempt, as it
 /// writes out three decimal numbers.
-pub fn job_row_bytes(name: &str, team: &str, need: &Res) -> usize {
+pub fn job_row_bytes(name: &str, team: &str, need: &Resources) -> usize {
     let number = |n: f64| n.to_string().len() + 3;
     let numbers = number(need.cpus) + number(need.gpus) + number(need.mem);
     name.len() + team.len() + numbers + 9
 }
 
-pub fn record_key(block: &str, record: u32) -> String {
-    format!("place/{block}/{record}")
+pub fn record_key(shard: &str, record: u32) -> String {
+    format!("place/{shard}/{record}")
 }
 
 /// Makes sure that the record which takes what is new has room for one more
 /// attempt. A record whose record lists much that is gone has the room of that,
 /// as its next write leaves it out.
-pub fn open_record(shared: &Shared, h: &mut HeldBlock, machines: &Machines, block: u32) {
+pub fn open_record(shared: &Shared, h: &mut OwnedShard, machines: &Machines, shard: u32) {
     let most = limit(shared);
     let spare = ATTEMPT_BYTES + 2 * MOST_HEADER;
     if h.records.get(h.open as usize).is_some_and(|s| !s.long && s.bytes + spare <= most) {
@@ -140,7 +142,7 @@
     // What each record will hold once it is written anew.
     let mut live = vec![HEAD_BYTES + RECORD_SLACK; h.records.len()];
     let mut jobs: FxHashSet<(u32, u32)> = FxHashSet::default();
-    for m in machines.values().filter(|m| m.block == block) {
+    for m in machines.values().filter(|m| m.shard == shard) {
         let mut add = |s: u32, n: usize| {
             if let Some(b) = live.get_mut(s as usize) {
                 *b += n;
@@ -148,7 +150,7 @@
         };
         let mut rows: FxHashSet<u32> = FxHashSet::default();
         if let Some(s) = m.record
-            && (m.row_kept || m.has_state() || m.can_retire())
+            && (m.row_kept || m.has_state() || m.can_decommission())
         {
             rows.insert(s);
         }
@@ -182,15 +184,15 @@
 
 /// A record that surely has room for one more attempt on this machine: the open
 /// one, or any other that has.
-pub fn reserve(shared: &Shared, h: &mut HeldBlock, m: &mut Machine, job: u32, team: &str) -> u32 {
+pub fn reserve(shared: &Shared, h: &mut OwnedShard, m: &mut Machine, job: u32, team: &str) -> u32 {
     let header = job_bytes(shared.jobs.id(job), team);
     let row = ATTEMPT_BYTES + machine_bytes(&m.name);
     let most = limit(shared);
-    let fits = |s: &HeldRecord| {
+    let fits_within = |s: &HeldRecord| {
         !s.long && s.bytes + row + if s.jobs.contains(&job) { 0 } else { header } <= most
     };
-    let open = Some(h.open).filter(|s| h.records.get(*s as usize).is_some_and(fits));
-    let found = open.or_else(|| h.records.iter().position(fits).map(|s| s as u32));
+    let open = Some(h.open).filter(|s| h.records.get(*s as usize).is_some_and(fits_within));
+    let found = open.or_else(|| h.records.iter().position(fits_within).map(|s| s as u32));
     let s = found.unwrap_or_else(|| {
         h.records.push(HeldRecord::new(0, 0));
         h.records.len() as u32 - 1
@@ -204,25 +206,25 @@
 /// The record that a machine's own state is on, with room kept there for its
 /// row: hundreds of machines may be isolated or returned at once, and a record
 /// that passed the limit would be rejected for ever, with all that is on it.
-fn home(shared: &Shared, h: &mut HeldBlock, m: &mut Machine) -> u32 {
+fn home(shared: &Shared, h: &mut OwnedShard, m: &mut Machine) -> u32 {
     if let Some(s) = m.record.filter(|s| !h.records.get(*s as usize).is_some_and(|s| s.long)) {
         let busy = h.records.get(s as usize).is_some_and(|s| s.write != Write::Idle);
-        let row = m.row_kept || m.isolated_written || m.returning_written;
+        let row = m.row_kept || m.cordoned_recorded || m.terminating_recorded;
         if busy || row || m.attempts.iter().any(|a| a.record == s) {
             return s;
         }
     }
     let row = machine_bytes(&m.name);
-    let fits = |s: &HeldRecord| s.bytes + row <= limit(shared);
-    let own = m.record.filter(|s| h.records.get(*s as usize).is_some_and(fits));
-    let found = own.or_else(|| h.records.iter().position(fits).map(|s| s as u32));
+    let fits_within = |s: &HeldRecord| s.bytes + row <= limit(shared);
+    let own = m.record.filter(|s| h.records.get(*s as usize).is_some_and(fits_within));
+    let found = own.or_else(|| h.records.iter().position(fits_within).map(|s| s as u32));
     let s = found.unwrap_or_else(|| {
         h.records.push(HeldRecord::new(0, 0));
         h.records.len() as u32 - 1
     });
     h.records[s as usize].bytes += row;
     m.row_kept = true;
-    if m.record != Some(s) && (m.isolated_written || m.returning_written) {
+    if m.record != Some(s) && (m.cordoned_recorded || m.terminating_recorded) {
         m.row_from = m.record;
     }
     m.record = Some(s);
@@ -231,12 +233,12 @@
 
 /// Finds new places for what a long record holds too much of: attempts and rows
 /// of machines, in whole machines. What stays leaves room for a write.
-fn spread_out(shared: &Shared, h: &mut HeldBlock, machines: &mut Machines, block: u32, record: u32) {
+fn spread_out(shared: &Shared, h: &mut OwnedShard, machines: &mut Machines, shard: u32, record: u32) {
     let most = limit(shared) * 9 / 10;
     let mut bytes = HEAD_BYTES;
     let mut jobs: FxHashSet<u32> = FxHashSet::default();
-    for m in machines.values_mut().filter(|m| m.block == block) {
-        let row = m.record == Some(record) && (m.isolated || m.returning_written);
+    for m in machines.values_mut().filter(|m| m.shard == shard) {
+        let row = m.record == Some(record) && (m.cordoned || m.terminating_recorded);
         let here = |a: &&mut Attempt| a.record == record && a.moving.is_none();
         let mut more = machine_bytes(&m.name);
         let mut any = row;
@@ -275,8 +277,8 @@
 
 /// Whether a long record can't be written yet: it still holds too much, or what
 /// is to leave it does not stand elsewhere.
-fn held_back(shared: &Shared, machines: &Machines, block: u32, record: u32) -> bool {
-    let ours = || machines.values().filter(|m| m.block == block);
+fn held_back(shared: &Shared, machines: &Machines, shard: u32, record: u32) -> bool {
+    let ours = || machines.values().filter(|m| m.shard == shard);
     let leaves = |m: &Machine| {
         m.row_from == Some(record) || m.attempts.iter().any(|a| a.record == record && a.moving.is_some())
     };
@@ -285,16 +287,17 @@
     }
     let here = |m: &Machine| m.attempts.iter().filter(|a| a.record == record).map(|a| a.id).min();
     let base = ours().filter_map(here).min().unwrap_or(0);
-    due_bytes(machines, block, record, base) > limit(shared)
+    due_bytes(machines, shard, record, base) > limit(shared)
 }
 
 /// What a record holds in any case: rows that it may have already, and those
 /// of machines with a state of their own.
-fn due_bytes(machines: &Machines, block: u32, record: u32, base: u64) -> usize {
+fn due_bytes(machines: &Machines, shard: u32, record: u32, base: u64) -> usize {
     let mut jobs: FxHashSet<u32> = FxHashSet::default();
     let mut bytes = HEAD_BYTES;
-    for m in machines.values().filter(|m| m.block == block) {
-        let mut row = m.record == Some(record) && (m.isolated || m.returning_written || m.can_retire());
+    for m in machines.values().filter(|m| m.shard == shard) {
+        let mut row =
+            m.record == Some(record) && (m.cordoned || m.terminating_recorded || m.can_decommission());
         for a in m.attempts.iter().filter(|a| a.record == record && (a.written || a.tried)) {
             row = true;
             bytes += 5 + digits(u64::from(a.task)) + digits(a.id - base);
@@ -323,13 +326,13 @@
 }
 
 /// Writes the records that have something new, and reads back those in doubt.
-pub fn write_all(shared: &mut Shared, blocks: &mut [Option<HeldBlock>], machines: &mut Machines) {
+pub fn write_all(shared: &mut Shared, shards: &mut [Option<OwnedShard>], machines: &mut Machines) {
     let Some(term) = shared.leader.as_ref().map(|(_, t)| *t) else { return };
     let now = shared.now;
-    if !blocks.iter().flatten().any(|h| h.load == Load::Done) {
+    if !shards.iter().flatten().any(|h| h.load == Load::Done) {
         return;
     }
-    for (b, h) in blocks.iter_mut().enumerate() {
+    for (b, h) in shards.iter_mut().enumerate() {
         let Some(h) = h.as_mut().filter(|h| h.load == Load::Done) else { continue };
         // A leader that has yet to read all records would miss an attempt that
         // moves from one that it reads later to one that it has read.
@@ -346,31 +349,31 @@
     // What waits, record by record; false: not pressing.
     let mut needs: FxHashMap<(u32, u32), bool> = FxHashMap::default();
     for m in machines.values_mut() {
-        let Some(h) = blocks[m.block as usize].as_mut() else { continue };
-        if h.load != Load::Done || h.grant != m.grant {
+        let Some(h) = shards[m.shard as usize].as_mut() else { continue };
+        if h.load != Load::Done || h.fencing_token != m.fencing_token {
             continue;
         }
         if h.term == term {
             for a in m.attempts.iter().filter(|a| a.unwritten(shared)) {
-                needs.insert((m.block, a.record), true);
+                needs.insert((m.shard, a.record), true);
             }
         }
         for a in &m.attempts {
             if let Some(to) = a.moving {
-                needs.insert((m.block, to), true);
+                needs.insert((m.shard, to), true);
             }
         }
         if let (Some(_), Some(home)) = (m.row_from, m.record) {
             // Its long record can't shrink before this one has the row.
-            needs.insert((m.block, home), true);
+            needs.insert((m.shard, home), true);
         }
-        if m.can_retire() || m.isolated != m.isolated_written {
+        if m.can_decommission() || m.cordoned != m.cordoned_recorded {
             let record = home(shared, h, m);
-            *needs.entry((m.block, record)).or_default() |= m.can_retire();
+            *needs.entry((m.shard, record)).or_default() |= m.can_decommission();
         }
     }
     let pressing = needs.values().filter(|press| **press).count().max(1);
-    for (b, h) in blocks.iter_mut().enumerate() {
+    for (b, h) in shards.iter_mut().enumerate() {
         let Some(h) = h.as_mut().filter(|h| h.load == Load::Done) else { continue };
         for s in 0..h.records.len() {
             let key = (b as u32, s as u32);
@@ -380,9 +383,13 @@
             }
             if record.write == Write::OutcomeUnknown {
                 record.write = Write::Rereading;
-                let call = HolderCall::Reread { block: key.0, record: key.1, grant: h.grant };
-                let key = record_key(&shared.blocks[b].name, key.1);
-                shared.state_call(Purpose::Holder(call), StateOp::Get(key));
+                let call = ShardOwnerCall::Reread {
+                    shard: key.0,
+                    record: key.1,
+                    fencing_token: h.fencing_token,
+                };
+                let key = record_key(&shared.shards[b].name, key.1);
+                shared.send_store_request(StoreCallOwner::ShardOwner(call), StoreRequest::Get(key));
                 continue;
             }
             if record.write != Write::Idle || now < record.next_at {
@@ -418,40 +425,40 @@
 /// One record as it is now, under the conditions of all that is new in it.
 fn write(
     shared: &mut Shared,
-    h: &mut HeldBlock,
+    h: &mut OwnedShard,
     machines: &mut Machines,
-    (block, record): (u32, u32),
+    (shard, record): (u32, u32),
     term: u64,
 ) {
-    let block_name = shared.blocks[block as usize].name.clone();
+    let block_name = shared.shards[shard as usize].name.clone();
     let key = record_key(&block_name, record);
-    let conds = vec![
-        Cond { key: LEADER.into(), version: term },
-        Cond { key: block_key(&block_name), version: h.grant },
-        Cond { key: key.clone(), version: h.records[record as usize].version },
+    let compares = vec![
+        Compare { key: LEADER.into(), version: term },
+        Compare { key: shard_key(&block_name), version: h.fencing_token },
+        Compare { key: key.clone(), version: h.records[record as usize].version },
     ];
     let here = |a: &&Attempt| a.record == record || a.moving == Some(record);
     let ids = machines
         .values()
-        .filter(|m| m.block == block)
+        .filter(|m| m.shard == shard)
         .flat_map(|m| m.attempts.iter().filter(here).map(|a| a.id));
     let base = ids.min().unwrap_or(0);
     let written = Written {
-        block,
+        shard,
         record,
-        grant: h.grant,
+        fencing_token: h.fencing_token,
         attempts: FxHashSet::default(),
         moved: FxHashSet::default(),
         flags: FxHashMap::default(),
     };
-    let bytes = due_bytes(machines, block, record, base);
+    let bytes = due_bytes(machines, shard, record, base);
     // A binding granted by a former leader has no standing.
     let takes_new = h.term == term;
-    let mut draft = RecordDraft::new(written, conds, base, bytes, takes_new);
-    for (ix, m) in machines.iter_mut().filter(|(_, m)| m.block == block) {
+    let mut draft = RecordDraft::new(written, compares, base, bytes, takes_new);
+    for (ix, m) in machines.iter_mut().filter(|(_, m)| m.shard == shard) {
         draft.add_machine(shared, ix, m);
     }
-    let RecordDraft { record: content, job_rows, written, conds, .. } = draft;
+    let RecordDraft { record: content, job_rows, written, compares, .. } = draft;
     let state = &mut h.records[record as usize];
     state.write = Write::InFlight;
     state.stale = None;
@@ -459,15 +466,18 @@
     // What is bound but did not get its condition yet still needs its place.
     let value = Encoded::new(&content);
     let bytes = value.len() + RECORD_SLACK;
-    state.bytes = bytes + unwritten_bytes(shared, machines, block, record, &written);
-    let txn = Txn { conds, changes: vec![Change::Put { key, value, lease: None }] };
-    shared.state_call(Purpose::Holder(HolderCall::Write(written)), StateOp::Txn(txn));
+    state.bytes = bytes + unwritten_bytes(shared, machines, shard, record, &written);
+    let txn = CompareAndSwap { compares, changes: vec![Mutation::Put { key, value, lease: None }] };
+    shared.send_store_request(
+        StoreCallOwner::ShardOwner(ShardOwnerCall::Write(written)),
+        StoreRequest::CompareAndSwap(txn),
+    );
 }
 
 fn unwritten_bytes(
     shared: &Shared,
     machines: &Machines,
-    block: u32,
+    shard: u32,
     record: u32,
     done: &Written,
 ) -> usize {
@@ -475,7 +485,7 @@
         a.record == record && a.unwritten(shared) && !done.attempts.contains(&a.id)
             || a.moving == Some(record) && !done.moved.contains(&a.id)
     };
-    let ours = machines.values().filter(|m| m.block == block);
+    let ours = machines.values().filter(|m| m.shard == shard);
     let row =
         |m: &Machine| m.attempts.iter().filter(left).count() * (ATTEMPT_BYTES + machine_bytes(&m.name));
     ours.map(row).sum()
@@ -486,7 +496,7 @@
 /// the leader who granted them; with its answer lost, reading it back would then
 /// pass for leave to start them.
 fn untried(machines: &mut Machines, w: &Written) {
-    let ours = machines.values_mut().filter(|m| m.block == w.block);
+    let ours = machines.values_mut().filter(|m| m.shard == w.shard);
     for a in ours.flat_map(|m| &mut m.attempts).filter(|a| w.attempts.contains(&a.id)) {
         a.tried = a.written;
     }
@@ -494,24 +504,24 @@
 
 pub fn on_written(
     shared: &mut Shared,
-    h: &mut HeldBlock,
+    h: &mut OwnedShard,
     machines: &mut Machines,
     w: Written,
-    result: StateResult,
+    result: StoreResponse,
 ) {
-    if h.grant != w.grant {
+    if h.fencing_token != w.fencing_token {
         return;
     }
     let Some(record) = h.records.get_mut(w.record as usize) else { return };
     match &result {
-        StateResult::Done { revision } => {
+        StoreResponse::Committed { revision } => {
             record.write = Write::Idle;
             record.version = *revision;
             record.long = false;
             h.dirty = true;
             let mut emptier = Vec::new();
             let mut moved = 0;
-            for (ix, m) in machines.iter_mut().filter(|(_, m)| m.block == w.block) {
+            for (ix, m) in machines.iter_mut().filter(|(_, m)| m.shard == w.shard) {
                 for a in &mut m.attempts {
                     if a.record == w.record {
                         if w.attempts.contains(&a.id) {
@@ -530,8 +540,8 @@
                     }
                     let f = w.flags.get(&ix).copied().unwrap_or(0);
                     m.row_kept = false;
-                    m.isolated_written = f & RecordedMachine::ISOLATED != 0;
-                    m.returning_written |= f & RecordedMachine::RETURNING != 0;
+                    m.cordoned_recorded = f & RecordedMachine::CORDONED != 0;
+                    m.terminating_recorded |= f & RecordedMachine::TERMINATING != 0;
                 }
             }
             if moved < w.moved.len() {
@@ -540,23 +550,23 @@
             }
             mark_stale(h, emptier, shared.now);
         }
-        StateResult::NotExecuted => {
+        StoreResponse::NotExecuted => {
             untried(machines, &w);
             record.write = Write::Idle;
             record.stale.get_or_insert(shared.now);
             record.retry_at = shared.now + shared.jitter(200);
         }
-        StateResult::Failed(keys) => {
+        StoreResponse::Conflict(keys) => {
             untried(machines, &w);
-            let key = record_key(&shared.blocks[w.block as usize].name, w.record);
+            let key = record_key(&shared.shards[w.shard as usize].name, w.record);
             record.write = if keys.contains(&key) { Write::OutcomeUnknown } else { Write::Idle };
             record.stale.get_or_insert(shared.now);
             record.retry_at = shared.now + shared.jitter(80);
         }
-        StateResult::Bad => {
+        StoreResponse::Malformed => {
             // Longer than the service takes, whatever the settings say: never
             // again as it is.
-            let key = record_key(&shared.blocks[w.block as usize].name, w.record);
+            let key = record_key(&shared.shards[w.shard as usize].name, w.record);
             tracing::error!(key, "record rejected; what it holds goes to others");
             record.write = Write::OutcomeUnknown;
             record.long = true;
@@ -572,14 +582,14 @@
 
 pub fn on_reread(
     shared: &mut Shared,
-    h: &mut HeldBlock,
+    h: &mut OwnedShard,
     machines: &mut Machines,
-    (block, record): (u32, u32),
-    result: StateResult,
+    (shard, record): (u32, u32),
+    result: StoreResponse,
 ) {
     let Some(state) = h.records.get_mut(record as usize) else { return };
     match result {
-        StateResult::Item(i) => {
+        StoreResponse::KeyValue(i) => {
             let bytes = i.value.len();
             let Ok(rec) = i.value.decode::<PlacementRecord>() else {
                 tracing::error!(key = i.key, "unreadable record");
@@ -594,12 +604,12 @@
             let mut emptier = Vec::new();
             let listed: FxHashMap<&str, &RecordedMachine> =
                 rec.machines.iter().map(|m| (m.0.as_str(), m)).collect();
-            for m in machines.values_mut().filter(|m| m.block == block) {
+            for m in machines.values_mut().filter(|m| m.shard == shard) {
                 let row = listed.get(m.name.as_str());
                 if m.record == Some(record) {
-                    m.isolated_written = row.is_some_and(|r| r.is(RecordedMachine::ISOLATED));
-                    m.returning_written |= row.is_some_and(|r| r.is(RecordedMachine::RETURNING));
-                    let state = RecordedMachine::ISOLATED | RecordedMachine::RETURNING;
+                    m.cordoned_recorded = row.is_some_and(|r| r.is(RecordedMachine::CORDONED));
+                    m.terminating_recorded |= row.is_some_and(|r| r.is(RecordedMachine::TERMINATING));
+                    let state = RecordedMachine::CORDONED | RecordedMachine::TERMINATING;
                     if row.is_some_and(|r| r.is(state)) || !m.has_state() {
                         emptier.extend(m.row_from.take());
                     }
@@ -620,10 +630,10 @@
             mark_stale(h, emptier, shared.now);
             h.dirty = true;
         }
-        StateResult::Missing => {
+        StoreResponse::NotFound => {
             state.write = Write::Idle;
             state.version = 0;
-            let ours = machines.values_mut().filter(|m| m.block == block);
+            let ours = machines.values_mut().filter(|m| m.shard == shard);
             for a in ours.flat_map(|m| &mut m.attempts).filter(|a| a.record == record) {
                 a.tried = a.written;
             }
@@ -636,7 +646,7 @@
 }
 
 /// Marks that records list what is gone.
-pub fn mark_stale(h: &mut HeldBlock, records: impl IntoIterator<Item = u32>, now: Ms) {
+pub fn mark_stale(h: &mut OwnedShard, records: impl IntoIterator<Item = u32>, now: Ms) {
     for s in records {
         if let Some(s) = h.records.get_mut(s as usize) {
             s.stale.get_or_insert(now);
--- a/src/core/holder/squaring.rs
+++ b/src/core/shard_owner/reconciliation.rs
@@ -2,20 +2,20 @@
 //! prove is decided by `woadlever_recovery`.
 
 use super::machine::{Attempt, Machine};
-use super::{Holder, Load};
+use super::{Load, ShardOwner};
 use crate::core::common::model::{Ms, split_task};
 use crate::core::common::shared::Shared;
-use crate::wire::workers::{Command, Op, ReportTask, TaskState};
+use crate::wire::workers::{Command, CommandAction, HeartbeatTask, TaskState};
 use rustc_hash::FxHashSet;
-use woadlever_recovery::attempt::{self, AttemptPhase, Order, Verdict};
-use woadlever_recovery::block::BlockRecovery;
+use woadlever_recovery::attempt::{self, AttemptPhase, Verdict, WorkerAction};
+use woadlever_recovery::shard::ShardRecovery;
 
-impl Holder {
+impl ShardOwner {
     /// Machines whose lease has surely ended hold nothing any more.
     pub(super) fn check_leases(&mut self, shared: &mut Shared) {
         let timing = shared.timing();
         for m in self.machines.values_mut() {
-            let Some(h) = &mut self.blocks[m.block as usize] else { continue };
+            let Some(h) = &mut self.shards[m.shard as usize] else { continue };
             // A report that waits for its answer is no silence: the first one
             // of a new machine would pass for the end of a lease that never
             // began, and its tasks would be granted again while it got them.
@@ -30,34 +30,34 @@
             if m.attempts.iter().any(|a| !a.phase.has_ended()) {
                 tracing::info!(machine = m.name, "lease ended; its tasks are gone");
             }
-            h.recovery.count_lease_ended(m.unsquared() as u32);
+            h.recovery.count_lease_ended(m.unreconciled_attempts() as u32);
             let gone = m.attempts.extract_if(.., |a| attempt::ends_with_lease(&a.state()));
-            h.give_up(gone.map(|a| (a.id, a.record)), shared.now);
+            h.note_gone_attempts(gone.map(|a| (a.id, a.record)), shared.now);
             h.dirty = true;
         }
     }
 
     /// Tells of blocks whose last attempt has been squared.
     pub(super) fn follow_recovery(&mut self, shared: &Shared) {
-        for (b, held) in self.blocks.iter_mut().enumerate() {
-            let Some(h) = held.as_mut().filter(|h| h.recovery.is_squaring()) else { continue };
-            let of_block = self.machines.values().filter(|m| m.block as usize == b);
-            let unsquared = of_block.map(Machine::unsquared).sum();
-            if h.recovery.settle(unsquared) {
-                log_phase(shared, b, h.grant, &h.recovery);
+        for (b, held) in self.shards.iter_mut().enumerate() {
+            let Some(h) = held.as_mut().filter(|h| h.recovery.is_reconciling()) else { continue };
+            let of_block = self.machines.values().filter(|m| m.shard as usize == b);
+            let unreconciled_attempts = of_block.map(Machine::unreconciled_attempts).sum();
+            if h.recovery.settle(unreconciled_attempts) {
+                log_phase(shared, b, h.fencing_token, &h.recovery);
             }
         }
     }
 }
 
 /// Tells operators of a block's phase; `woadlever-recovery-report` reads these lines.
-pub(super) fn log_phase(shared: &Shared, block: usize, grant: u64, recovery: &BlockRecovery) {
+pub(super) fn log_phase(shared: &Shared, shard: usize, fencing_token: u64, recovery: &ShardRecovery) {
     let tally = recovery.tally();
     tracing::info!(
         target: "woadlever::recovery",
         format = LOG_FORMAT,
-        block = shared.blocks[block].name,
-        grant,
+        block = shared.shards[shard].name,
+        grant = fencing_token,
         phase = recovery.phase().name(),
         age_ms = recovery.age_ms(shared.now),
         revision = recovery.revision(),
@@ -75,11 +75,11 @@
 
 /// Takes in what a report says of the machine's tasks, and what it proves by
 /// not saying it. The attempts that are gone, with their records.
-pub(super) fn square_report(
+pub(super) fn reconcile_heartbeat(
     shared: &mut Shared,
     m: &mut Machine,
-    tasks: &[ReportTask],
-    recovery: &mut BlockRecovery,
+    tasks: &[HeartbeatTask],
+    recovery: &mut ShardRecovery,
     commands: &mut Vec<Command>,
 ) -> Vec<(u64, u32)> {
     let listed = note_listed(shared, m, tasks, recovery, commands);
@@ -113,14 +113,14 @@
 fn note_listed(
     shared: &Shared,
     m: &mut Machine,
-    tasks: &[ReportTask],
-    recovery: &mut BlockRecovery,
+    tasks: &[HeartbeatTask],
+    recovery: &mut ShardRecovery,
     commands: &mut Vec<Command>,
 ) -> FxHashSet<u64> {
     let mut listed: FxHashSet<u64> = FxHashSet::default();
     for task in tasks {
         let found = split_task(&task.task).and_then(|(job, number)| {
-            let job = shared.job_ix(job)?;
+            let job = shared.job_index(job)?;
             let is_it = |a: &&mut Attempt| a.id == task.attempt && a.job == job && a.task == number;
             m.attempts.iter_mut().find(is_it)
         });
@@ -139,16 +139,16 @@
     listed
 }
 
-fn command_for_unrecorded(task: &ReportTask) -> Command {
-    let order = attempt::order_for_unrecorded(task.state == TaskState::Exited);
+fn command_for_unrecorded(task: &HeartbeatTask) -> Command {
+    let order = attempt::action_for_unrecorded(task.state == TaskState::Exited);
     let (op, grace_s) = match order {
-        Order::Clear => (Op::Forget, None),
-        _ => (Op::Stop, Some(0.0)),
+        WorkerAction::Clear => (CommandAction::Forget, None),
+        _ => (CommandAction::Stop, Some(0.0)),
     };
     Command { op, task: task.task.clone(), attempt: task.attempt, grace_s }
 }
 
-fn phase_of(task: &ReportTask) -> AttemptPhase {
+fn phase_of(task: &HeartbeatTask) -> AttemptPhase {
     match task.state {
         TaskState::Fetching => AttemptPhase::Fetching,
         TaskState::Running | TaskState::Other => AttemptPhase::Running,
--- a/src/core/holder/record_draft.rs
+++ b/src/core/shard_owner/record_draft.rs
@@ -4,8 +4,8 @@
 use super::machine::{Attempt, Machine};
 use super::placement_records::{Written, digits, limit, machine_bytes};
 use crate::core::common::shared::Shared;
-use crate::core::common::sync::job_key;
-use crate::wire::state::{Cond, PlacementRecord, RecordedJob, RecordedMachine};
+use crate::core::common::watch_cache::job_key;
+use crate::wire::store::{Compare, PlacementRecord, RecordedJob, RecordedMachine};
 use rustc_hash::{FxHashMap, FxHashSet};
 
 /// Separators around an attempt's three numbers.
@@ -19,7 +19,7 @@
     /// Rows of the record's jobs.
     pub(super) job_rows: FxHashMap<u32, u32>,
     pub(super) written: Written,
-    pub(super) conds: Vec<Cond>,
+    pub(super) compares: Vec<Compare>,
     /// Jobs with a condition of their own.
     checked_jobs: FxHashSet<u32>,
     /// Length of the record with all that it holds in any case and what was added.
@@ -31,7 +31,7 @@
 impl RecordDraft {
     pub(super) fn new(
         written: Written,
-        conds: Vec<Cond>,
+        compares: Vec<Compare>,
         base: u64,
         bytes: usize,
         takes_new: bool,
@@ -40,7 +40,7 @@
             record: PlacementRecord { base, ..PlacementRecord::default() },
             job_rows: FxHashMap::default(),
             written,
-            conds,
+            compares,
             checked_jobs: FxHashSet::default(),
             bytes,
             takes_new,
@@ -81,16 +81,17 @@
         let job_bytes = if self.job_rows.contains_key(&attempt.job) { 0 } else { attempt.job_row_bytes };
         let numbers = digits(u64::from(attempt.task)) + digits(attempt.id - self.record.base);
         let bytes = ATTEMPT_OVERHEAD + numbers + row_bytes + job_bytes;
-        let fits = self.bytes + bytes <= limit(shared);
+        let fits_within = self.bytes + bytes <= limit(shared);
         if attempt.moving == Some(self.written.record) {
             // On record elsewhere, so that it needs no condition of its own.
-            if fits {
+            if fits_within {
                 self.bytes += bytes;
                 self.written.moved.insert(attempt.id);
             }
-            return fits;
+            return fits_within;
         }
-        let may_add = self.takes_new && attempt.moving.is_none() && attempt.unwritten(shared) && fits;
+        let may_add =
+            self.takes_new && attempt.moving.is_none() && attempt.unwritten(shared) && fits_within;
         if may_add && self.check_job(shared, attempt.job) {
             self.bytes += bytes;
             attempt.tried = true;
@@ -106,11 +107,12 @@
         if self.checked_jobs.contains(&job) {
             return true;
         }
-        if self.conds.len() >= CONDS_PER_CHANGE * shared.cfg.cluster.state.txn_ops {
+        if self.compares.len() >= CONDS_PER_CHANGE * shared.cfg.cluster.state.txn_ops {
             return false;
         }
         self.checked_jobs.insert(job);
-        self.conds.push(Cond { key: job_key(shared.jobs.id(job)), version: shared.job(job).version });
+        self.compares
+            .push(Compare { key: job_key(shared.jobs.id(job)), version: shared.job(job).version });
         true
     }
 
@@ -137,7 +139,7 @@
 
 /// What the record of a machine's own record has to say of it.
 fn state_flags(machine: &Machine) -> u8 {
-    let isolated = if machine.isolated { RecordedMachine::ISOLATED } else { 0 };
-    let returning = machine.returning_written || machine.can_retire();
-    isolated | if returning { RecordedMachine::RETURNING } else { 0 }
+    let cordoned = if machine.cordoned { RecordedMachine::CORDONED } else { 0 };
+    let terminating = machine.terminating_recorded || machine.can_decommission();
+    cordoned | if terminating { RecordedMachine::TERMINATING } else { 0 }
 }
--- a/src/core/holder/reported_state.rs
+++ b/src/core/shard_owner/reported_state.rs
@@ -2,12 +2,12 @@
 //! design's projection of their machines.
 
 use super::machine::Machine;
-use super::{Holder, Load};
-use crate::core::common::model::{MachineType, Ms, Res};
+use super::{Load, ShardOwner};
+use crate::core::common::model::{MachineType, Ms, Resources};
 use crate::core::common::shared::Shared;
 use crate::core::common::window::{self, Booking};
 use crate::wire::peer::{
-    Body, ReportedJob, ReportedMachine, ReportedPhase, ReportedState, ReportedTask,
+    PeerMessage, ReportedJob, ReportedMachine, ReportedPhase, ReportedState, ReportedTask,
 };
 use rustc_hash::FxHashMap;
 use std::cmp::Reverse;
@@ -20,18 +20,18 @@
 /// A machine's load in millionths of its room that leaves no doubt.
 const WAITING_ENOUGH: u64 = 3_000_000;
 
-impl Holder {
+impl ShardOwner {
     /// Each waiting task counts once, on its best-fit machine: the one with the
     /// most room left when earlier ones are counted.
-    fn waiting_on(&self, shared: &Shared, block: usize) -> FxHashMap<u32, Res> {
-        let mut extra: FxHashMap<u32, Res> = FxHashMap::default();
-        let Some(h) = self.blocks[block].as_ref().filter(|h| !h.waiting.is_empty()) else {
+    fn waiting_on(&self, shared: &Shared, shard: usize) -> FxHashMap<u32, Resources> {
+        let mut extra: FxHashMap<u32, Resources> = FxHashMap::default();
+        let Some(h) = self.shards[shard].as_ref().filter(|h| !h.waiting.is_empty()) else {
             return extra;
         };
-        let mut able: Vec<(u32, &Machine, &MachineType, Res)> = Vec::new();
-        let ours = |m: &Machine| m.block as usize == block && m.takes_tasks(shared);
+        let mut able: Vec<(u32, &Machine, &MachineType, Resources)> = Vec::new();
+        let ours = |m: &Machine| m.shard as usize == shard && m.takes_tasks(shared);
         for (ix, m) in self.machines.iter().filter(|(_, m)| ours(m)) {
-            if let Some(t) = shared.type_ix(&m.type_name) {
+            if let Some(t) = shared.machine_type_index(&m.type_name) {
                 able.push((ix, m, &shared.types[t], m.used()));
             }
         }
@@ -44,9 +44,9 @@
             }
             let Some(spec) = shared.job(job).spec.clone() else { continue };
             let need = spec.need();
-            let parts = |load: &Res, t: &MachineType| (load.share_of(&t.room) * 1e6) as u64;
+            let parts = |load: &Resources, t: &MachineType| (load.dominant_share(&t.room) * 1e6) as u64;
             let fit = |m: &Machine, t: &MachineType| {
-                window::allowed(&spec, &m.type_name, &m.zone, m.spot) && need.fits(&t.room)
+                window::allowed(&spec, &m.type_name, &m.zone, m.spot) && need.fits_within(&t.room)
             };
             let mut heap: BinaryHeap<Reverse<(u64, usize)>> = open
                 .iter()
@@ -70,14 +70,16 @@
     }
 
     pub(super) fn project(&mut self, shared: &mut Shared) {
-        for b in 0..self.blocks.len() {
-            if self.blocks[b].is_none() {
+        for b in 0..self.shards.len() {
+            if self.shards[b].is_none() {
                 continue;
             }
             let extra = self.waiting_on(shared, b);
             let mut changed = false;
-            for (ix, m) in self.machines.iter_mut().filter(|(_, m)| m.block as usize == b) {
-                let Some(t) = shared.type_ix(&m.type_name).map(|t| &shared.types[t]) else { continue };
+            for (ix, m) in self.machines.iter_mut().filter(|(_, m)| m.shard as usize == b) {
+                let Some(t) = shared.machine_type_index(&m.type_name).map(|t| &shared.types[t]) else {
+                    continue;
+                };
                 let bookings: Vec<Booking> = m
                     .attempts
                     .iter()
@@ -94,7 +96,7 @@
                 m.overloaded = p.overloaded;
                 m.peak = p.peak;
             }
-            if changed && let Some(h) = &mut self.blocks[b] {
+            if changed && let Some(h) = &mut self.shards[b] {
                 h.dirty = true;
             }
         }
@@ -103,12 +105,12 @@
     pub(super) fn tell_leader(&mut self, shared: &mut Shared) {
         let Some((leader, term)) = shared.leader.clone() else { return };
         let now = shared.now;
-        for b in 0..self.blocks.len() {
-            let Some(h) = &mut self.blocks[b] else { continue };
+        for b in 0..self.shards.len() {
+            let Some(h) = &mut self.shards[b] else { continue };
             if h.load != Load::Done {
                 continue;
             }
-            let gap = shared.widened(REPORTED_GAP_MS, h.size);
+            let gap = shared.load_adjusted_gap(REPORTED_GAP_MS, h.size);
             let due = h.sent_at + if h.dirty { gap } else { REPORTED_EVERY_MS.max(gap) };
             if now < due && h.sent_at != 0 {
                 continue;
@@ -118,20 +120,20 @@
             let echo = if h.term == term { h.echo } else { 0 };
             let mut have = ReportedState {
                 term,
-                block: b as u32,
-                grant: h.grant,
+                shard: b as u32,
+                fencing_token: h.fencing_token,
                 echo,
                 types: Vec::new(),
                 jobs: Vec::new(),
                 machines: Vec::new(),
             };
             let mut rows: FxHashMap<u32, u32> = FxHashMap::default();
-            for m in self.machines.values().filter(|m| m.block as usize == b) {
+            for m in self.machines.values().filter(|m| m.shard as usize == b) {
                 let m = reported_machine(shared, m, &mut have, &mut rows);
                 have.machines.push(m);
             }
             h.size = have.machines.iter().map(|m| 1 + m.tasks.len()).sum();
-            shared.send(&leader.node, Body::ReportedState(have));
+            shared.send(&leader.node, PeerMessage::ReportedState(have));
         }
     }
 }
@@ -181,11 +183,11 @@
         machine: m.name.clone(),
         machine_type,
         spot: m.spot,
-        silent_ms: m.worker.last_report().map_or(u64::MAX, |at| shared.now - at),
-        notice: m.notice,
-        returning: m.returning_written,
+        silent_ms: m.worker.last_heartbeat().map_or(u64::MAX, |at| shared.now - at),
+        preemption_notice: m.preemption_notice,
+        terminating: m.terminating_recorded,
         fenced: m.worker.is_fenced(),
-        deaf: m.worker.is_unreachable(),
+        unreachable: m.worker.is_unreachable(),
         peak: m.peak,
         overloaded: m.overloaded,
         tasks,
--- a/src/core/holder/worker_heartbeats.rs
+++ b/src/core/shard_owner/worker_heartbeats.rs
@@ -2,14 +2,14 @@
 //! what they are told in answer.
 
 use super::machine::{Attempt, Held, Machine};
-use super::squaring::square_report;
-use super::{Holder, Load};
+use super::reconciliation::reconcile_heartbeat;
+use super::{Load, ShardOwner};
 use crate::core::common::model::Ms;
 use crate::core::common::shared::Shared;
-use crate::wire::state::JobState;
-use crate::wire::workers::{Command, Op, Redirect, Report, ReportAnswer};
-use woadlever_recovery::attempt::{self, AttemptPhase, JobStanding, Order};
-use woadlever_recovery::session::{self, Rejection, ReportHeader, ReportVersion};
+use crate::wire::store::JobState;
+use crate::wire::workers::{Command, CommandAction, HeartbeatResponse, Redirect, WorkerHeartbeat};
+use woadlever_recovery::attempt::{self, AttemptPhase, JobEligibility, WorkerAction};
+use woadlever_recovery::worker::{self, HeartbeatHeader, HeartbeatVersion, Rejection};
 
 /// Reports of machines with room wait for work, so long at most.
 const HOLD_IDLE_MS: Ms = 2_500;
@@ -18,55 +18,57 @@
 const HOLD_BUSY_SHARE: f64 = 0.15;
 const HOLD_BUSY_MS: std::ops::RangeInclusive<Ms> = 500..=1_500;
 
-impl Holder {
+impl ShardOwner {
     /// Takes in a worker's report.
-    pub fn checkin(&mut self, shared: &mut Shared, req: u64, report: Report) {
-        let Some(b) = shared.block_of(&report.zone, &report.machine) else {
+    pub fn on_worker_heartbeat(&mut self, shared: &mut Shared, req: u64, heartbeat: WorkerHeartbeat) {
+        let Some(b) = shared.shard_of(&heartbeat.zone, &heartbeat.machine) else {
             return shared.refuse(req, 400, "unknown zone", Some("yard"));
         };
         if !shared.synced {
             return shared.busy(req, "not yet in touch with the state service");
         }
-        let holds = self.blocks[b as usize].as_ref().map(|h| (h.grant, h.load));
-        let Some((grant, load)) = holds else { return redirect(shared, req, b) };
-        if !shared.has_authority() {
+        let holds = self.shards[b as usize].as_ref().map(|h| (h.fencing_token, h.load));
+        let Some((fencing_token, load)) = holds else { return redirect(shared, req, b) };
+        if !shared.has_control_lease() {
             return shared.busy(req, "no proof of authority");
         }
-        let version = ReportVersion { session: report.session, seq: report.seq };
-        let header = ReportHeader { version, token: report.token };
-        if let Err(why) = session::check_token(header, grant) {
+        let version =
+            HeartbeatVersion { incarnation: heartbeat.incarnation, sequence: heartbeat.sequence };
+        let header = HeartbeatHeader { version, fencing_token: heartbeat.fencing_token };
+        if let Err(why) = worker::check_fencing_token(header, fencing_token) {
             return reject(shared, req, why);
         }
-        if self.gone.contains(&report.machine) {
+        if self.gone.contains(&heartbeat.machine) {
             return shared.busy(req, "this machine has been returned");
         }
-        let blank = || Machine::blank(&report.machine, b, grant);
-        let (ix, m) = self.machines.get_or_insert_with(&report.machine, blank);
-        if m.grant != grant || m.block != b {
+        let blank = || Machine::blank(&heartbeat.machine, b, fencing_token);
+        let (ix, m) = self.machines.get_or_insert_with(&heartbeat.machine, blank);
+        if m.fencing_token != fencing_token || m.shard != b {
             let held = m.held.take();
-            *m = Machine::blank(&report.machine, b, grant);
+            *m = Machine::blank(&heartbeat.machine, b, fencing_token);
             m.held = held;
         }
         let only_node = shared.cfg.peers.is_empty();
-        if let Err(why) = m.worker.accept(header, grant, only_node, &shared.timing(), shared.now) {
+        if let Err(why) = m.worker.accept(header, fencing_token, only_node, &shared.timing(), shared.now)
+        {
             return reject(shared, req, why);
         }
-        m.addr = report.addr;
-        m.type_name = report.machine_type;
-        m.zone = report.zone;
-        m.spot = report.spot;
-        m.notice = report.notice_s.is_some();
+        m.addr = heartbeat.addr;
+        m.type_name = heartbeat.machine_type;
+        m.zone = heartbeat.zone;
+        m.spot = heartbeat.spot;
+        m.preemption_notice = heartbeat.preemption_notice_s.is_some();
         // The worker has given the earlier report up.
         let stale = m.held.take();
         let mut commands = Vec::new();
-        if let Some(h) = &mut self.blocks[b as usize] {
+        if let Some(h) = &mut self.shards[b as usize] {
             h.dirty = true;
             // Before the records have been read the report is answered all the same,
             // so that the worker's lease goes on, but without any order.
             if load == Load::Done {
                 let recovery = &mut h.recovery;
-                let gone = square_report(shared, m, &report.tasks, recovery, &mut commands);
-                h.give_up(gone, shared.now);
+                let gone = reconcile_heartbeat(shared, m, &heartbeat.tasks, recovery, &mut commands);
+                h.note_gone_attempts(gone, shared.now);
             }
         }
         let hold = if load == Load::Done && commands.is_empty() { hold_ms(shared, m) } else { 0 };
@@ -84,16 +86,21 @@
     fn answer_held(&mut self, shared: &mut Shared, ix: u32) {
         let Some(m) = self.machines.get_mut(ix) else { return };
         let Some(held) = m.held.take() else { return };
-        let block = self.blocks[m.block as usize].as_ref().filter(|h| h.grant == m.grant);
-        let Some(block) = block.filter(|_| shared.has_authority()) else {
+        let shard =
+            self.shards[m.shard as usize].as_ref().filter(|h| h.fencing_token == m.fencing_token);
+        let Some(shard) = shard.filter(|_| shared.has_control_lease()) else {
             return shared.busy(held.req, "no proof of authority");
         };
         let mut commands = held.commands;
-        if block.load == Load::Done {
+        if shard.load == Load::Done {
             add_orders(shared, m, &mut commands);
         }
-        m.worker.note_answer(shared.now);
-        shared.answer_json(held.req, 200, &ReportAnswer { token: m.grant, commands });
+        m.worker.note_response(shared.now);
+        shared.answer_json(
+            held.req,
+            200,
+            &HeartbeatResponse { fencing_token: m.fencing_token, commands },
+        );
     }
 
     /// Held reports are answered at the moment that work appears for their
@@ -117,7 +124,7 @@
     if !m.takes_tasks(shared) {
         return 0;
     }
-    let Some(t) = shared.type_ix(&m.type_name).map(|t| &shared.types[t]) else { return 0 };
+    let Some(t) = shared.machine_type_index(&m.type_name).map(|t| &shared.types[t]) else { return 0 };
     let ready = m.attempts.iter().any(Attempt::is_ready);
     let ended = m.attempts.iter().any(|a| a.phase.has_ended() && !a.wanted);
     if ready || ended {
@@ -125,7 +132,7 @@
     }
     if m.attempts.is_empty() {
         HOLD_IDLE_MS
-    } else if m.used().share_of(&t.room) < 0.95 {
+    } else if m.used().dominant_share(&t.room) < 0.95 {
         let share = shared.cfg.cluster.workers.report_s * 1000.0 * HOLD_BUSY_SHARE;
         (share as Ms).clamp(*HOLD_BUSY_MS.start(), *HOLD_BUSY_MS.end())
     } else {
@@ -151,9 +158,9 @@
     shared.busy(req, why);
 }
 
-fn redirect(shared: &mut Shared, req: u64, block: u32) {
-    let holder = shared.block_recs[block as usize].as_ref().map(|(r, _)| r.node.clone());
-    match holder {
+fn redirect(shared: &mut Shared, req: u64, shard: u32) {
+    let shard_owner = shared.shard_records[shard as usize].as_ref().map(|(r, _)| r.node.clone());
+    match shard_owner {
         Some(node) if node != shared.me => {
             shared.answer_json(req, 421, &Redirect { report_to: Some(node) });
         }
@@ -166,27 +173,27 @@
     for a in &mut m.attempts {
         let job = shared.job(a.job);
         let spec = job.spec.as_deref();
-        let standing = JobStanding {
+        let standing = JobEligibility {
             is_live: job.state == JobState::Live,
             is_cancelled: shared.must_stop(a.job),
             saves: spec.is_some_and(|spec| spec.checkpoint_s > 0.0),
         };
-        let starts_allowed = !m.returning_written;
+        let starts_allowed = !m.terminating_recorded;
         let worker = &m.worker;
         let order =
-            attempt::allowed_order(&a.state(), &standing, worker, a.written, a.listed, starts_allowed);
+            attempt::allowed_action(&a.state(), &standing, worker, a.written, a.listed, starts_allowed);
         let (op, grace_s) = match order {
             None => continue,
-            Some(Order::Run) => {
+            Some(WorkerAction::Run) => {
                 a.run_sent.get_or_insert(worker.newest());
                 log_run(shared, &m.name, a);
-                (Op::Start, None)
+                (CommandAction::Start, None)
             }
-            Some(Order::Stop { save }) => {
+            Some(WorkerAction::Stop { save }) => {
                 let save_s = spec.filter(|_| save).map_or(0.0, |spec| spec.save_s);
-                (Op::Stop, Some(save_s))
+                (CommandAction::Stop, Some(save_s))
             }
-            Some(Order::Clear) => (Op::Forget, None),
+            Some(WorkerAction::Clear) => (CommandAction::Forget, None),
         };
         let task = format!("{}/{}", shared.jobs.id(a.job), a.task);
         commands.push(Command { op, task, attempt: a.id, grace_s });
--- a/src/core/user_api.rs
+++ b/src/core/user_api.rs
@@ -15,10 +15,10 @@
 use super::common::feasibility::can_run;
 use super::common::model::Spec;
 use super::common::shared::{RecordSource, Shared};
-use super::common::sync::job_key;
-use super::{Purpose, StateOp, StateResult};
+use super::common::watch_cache::job_key;
+use super::{StoreCallOwner, StoreRequest, StoreResponse};
 use crate::wire::encoded::Encoded;
-use crate::wire::state::{Change, Cond, JobRecord, JobState, Txn};
+use crate::wire::store::{Compare, CompareAndSwap, JobRecord, JobState, Mutation};
 use crate::wire::users::{Invalid, StatusBody, Submission, id_of, parse_job, valid_id};
 use std::collections::HashMap;
 
@@ -90,7 +90,7 @@
     pub fn poll(&mut self, shared: &mut Shared) {
         if shared.now >= self.next_sweep {
             self.next_sweep = shared.now + 10_000;
-            shared.forget_specs();
+            shared.drop_final_specs();
         }
     }
 
@@ -120,7 +120,7 @@
         }
         // An accepted job stays accepted, whatever a later body says and
         // whatever has become of the limits.
-        if let Some(ix) = shared.job_ix(&id) {
+        if let Some(ix) = shared.job_index(&id) {
             let state = shared.job(ix).state;
             if state != JobState::Live {
                 return answer_state(shared, req, 200, &id, state);
@@ -139,7 +139,7 @@
             // service knows.
             Err(no) => return self.read(shared, id, Then::Refuse(req, no)),
         };
-        if !awaits.is_empty() && !shared.has_authority() {
+        if !awaits.is_empty() && !shared.has_control_lease() {
             return shared.busy(req, "not in touch with the state service");
         }
         self.check_awaited(shared, Check { req, id, spec, awaits });
@@ -166,28 +166,31 @@
         spec.at_ms = shared.wall;
         // Accepted all the same, but called live by no one at any time: its
         // user may have been told of that cancellation long ago.
-        let withdrawn = awaits.iter().filter_map(|a| shared.job_ix(a)).any(|ix| {
+        let withdrawn = awaits.iter().filter_map(|a| shared.job_index(a)).any(|ix| {
             let job = shared.job(ix);
-            job.state == JobState::Cancelled || job.links.doomed
+            job.state == JobState::Cancelled || job.links.has_cancelled_dependency
         });
         let rec =
             if withdrawn { JobRecord::cancelled(spec.tasks) } else { JobRecord::live(spec, &awaits) };
         let state = rec.state;
         let key = job_key(&id);
         let value = Encoded::new(&rec);
-        let txn = Txn {
-            conds: vec![Cond { key: key.clone(), version: 0 }],
-            changes: vec![Change::Put { key, value, lease: None }],
+        let txn = CompareAndSwap {
+            compares: vec![Compare { key: key.clone(), version: 0 }],
+            changes: vec![Mutation::Put { key, value, lease: None }],
         };
         self.waiting += 1;
-        shared.state_call(Purpose::UserApi(UserApiCall::Submit { req, id, state }), StateOp::Txn(txn));
+        shared.send_store_request(
+            StoreCallOwner::UserApi(UserApiCall::Submit { req, id, state }),
+            StoreRequest::CompareAndSwap(txn),
+        );
     }
 
     pub fn status(&mut self, shared: &mut Shared, req: u64, id: &str) {
         if !valid_id(id) || is_hosted(shared, id) {
             return shared.refuse(req, 404, "no such job", None);
         }
-        if let Some(ix) = shared.job_ix(id) {
+        if let Some(ix) = shared.job_index(id) {
             let state = shared.job(ix).state;
             if state != JobState::Live {
                 return answer_state(shared, req, 200, id, state);
@@ -200,7 +203,7 @@
         if !valid_id(id) || is_hosted(shared, id) {
             return shared.refuse(req, 404, "no such job", None);
         }
-        if let Some(ix) = shared.job_ix(id) {
+        if let Some(ix) = shared.job_index(id) {
             let (state, version) = (shared.job(ix).state, shared.job(ix).version);
             if state != JobState::Live {
                 return answer_state(shared, req, 200, id, state);
@@ -215,32 +218,35 @@
             return shared.busy(req, "cancellation not settled yet");
         }
         let key = job_key(&id);
-        let tasks = shared.job_ix(&id).map_or(0, |ix| shared.job(ix).tasks);
-        let txn = Txn {
-            conds: vec![Cond { key: key.clone(), version }],
-            changes: vec![Change::Put {
+        let tasks = shared.job_index(&id).map_or(0, |ix| shared.job(ix).tasks);
+        let txn = CompareAndSwap {
+            compares: vec![Compare { key: key.clone(), version }],
+            changes: vec![Mutation::Put {
                 key,
                 value: Encoded::new(&JobRecord::cancelled(tasks)),
                 lease: None,
             }],
         };
         self.waiting += 1;
-        shared.state_call(Purpose::UserApi(UserApiCall::Cancel { req, id, tries }), StateOp::Txn(txn));
+        shared.send_store_request(
+            StoreCallOwner::UserApi(UserApiCall::Cancel { req, id, tries }),
+            StoreRequest::CompareAndSwap(txn),
+        );
     }
 
     /// Answers for a job read as live, unless it has to be withdrawn first.
     fn answer_live(&mut self, shared: &mut Shared, req: u64, id: &str) {
-        let Some(ix) = shared.job_ix(id) else { return shared.busy(req, "not known yet") };
+        let Some(ix) = shared.job_index(id) else { return shared.busy(req, "not known yet") };
         let (links, version, tasks) =
             (&shared.job(ix).links, shared.job(ix).version, shared.job(ix).tasks);
-        if links.open > 0 && !shared.has_authority() {
+        if links.open > 0 && !shared.has_control_lease() {
             return shared.busy(req, "not in touch with the state service");
         }
         // One before it may have been withdrawn long ago and not be in memory.
         if links.open > 0 && !shared.jobs.unread().is_empty() {
             return shared.busy(req, "what it awaits is not known yet");
         }
-        if !links.doomed {
+        if !links.has_cancelled_dependency {
             return answer_state(shared, req, 200, id, JobState::Live);
         }
         if self.waiting >= MAX_WAITING {
@@ -254,25 +260,27 @@
         }
         let key = job_key(id);
         let value = Encoded::new(&JobRecord::cancelled(tasks));
-        let txn = Txn {
-            conds: vec![Cond { key: key.clone(), version }],
-            changes: vec![Change::Put { key, value, lease: None }],
+        let txn = CompareAndSwap {
+            compares: vec![Compare { key: key.clone(), version }],
+            changes: vec![Mutation::Put { key, value, lease: None }],
         };
         let call = UserApiCall::Cascade { id: id.to_string() };
-        shared.state_call(Purpose::UserApi(call), StateOp::Txn(txn));
+        shared.send_store_request(StoreCallOwner::UserApi(call), StoreRequest::CompareAndSwap(txn));
     }
 
-    fn on_cascaded(&mut self, shared: &mut Shared, id: String, result: StateResult) {
+    fn on_cascaded(&mut self, shared: &mut Shared, id: String, result: StoreResponse) {
         let waiters = self.withdrawals.remove(&id).unwrap_or_default();
         self.waiting = self.waiting.saturating_sub(waiters.len());
-        if let StateResult::Done { revision } = result {
-            shared.put_job(&id, JobRecord::cancelled(0), revision, RecordSource::Single);
-            shared.cancelled_here.push(id.clone());
+        if let StoreResponse::Committed { revision } = result {
+            shared.apply_job_record(&id, JobRecord::cancelled(0), revision, RecordSource::Single);
+            shared.cancellations_to_announce.push(id.clone());
         }
         for req in waiters {
             match result {
-                StateResult::Done { .. } => answer_state(shared, req, 200, &id, JobState::Cancelled),
-                StateResult::Failed(_) | StateResult::Unknown => {
+                StoreResponse::Committed { .. } => {
+                    answer_state(shared, req, 200, &id, JobState::Cancelled)
+                }
+                StoreResponse::Conflict(_) | StoreResponse::OutcomeUnknown => {
                     self.read(shared, id.clone(), Then::Status(req));
                 }
                 _ => shared.busy(req, "the state service does not take it now"),
@@ -296,23 +304,23 @@
         let read = self.reads.entry(id.clone()).or_default();
         if read.in_flight.is_empty() {
             read.in_flight.push(then);
-            shared.state_call(
-                Purpose::UserApi(UserApiCall::Read { id: id.clone() }),
-                StateOp::Get(job_key(&id)),
+            shared.send_store_request(
+                StoreCallOwner::UserApi(UserApiCall::Read { id: id.clone() }),
+                StoreRequest::Get(job_key(&id)),
             );
         } else {
             read.next.push(then);
         }
     }
 
-    pub fn on_result(&mut self, shared: &mut Shared, call: UserApiCall, result: StateResult) {
+    pub fn on_result(&mut self, shared: &mut Shared, call: UserApiCall, result: StoreResponse) {
         match call {
             UserApiCall::Cascade { id } => self.on_cascaded(shared, id, result),
             UserApiCall::Submit { req, id, state } => {
                 self.waiting -= 1;
                 match result {
-                    StateResult::Done { .. } => answer_state(shared, req, 201, &id, state),
-                    StateResult::Failed(_) | StateResult::Unknown => {
+                    StoreResponse::Committed { .. } => answer_state(shared, req, 201, &id, state),
+                    StoreResponse::Conflict(_) | StoreResponse::OutcomeUnknown => {
                         self.read(shared, id, Then::Resubmit(req));
                     }
                     _ => shared.busy(req, "the state service does not take it now"),
@@ -321,12 +329,17 @@
             UserApiCall::Cancel { req, id, tries } => {
                 self.waiting -= 1;
                 match result {
-                    StateResult::Done { revision } => {
-                        shared.put_job(&id, JobRecord::cancelled(0), revision, RecordSource::Single);
-                        shared.cancelled_here.push(id.clone());
+                    StoreResponse::Committed { revision } => {
+                        shared.apply_job_record(
+                            &id,
+                            JobRecord::cancelled(0),
+                            revision,
+                            RecordSource::Single,
+                        );
+                        shared.cancellations_to_announce.push(id.clone());
                         answer_state(shared, req, 200, &id, JobState::Cancelled);
                     }
-                    StateResult::Failed(_) | StateResult::Unknown => {
+                    StoreResponse::Conflict(_) | StoreResponse::OutcomeUnknown => {
                         self.read(shared, id, Then::Cancel { req, tries: tries + 1 });
                     }
                     _ => shared.busy(req, "the state service does not take it now"),
@@ -336,30 +349,32 @@
         }
     }
 
-    fn on_read(&mut self, shared: &mut Shared, id: String, result: StateResult) {
+    fn on_read(&mut self, shared: &mut Shared, id: String, result: StoreResponse) {
         let Some(mut read) = self.reads.remove(&id) else { return };
         let waiters = std::mem::take(&mut read.in_flight);
         self.waiting = self.waiting.saturating_sub(waiters.len());
         let found = match &result {
-            StateResult::Item(i) => i.value.decode::<JobRecord>().ok().map(|r| (r.state, i.version, r)),
+            StoreResponse::KeyValue(i) => {
+                i.value.decode::<JobRecord>().ok().map(|r| (r.state, i.version, r))
+            }
             _ => None,
         };
         // A record that is out of date by now is no answer; the user asks again.
         let found = found.and_then(|(state, version, rec)| {
-            shared.put_job(&id, rec, version, RecordSource::Single).then_some((state, version))
+            shared.apply_job_record(&id, rec, version, RecordSource::Single).then_some((state, version))
         });
         // To the users of this cell, the job of another is none.
         let (found, result) = match is_hosted(shared, &id) {
-            true => (None, StateResult::Missing),
+            true => (None, StoreResponse::NotFound),
             false => (found, result),
         };
         // Another read of it may begin from here on.
         let next = std::mem::take(&mut read.next);
         if !next.is_empty() {
             read.in_flight = next;
-            shared.state_call(
-                Purpose::UserApi(UserApiCall::Read { id: id.clone() }),
-                StateOp::Get(job_key(&id)),
+            shared.send_store_request(
+                StoreCallOwner::UserApi(UserApiCall::Read { id: id.clone() }),
+                StoreRequest::Get(job_key(&id)),
             );
             self.reads.insert(id.clone(), read);
         }
@@ -382,14 +397,14 @@
                     let Some(check) = self.checks.remove(&n) else { continue };
                     self.on_awaited(shared, check, &id, found.is_some(), &result);
                 }
-                (Then::Resubmit(req), None, StateResult::Missing) if is_hosted(shared, &id) => {
+                (Then::Resubmit(req), None, StoreResponse::NotFound) if is_hosted(shared, &id) => {
                     refuse_taken(shared, req);
                 }
-                (Then::Refuse(req, no), None, StateResult::Missing) => {
+                (Then::Refuse(req, no), None, StoreResponse::NotFound) => {
                     tracing::debug!(id, why = no.why, "submission refused");
                     shared.refuse(req, no.status, &no.why, no.field);
                 }
-                (Then::Status(req) | Then::Cancel { req, .. }, None, StateResult::Missing) => {
+                (Then::Status(req) | Then::Cancel { req, .. }, None, StoreResponse::NotFound) => {
                     shared.refuse(req, 404, "no such job", None);
                 }
                 // A submission whose write got lost is best tried again.
@@ -407,11 +422,11 @@
         check: Check,
         awaited: &str,
         found: bool,
-        result: &StateResult,
+        result: &StoreResponse,
     ) {
         match result {
             _ if found => self.check_awaited(shared, check),
-            StateResult::Missing => {
+            StoreResponse::NotFound => {
                 let why = format!("awaits {awaited}, which was never accepted");
                 let no = Refusal { status: 422, why, field: Some("awaits") };
                 self.read(shared, check.id, Then::Refuse(check.req, no));
@@ -423,12 +438,12 @@
 
 /// Whether another cell's job, or what is left of it, has this id here.
 fn is_hosted(shared: &Shared, id: &str) -> bool {
-    shared.job_ix(id).is_some_and(|ix| shared.job(ix).origin().is_some())
+    shared.job_index(id).is_some_and(|ix| shared.job(ix).origin().is_some())
 }
 
 /// A job of this cell's users that is in memory.
 fn own_job(shared: &Shared, id: &str) -> Option<u32> {
-    shared.job_ix(id).filter(|ix| shared.job(*ix).origin().is_none())
+    shared.job_index(id).filter(|ix| shared.job(*ix).origin().is_none())
 }
 
 /// Cells that share load share one space of ids; a job of another cell is not accepted
@@ -439,9 +454,9 @@
 
 fn answer_state(shared: &mut Shared, req: u64, status: u16, id: &str, state: JobState) {
     let (done, running) = shared.counts.get(id).copied().unwrap_or((0, 0));
-    let tasks = shared.job_ix(id).map(|ix| shared.job(ix).tasks);
+    let tasks = shared.job_index(id).map(|ix| shared.job(ix).tasks);
     // Its end may have become known while the answer was under way.
-    let state = match shared.job_ix(id).map(|ix| shared.job(ix).state) {
+    let state = match shared.job_index(id).map(|ix| shared.job(ix).state) {
         Some(known) if state == JobState::Live => known,
         _ => state,
     };
--- a/src/io/client.rs
+++ b/src/io/client.rs
@@ -22,7 +22,7 @@
     /// Nothing was sent.
     NotSent,
     /// Something may have arrived.
-    Unknown,
+    OutcomeUnknown,
 }
 
 pub struct Reply {
@@ -82,16 +82,16 @@
             let res = sender
                 .send_request(req)
                 .await
-                .map_err(|e| if e.is_canceled() { Failure::NotSent } else { Failure::Unknown })?;
+                .map_err(|e| if e.is_canceled() { Failure::NotSent } else { Failure::OutcomeUnknown })?;
             let status = res.status().as_u16();
             let body = Limited::new(res.into_body(), MAX_ANSWER)
                 .collect()
                 .await
-                .map_err(|_| Failure::Unknown)?
+                .map_err(|_| Failure::OutcomeUnknown)?
                 .to_bytes();
             Ok(Reply { status, body })
         };
-        let reply = timeout(left, work).await.map_err(|_| Failure::Unknown)??;
+        let reply = timeout(left, work).await.map_err(|_| Failure::OutcomeUnknown)??;
         if !sender.is_closed() && self.idle.borrow().len() < self.keep {
             self.idle.borrow_mut().push(sender);
         }
--- a/src/io/cloud.rs
+++ b/src/io/cloud.rs
@@ -1,7 +1,7 @@
 //! Calls to the cloud, as the leader asks for them.
 
 use super::client::{Client, Failure, Reply};
-use crate::core::{CloudOp, CloudResult};
+use crate::core::{CloudRequest, CloudResponse};
 use hyper::Method;
 use std::time::Duration;
 
@@ -9,43 +9,45 @@
 /// Machines per page of the list, the most that the cloud gives.
 const PAGE: u32 = 500;
 
-pub async fn call(client: &Client, op: CloudOp) -> CloudResult {
+pub async fn call(client: &Client, op: CloudRequest) -> CloudResponse {
     let (method, path, body) = match &op {
-        CloudOp::Catalog => (Method::GET, "/catalog".to_string(), None),
-        CloudOp::List { since } => {
+        CloudRequest::Catalog => (Method::GET, "/catalog".to_string(), None),
+        CloudRequest::List { since } => {
             let since = since.as_ref().map(|s| format!("since={s}&")).unwrap_or_default();
             (Method::GET, format!("/rentals?{since}most={PAGE}"), None)
         }
-        CloudOp::Rent(r) => (Method::POST, "/rentals".into(), serde_json::to_vec(r).ok()),
-        CloudOp::Return(r) => (Method::POST, "/rentals/return".into(), serde_json::to_vec(r).ok()),
+        CloudRequest::Rent(r) => (Method::POST, "/rentals".into(), serde_json::to_vec(r).ok()),
+        CloudRequest::Return(r) => (Method::POST, "/rentals/return".into(), serde_json::to_vec(r).ok()),
     };
     match client.call(method, &path, body, LIMIT).await {
         Ok(r) => read(&op, r),
-        Err(Failure::NotSent) => CloudResult::NotExecuted,
-        Err(Failure::Unknown) => CloudResult::Unknown,
+        Err(Failure::NotSent) => CloudResponse::NotExecuted,
+        Err(Failure::OutcomeUnknown) => CloudResponse::OutcomeUnknown,
     }
 }
 
-fn read(op: &CloudOp, r: Reply) -> CloudResult {
+fn read(op: &CloudRequest, r: Reply) -> CloudResponse {
     fn parse<T: serde::de::DeserializeOwned>(r: &Reply) -> Option<T> {
         serde_json::from_slice(&r.body)
             .map_err(|e| tracing::error!(%e, "unreadable answer of the cloud"))
             .ok()
     }
     let found = match (op, r.status) {
-        (CloudOp::Catalog, 200) => parse(&r).map(CloudResult::Catalog),
-        (CloudOp::List { .. }, 200) => parse(&r).map(CloudResult::Page),
-        (CloudOp::Rent(_), 200) => parse(&r).map(CloudResult::Rented),
-        (CloudOp::Return(_), 200 | 204) => Some(CloudResult::Returned),
-        (CloudOp::Rent(_), 503) if contains(&r.body, b"no capacity") => Some(CloudResult::NoCapacity),
-        (_, 429 | 503) => Some(CloudResult::NotExecuted),
+        (CloudRequest::Catalog, 200) => parse(&r).map(CloudResponse::Catalog),
+        (CloudRequest::List { .. }, 200) => parse(&r).map(CloudResponse::Page),
+        (CloudRequest::Rent(_), 200) => parse(&r).map(CloudResponse::Rented),
+        (CloudRequest::Return(_), 200 | 204) => Some(CloudResponse::Returned),
+        (CloudRequest::Rent(_), 503) if contains(&r.body, b"no capacity") => {
+            Some(CloudResponse::NoCapacity)
+        }
+        (_, 429 | 503) => Some(CloudResponse::NotExecuted),
         (_, 400..=499) => {
             tracing::error!(status = r.status, ?op, "the cloud rejects a request");
-            Some(CloudResult::Bad)
+            Some(CloudResponse::Malformed)
         }
         _ => None,
     };
-    found.unwrap_or(CloudResult::Unknown)
+    found.unwrap_or(CloudResponse::OutcomeUnknown)
 }
 
 fn contains(hay: &[u8], needle: &[u8]) -> bool {
--- a/src/io/driver.rs
+++ b/src/io/driver.rs
@@ -3,7 +3,7 @@
 use super::client::Client;
 use super::gate::{self, Pressure};
 use super::requests::Requests;
-use super::{cloud, frames, server, state};
+use super::{cloud, frames, server, store};
 use crate::config::{CellSettings, Operator, Platform};
 use crate::core::{Answer, Core, Input, Output};
 use crate::wire::peer::Frame;
@@ -72,7 +72,7 @@
         cfg.peers.iter().map(|p| (p.node.clone(), frames::link(p.addr))).collect();
     let most = (cfg.cluster.limits.max_connections / 8).clamp(8, 64);
     let io = Io {
-        state: Client::new(cfg.endpoints.state, 8, most),
+        store: Client::new(cfg.endpoints.state, 8, most),
         cloud: Client::new(cfg.endpoints.cloud, 2, 8),
         links,
         cells: cell_links(&core.shared.op.cells),
@@ -180,7 +180,7 @@
 }
 
 struct Io {
-    state: Client,
+    store: Client,
     cloud: Client,
     links: HashMap<String, Link<Frame>>,
     /// To the controllers of each other cell.
@@ -210,11 +210,11 @@
 
     fn carry_out(&self, out: Output) {
         match out {
-            Output::State { call, op } => {
-                let (client, tx) = (self.state.clone(), self.tx.clone());
+            Output::Store { call, op } => {
+                let (client, tx) = (self.store.clone(), self.tx.clone());
                 tokio::task::spawn_local(async move {
-                    let result = state::call(&client, op).await;
-                    let _ = tx.send(Input::State { call, result });
+                    let result = store::call(&client, op).await;
+                    let _ = tx.send(Input::Store { call, result });
                 });
             }
             Output::Cloud { call, op } => {
@@ -239,7 +239,7 @@
                     let _ = link.try_send(frames::Post::Reconnect);
                 }
             }
-            Output::Direct { addr, commands } => self.direct(&addr, &commands),
+            Output::DirectCommands { addr, commands } => self.direct(&addr, &commands),
             Output::Answer { .. } => {}
         }
     }
--- a/src/io/gate.rs
+++ b/src/io/gate.rs
@@ -139,7 +139,7 @@
         if turned_away == 0 && counts.expired == 0 {
             return;
         }
-        let [probes, reports, cancellations, submissions, questions] = counts.turned_away;
+        let [probes, heartbeats, cancellations, submissions, questions] = counts.turned_away;
         tracing::info!(
             target: "woadlever::overload",
             format = LOG_FORMAT,
@@ -148,7 +148,7 @@
             admitted = counts.admitted,
             expired = counts.expired,
             probes,
-            reports,
+            heartbeats,
             cancellations,
             submissions,
             questions,
--- a/src/io/mod.rs
+++ b/src/io/mod.rs
@@ -7,4 +7,4 @@
 mod gate;
 mod requests;
 mod server;
-mod state;
+mod store;
--- a/src/io/requests.rs
+++ b/src/io/requests.rs
@@ -2,7 +2,7 @@
 
 use super::gate::Pressure;
 use super::server::{Asked, overloaded};
-use crate::core::HttpCall;
+use crate::core::HttpRequest;
 use std::sync::Arc;
 use tokio::sync::mpsc::Receiver;
 use woadlever_overload::class::RequestClass;
@@ -78,12 +78,12 @@
     }
 }
 
-fn class_of(call: &HttpCall) -> RequestClass {
+fn class_of(call: &HttpRequest) -> RequestClass {
     match call {
-        HttpCall::Ready => RequestClass::Probe,
-        HttpCall::Checkin(_) => RequestClass::Report,
-        HttpCall::Cancel(_) => RequestClass::Cancellation,
-        HttpCall::Submit(_) => RequestClass::Submission,
-        HttpCall::Status(_) => RequestClass::Question,
+        HttpRequest::Ready => RequestClass::Probe,
+        HttpRequest::WorkerHeartbeat(_) => RequestClass::WorkerHeartbeat,
+        HttpRequest::Cancel(_) => RequestClass::Cancellation,
+        HttpRequest::Submit(_) => RequestClass::Submission,
+        HttpRequest::Status(_) => RequestClass::Question,
     }
 }
--- a/src/io/server.rs
+++ b/src/io/server.rs
@@ -1,9 +1,9 @@
 //! The outer HTTP interface. Handlers read, hand the request to the core and
 //! wait for its answer; they decide nothing.
 
-use crate::core::{Answer, HttpCall};
+use crate::core::{Answer, HttpRequest};
 use crate::wire::users::{ErrorBody, MAX_BODY};
-use crate::wire::workers::Report;
+use crate::wire::workers::WorkerHeartbeat;
 use bytes::Bytes;
 use salvo::catcher::Catcher;
 use salvo::http::StatusCode;
@@ -14,7 +14,7 @@
 use tokio::sync::oneshot;
 
 /// A request with the place for its answer.
-pub type Asked = (HttpCall, oneshot::Sender<Answer>);
+pub type Asked = (HttpRequest, oneshot::Sender<Answer>);
 
 /// Users give up after 5 s; an answer after that helps no one.
 const LIMIT: Duration = Duration::from_millis(4800);
@@ -45,7 +45,7 @@
 }
 
 impl Front {
-    async fn ask(&self, res: &mut Response, call: HttpCall) {
+    async fn ask(&self, res: &mut Response, call: HttpRequest) {
         let (tx, rx) = oneshot::channel();
         // A full queue means that we can't keep up: say so at once.
         if self.tx.try_send((call, tx)).is_err() {
@@ -70,7 +70,7 @@
 impl Submit {
     async fn handle(&self, req: &mut Request, res: &mut Response) {
         match self.0.body(req).await {
-            Ok(b) => self.0.ask(res, HttpCall::Submit(b.to_vec())).await,
+            Ok(b) => self.0.ask(res, HttpRequest::Submit(b.to_vec())).await,
             Err(a) => put(res, a),
         }
     }
@@ -81,7 +81,7 @@
 impl Status {
     async fn handle(&self, req: &mut Request, res: &mut Response) {
         let id = req.param::<String>("id").unwrap_or_default();
-        self.0.ask(res, HttpCall::Status(id)).await;
+        self.0.ask(res, HttpRequest::Status(id)).await;
     }
 }
 
@@ -90,7 +90,7 @@
 impl Cancel {
     async fn handle(&self, req: &mut Request, res: &mut Response) {
         let id = req.param::<String>("id").unwrap_or_default();
-        self.0.ask(res, HttpCall::Cancel(id)).await;
+        self.0.ask(res, HttpRequest::Cancel(id)).await;
     }
 }
 
@@ -98,7 +98,7 @@
 #[handler]
 impl Ready {
     async fn handle(&self, res: &mut Response) {
-        self.0.ask(res, HttpCall::Ready).await;
+        self.0.ask(res, HttpRequest::Ready).await;
     }
 }
 
@@ -110,8 +110,8 @@
             Ok(b) => b.clone(),
             Err(_) => return put(res, error(400, "body is unreadable", Some("body"))),
         };
-        match serde_json::from_slice::<Report>(&body) {
-            Ok(r) => self.0.ask(res, HttpCall::Checkin(Box::new(r))).await,
+        match serde_json::from_slice::<WorkerHeartbeat>(&body) {
+            Ok(r) => self.0.ask(res, HttpRequest::WorkerHeartbeat(Box::new(r))).await,
             Err(e) => put(res, error(400, &format!("malformed report: {e}"), Some("body"))),
         }
     }
--- a/src/wire/mod.rs
+++ b/src/wire/mod.rs
@@ -4,6 +4,6 @@
 pub mod cloud;
 pub mod encoded;
 pub mod peer;
-pub mod state;
+pub mod store;
 pub mod users;
 pub mod workers;
--- a/src/wire/peer.rs
+++ b/src/wire/peer.rs
@@ -17,14 +17,14 @@
     /// Process of the sender.
     pub incarnation: u64,
     /// What it says.
-    pub body: Body,
+    pub body: PeerMessage,
 }
 
 /// What a frame says.
 #[derive(Debug, Clone, Encode, Decode, PartialEq)]
-pub enum Body {
+pub enum PeerMessage {
     /// A sign of life.
-    Heartbeat(Heartbeat),
+    PeerHeartbeat(PeerHeartbeat),
     /// From the leader to a holder.
     DesiredState(DesiredState),
     /// From a holder to the leader.
@@ -33,13 +33,13 @@
 
 /// A sign of life, and whether the state service answers this node.
 #[derive(Debug, Clone, Encode, Decode, PartialEq)]
-pub struct Heartbeat {
+pub struct PeerHeartbeat {
     /// Time since the state service last answered the sender.
-    pub state_age_ms: u64,
+    pub store_silence_ms: u64,
     /// Nodes whose frames no longer arrive here; and, as `cancelled run-...`, jobs
     /// whose cancellation the sender has just confirmed. The version in production
     /// looks for its own name here and for nothing else.
-    pub unheard: Vec<String>,
+    pub silent_peers: Vec<String>,
     /// Tasks per live job, from the leader only, for the users' eyes.
     pub counts: Vec<(String, u32, u32)>,
 }
@@ -50,9 +50,9 @@
     /// Term of the leader.
     pub term: u64,
     /// Block that it speaks of.
-    pub block: u32,
+    pub shard: u32,
     /// Grant of the block that it is meant for.
-    pub grant: u64,
+    pub fencing_token: u64,
     /// Rises with each message of a term about this block.
     pub serial: u64,
     /// Jobs whose tasks shall be there.
@@ -60,9 +60,9 @@
     /// Tasks that fit no free room, counted on their best-fit machines.
     pub waiting: Vec<WaitingTasks>,
     /// Machines that get no new tasks until they are drained.
-    pub isolated: Vec<String>,
+    pub cordoned: Vec<String>,
     /// Machines to be made ready for their return.
-    pub retire: Vec<Retire>,
+    pub decommission: Vec<Decommission>,
     /// Machines whose return the cloud has confirmed.
     pub gone: Vec<String>,
     /// Machines that must not get new tasks for now.
@@ -71,7 +71,7 @@
 
 /// A machine to be made ready for its return.
 #[derive(Debug, Clone, Encode, Decode, PartialEq)]
-pub struct Retire {
+pub struct Decommission {
     /// Its name.
     pub machine: String,
     /// Its type.
@@ -109,9 +109,9 @@
     /// Term of the leader that it is meant for.
     pub term: u64,
     /// Block that it speaks of.
-    pub block: u32,
+    pub shard: u32,
     /// Grant that the sender holds.
-    pub grant: u64,
+    pub fencing_token: u64,
     /// Serial of the newest `DesiredState` that this answers; 0 for none.
     pub echo: u64,
     /// What the machines below name by its place here: thousands of tasks
@@ -150,13 +150,13 @@
     /// Time since its last report; u64::MAX if none reached this holder.
     pub silent_ms: u64,
     /// Whether the cloud is about to take it back.
-    pub notice: bool,
+    pub preemption_notice: bool,
     /// Whether its return is on record.
-    pub returning: bool,
+    pub terminating: bool,
     /// It has shown that it knows the holder's token.
     pub fenced: bool,
     /// Its reports arrive, but nothing reaches it.
-    pub deaf: bool,
+    pub unreachable: bool,
     /// Projected peak share of room, and whether the machine is overloaded.
     pub peak: f64,
     /// Whether it is projected to be overloaded.
--- a/src/wire/state.rs
+++ b/src/wire/store.rs
@@ -8,7 +8,7 @@
 
 /// A record with its key.
 #[derive(Debug, Clone, Deserialize)]
-pub struct Item {
+pub struct KeyValue {
     /// Key of the record.
     #[serde(rename = "k")]
     pub key: String,
@@ -25,7 +25,7 @@
 pub struct Page {
     /// Records on this page.
     #[serde(rename = "pairs")]
-    pub items: Vec<Item>,
+    pub items: Vec<KeyValue>,
     /// Whether another page follows.
     #[serde(rename = "has_next", default)]
     pub more: bool,
@@ -36,7 +36,7 @@
 
 /// A condition of a transaction: the record has this version, or none if 0.
 #[derive(Debug, Clone, Serialize)]
-pub struct Cond {
+pub struct Compare {
     /// Key of the record.
     #[serde(rename = "k")]
     pub key: String,
@@ -48,7 +48,7 @@
 /// A change that a transaction makes.
 #[derive(Debug, Clone, Serialize)]
 #[serde(untagged)]
-pub enum Change {
+pub enum Mutation {
     /// Writes a record.
     Put {
         /// Key of the record.
@@ -71,18 +71,18 @@
 
 /// Changes that are made together, or not at all.
 #[derive(Debug, Clone, Serialize, Default)]
-pub struct Txn {
+pub struct CompareAndSwap {
     /// Conditions that all have to hold.
     #[serde(rename = "if")]
-    pub conds: Vec<Cond>,
+    pub compares: Vec<Compare>,
     /// What is changed then.
     #[serde(rename = "apply")]
-    pub changes: Vec<Change>,
+    pub changes: Vec<Mutation>,
 }
 
 /// Answer to a transaction that was carried out.
 #[derive(Debug, Clone, Deserialize)]
-pub struct TxnDone {
+pub struct CompareAndSwapCommitted {
     /// Revision of its changes.
     #[serde(rename = "ledger")]
     pub revision: u64,
@@ -90,7 +90,7 @@
 
 /// Answer to a transaction whose conditions did not hold.
 #[derive(Debug, Clone, Deserialize)]
-pub struct TxnFailed {
+pub struct CompareAndSwapConflict {
     /// Keys whose version differs.
     #[serde(default)]
     pub failed: Vec<String>,
@@ -98,7 +98,7 @@
 
 /// Answer to a request for a lease.
 #[derive(Debug, Clone, Deserialize)]
-pub struct LeaseGranted {
+pub struct LeaseOpened {
     /// Number of the lease.
     #[serde(rename = "permit")]
     pub lease: u64,
@@ -148,7 +148,7 @@
 /// `w/block/<b>`: its version is the grant and, being unique and rising, also
 /// the fencing token that the holder shows to workers.
 #[derive(Debug, Clone, Serialize, Deserialize, PartialEq)]
-pub struct BlockRecord {
+pub struct ShardRecord {
     /// Name of the holder.
     pub node: String,
     /// Process that holds the block.
@@ -312,9 +312,9 @@
     /// Flag: a spot machine.
     pub const SPOT: u8 = 1;
     /// Flag: gets no new tasks until it is drained.
-    pub const ISOLATED: u8 = 2;
+    pub const CORDONED: u8 = 2;
     /// Flag: is being returned and never used again.
-    pub const RETURNING: u8 = 4;
+    pub const TERMINATING: u8 = 4;
 
     /// Whether the flag is set.
     pub fn is(&self, flag: u8) -> bool {
--- a/src/wire/workers.rs
+++ b/src/wire/workers.rs
@@ -4,7 +4,7 @@
 
 /// A worker's report.
 #[derive(Debug, Clone, Deserialize, Serialize)]
-pub struct Report {
+pub struct WorkerHeartbeat {
     /// Name of the machine.
     #[serde(rename = "hull")]
     pub machine: String,
@@ -22,24 +22,24 @@
     pub spot: bool,
     /// Session of the worker; a new one begins when its lease ends.
     #[serde(rename = "shift")]
-    pub session: u64,
+    pub incarnation: u64,
     /// Count of reports and answers to direct commands within the session.
     #[serde(rename = "tally")]
-    pub seq: u64,
+    pub sequence: u64,
     /// Highest fencing token that the worker has seen.
     #[serde(rename = "baton", default)]
-    pub token: u64,
+    pub fencing_token: u64,
     /// Time until the cloud takes the machine back, if it has said so.
     #[serde(rename = "warning_s", default)]
-    pub notice_s: Option<f64>,
+    pub preemption_notice_s: Option<f64>,
     /// Every attempt on the machine.
     #[serde(rename = "pieces", default)]
-    pub tasks: Vec<ReportTask>,
+    pub tasks: Vec<HeartbeatTask>,
 }
 
 /// An attempt as a worker reports it.
 #[derive(Debug, Clone, Deserialize, Serialize)]
-pub struct ReportTask {
+pub struct HeartbeatTask {
     /// Id of the job and number of the task.
     #[serde(rename = "piece")]
     pub task: String,
@@ -78,7 +78,7 @@
 pub struct Command {
     /// What to do.
     #[serde(rename = "verb")]
-    pub op: Op,
+    pub op: CommandAction,
     /// Id of the job and number of the task.
     #[serde(rename = "piece")]
     pub task: String,
@@ -92,7 +92,7 @@
 
 /// What a worker is to do with an attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Op {
+pub enum CommandAction {
     /// Start it.
     #[serde(rename = "run")]
     Start,
@@ -106,10 +106,10 @@
 
 /// Answer to a report.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct ReportAnswer {
+pub struct HeartbeatResponse {
     /// Fencing token of the sender.
     #[serde(rename = "baton")]
-    pub token: u64,
+    pub fencing_token: u64,
     /// What the worker is to do, in this order.
     #[serde(rename = "orders")]
     pub commands: Vec<Command>,
@@ -121,10 +121,10 @@
 pub struct DirectCommands {
     /// Fencing token of the sender.
     #[serde(rename = "baton")]
-    pub token: u64,
+    pub fencing_token: u64,
     /// Session that the commands are meant for.
     #[serde(rename = "shift")]
-    pub session: u64,
+    pub incarnation: u64,
     /// What the worker is to do, in this order.
     #[serde(rename = "orders")]
     pub commands: Vec<Command>,
--- a/tests/cells.rs
+++ b/tests/cells.rs
@@ -582,7 +582,7 @@
     let request = cells.worlds[host].submit(0, &job(1, "t1", 4, 30.0));
     cells.run(1_000);
     assert_eq!(cells.worlds[host].answers[&request].status, 422);
-    let request = cells.worlds[host].ask(0, woadlever::core::HttpCall::Cancel(JOB.into()));
+    let request = cells.worlds[host].ask(0, woadlever::core::HttpRequest::Cancel(JOB.into()));
     cells.run(1_000);
     assert_eq!(cells.worlds[host].answers[&request].status, 404);
     assert!(cells.until_done(ORIGIN, JOB, 120_000));
--- a/tests/cells_loopback.rs
+++ b/tests/cells_loopback.rs
@@ -67,7 +67,7 @@
     let (state, state_address) = StateService::start().await.unwrap();
     let workers = WorkerSettings {
         nodes: (0..NODES).map(|node| (format!("n{node}"), front[node])).collect(),
-        report: Duration::from_secs(1),
+        heartbeat: Duration::from_secs(1),
         lease: Duration::from_secs_f64(LEASE_S),
         run: RUN,
         history: history.clone(),
--- a/tests/combined_faults.rs
+++ b/tests/combined_faults.rs
@@ -7,7 +7,7 @@
 
 use serde_json::{Value, json};
 use support::{CANCEL_MS, Fate, LEASE_MS, World, job};
-use woadlever::core::{HttpCall, StateResult};
+use woadlever::core::{HttpRequest, StoreResponse};
 
 fn id(n: u32) -> String {
     format!("run-{n:06}")
@@ -126,7 +126,7 @@
 fn nothing_but_an_answered_read_moves_the_proof() {
     let mut w = busy(504, 4);
     let node = w.leader().unwrap();
-    let proof = |w: &World| w.nodes[node].as_ref().unwrap().0.shared.proof_at;
+    let proof = |w: &World| w.nodes[node].as_ref().unwrap().0.shared.control_lease_renewed_at;
     w.run(1_000);
     w.state.refuses.insert(node);
     w.run(100);
@@ -244,10 +244,10 @@
     for (seed, wait) in [(516, 0), (517, 200), (518, 2_600), (519, 3_100), (520, 3_400)] {
         let mut w = busy(seed, 8);
         let m = machine_of(&w, 1);
-        let holder = w.holder_of(m);
-        let other = (holder + 1) % 3;
-        for n in (0..3).filter(|n| *n != holder) {
-            w.cuts.insert((holder, n));
+        let shard_owner = w.shard_owner_of(m);
+        let other = (shard_owner + 1) % 3;
+        for n in (0..3).filter(|n| *n != shard_owner) {
+            w.cuts.insert((shard_owner, n));
         }
         w.run(wait);
         assert_eq!(w.cancel(other, &id(1)), 200);
@@ -278,8 +278,11 @@
         }
         w.run(k * 25);
         w.asked_to_cancel.insert(id(1));
-        let (a, b, c) =
-            (w.ask(1, HttpCall::Cancel(id(1))), w.submit(2, &body), w.ask(0, HttpCall::Status(id(1))));
+        let (a, b, c) = (
+            w.ask(1, HttpRequest::Cancel(id(1))),
+            w.submit(2, &body),
+            w.ask(0, HttpRequest::Status(id(1))),
+        );
         w.run(1_500);
         let end = state_of(&w, 1);
         assert!(end == "d" || end == "c", "{end}");
@@ -323,7 +326,7 @@
             w.run(5);
         }
         for node in 0..3 {
-            let asked = w.ask(node, HttpCall::Status(id(n)));
+            let asked = w.ask(node, HttpRequest::Status(id(n)));
             let sent = w.submit(node, &body);
             w.run(100);
             for r in [asked, sent] {
@@ -332,7 +335,7 @@
         }
         if n % 2 == 0 {
             w.asked_to_cancel.insert(id(n));
-            let c = w.ask((at + 2) % 3, HttpCall::Cancel(id(n)));
+            let c = w.ask((at + 2) % 3, HttpRequest::Cancel(id(n)));
             while !w.answers.contains_key(&c) {
                 w.run(5);
             }
@@ -340,9 +343,9 @@
             assert!(word == "withdrawn" || word == "done", "{word}");
             let mut asked = Vec::new();
             for node in 0..3 {
-                asked.push(w.ask(node, HttpCall::Status(id(n))));
+                asked.push(w.ask(node, HttpRequest::Status(id(n))));
                 asked.push(w.submit(node, &body));
-                asked.push(w.ask(node, HttpCall::Cancel(id(n))));
+                asked.push(w.ask(node, HttpRequest::Cancel(id(n))));
             }
             w.run(100);
             for r in asked {
@@ -351,7 +354,7 @@
         } else {
             let mut r = 0;
             for _ in 0..200 {
-                r = w.ask(at, HttpCall::Status(id(n)));
+                r = w.ask(at, HttpRequest::Status(id(n)));
                 w.run(200);
                 if status_of(&w, r) == "done" {
                     break;
@@ -359,7 +362,7 @@
             }
             assert_eq!(status_of(&w, r), "done");
             for node in 0..3 {
-                let asked = [w.ask(node, HttpCall::Status(id(n))), w.submit(node, &body)];
+                let asked = [w.ask(node, HttpRequest::Status(id(n))), w.submit(node, &body)];
                 w.run(100);
                 assert!(asked.iter().all(|r| status_of(&w, *r) == "done"));
             }
@@ -377,7 +380,7 @@
     w.accept(0, &job(1, "t0", 1, 300.0));
     // Read before the cancellation; what was read comes in after it.
     w.lag.insert(1, 900);
-    let asked = w.ask(1, HttpCall::Status(id(1)));
+    let asked = w.ask(1, HttpRequest::Status(id(1)));
     w.run(25);
     w.lag.remove(&1);
     assert_eq!(w.cancel(1, &id(1)), 200);
@@ -419,7 +422,7 @@
             }
             w.run(9_000);
             w.asked_to_cancel.insert(id(4));
-            w.ask(node, HttpCall::Cancel(id(4)));
+            w.ask(node, HttpRequest::Cancel(id(4)));
             w.run(6_000);
             w.pick = None;
             w.run(4_000);
@@ -470,7 +473,7 @@
     w.run(12_000);
     let key = format!("progress/{}/0", id(1));
     let before = w.state.keys[&key].clone();
-    assert!(w.carry_out_late().iter().all(|r| matches!(r, StateResult::Failed(_))));
+    assert!(w.carry_out_late().iter().all(|r| matches!(r, StoreResponse::Conflict(_))));
     assert_eq!(w.state.keys[&key].0, before.0, "bits went back");
     w.crash(leader, 5_000);
     assert!(w.until_done(&id(1), 120_000));
@@ -493,7 +496,7 @@
     w.add_worker(2, "west", false, 1_000);
     w.add_worker(4, "west", false, 1_000);
     w.run(9_000);
-    assert!(w.leader() != Some(1) && w.holder_of(0) == 1);
+    assert!(w.leader() != Some(1) && w.shard_owner_of(0) == 1);
     let mut j = job(1, "t1", 3, 60.0);
     j["yard"] = json!("west");
     w.accept(0, &j);
@@ -542,7 +545,7 @@
         w.run(50);
         assert_eq!(w.answers[&r].status, 201);
         w.asked_to_cancel.insert(id(n));
-        w.ask(0, HttpCall::Cancel(id(n)));
+        w.ask(0, HttpRequest::Cancel(id(n)));
         w.run(50);
     }
     for (n, zone) in [(900, "east"), (901, "west")] {
@@ -688,7 +691,7 @@
         w.add_worker(i, if i % 2 == 0 { "east" } else { "west" }, false, 500);
     }
     w.run(8_000);
-    let first: Vec<_> = w.workers.iter().map(|x| x.report()).collect();
+    let first: Vec<_> = w.workers.iter().map(|x| x.heartbeat()).collect();
     for x in &mut w.workers {
         x.cut = true;
     }
@@ -697,8 +700,8 @@
         x.cut = false;
     }
     w.run(9_000);
-    let second: Vec<_> = w.workers.iter().map(|x| x.report()).collect();
-    assert!(second.iter().all(|r| r.session == 2));
+    let second: Vec<_> = w.workers.iter().map(|x| x.heartbeat()).collect();
+    assert!(second.iter().all(|r| r.incarnation == 2));
     for (n, zone) in [(1, "east"), (2, "west")] {
         let mut j = job(n, "t1", 2, 600.0);
         j["yard"] = json!(zone);
@@ -707,13 +710,13 @@
     w.run(12_000);
     assert_eq!(w.starts.len(), 4);
     let m = machine_of(&w, 1);
-    let holder = w.holder_of(m);
+    let shard_owner = w.shard_owner_of(m);
     // The machine itself is not heard for a while.
     w.workers[m].cut = true;
-    w.crash(holder, 30_000);
+    w.crash(shard_owner, 30_000);
     w.run(6_000);
-    let now = w.holder_of(m);
-    assert_ne!(now, holder);
+    let now = w.shard_owner_of(m);
+    assert_ne!(now, shard_owner);
     for r in [&first[m], &second[m]] {
         w.late_report(now, r.clone());
     }
@@ -731,7 +734,7 @@
 fn old_reports_reach_every_controller_as_a_new_leader_begins() {
     for (seed, wait) in [(571, 0), (572, 5_600), (573, 9_000)] {
         let mut w = busy(seed, 8);
-        let old: Vec<_> = w.workers.iter().map(|x| x.report()).collect();
+        let old: Vec<_> = w.workers.iter().map(|x| x.heartbeat()).collect();
         // What ran then ends, on some machines by a lease that ran out.
         let m = machine_of(&w, 2);
         w.workers[m].cut = true;
@@ -886,7 +889,7 @@
         told.push(w.submit(n as usize % 3, &job(n, "t1", 1, 3.0)));
         if n % 4 == 0 {
             w.asked_to_cancel.insert(id(n - 2));
-            w.ask((n as usize + 1) % 3, HttpCall::Cancel(id(n - 2)));
+            w.ask((n as usize + 1) % 3, HttpRequest::Cancel(id(n - 2)));
         }
         w.run(250);
     }
@@ -922,12 +925,12 @@
     w.state.down = true;
     for k in 0..10 {
         for node in 0..3 {
-            let r = w.ask(node, HttpCall::Status(id(2)));
+            let r = w.ask(node, HttpRequest::Status(id(2)));
             w.run(2_100);
             let a = &w.answers[&r];
             assert_eq!((a.status, a.retry_after_s), (503, Some(1)), "{k}");
         }
-        let r = w.ask(k % 3, HttpCall::Cancel(id(2)));
+        let r = w.ask(k % 3, HttpRequest::Cancel(id(2)));
         w.run(2_100);
         assert_ne!(w.answers[&r].status, 200);
     }
@@ -960,7 +963,7 @@
     for n in [1, 2] {
         assert_eq!(w.cancel(new, &id(n)), 200);
         // No older answer, and no wrong one.
-        let r = w.ask(old, HttpCall::Status(id(n)));
+        let r = w.ask(old, HttpRequest::Status(id(n)));
         w.run(50);
         assert_eq!(w.answers[&r].status, 503);
     }
@@ -987,7 +990,7 @@
     for field in whole.as_object().unwrap().keys().filter(|f| !may_be_left_out.contains(&f.as_str())) {
         let mut j = whole.clone();
         j.as_object_mut().unwrap().remove(field);
-        let r = w.ask(0, HttpCall::Submit(j.to_string().into_bytes()));
+        let r = w.ask(0, HttpRequest::Submit(j.to_string().into_bytes()));
         w.run(100);
         assert_eq!(w.answers[&r].status, 400, "{field}: {}", w.answers[&r].body);
         assert!(w.answers[&r].body.contains(field.as_str()), "{}", w.answers[&r].body);
@@ -996,7 +999,7 @@
     {
         let mut j = whole.clone();
         j[field] = value;
-        let r = w.ask(1, HttpCall::Submit(j.to_string().into_bytes()));
+        let r = w.ask(1, HttpRequest::Submit(j.to_string().into_bytes()));
         w.run(100);
         assert_eq!(w.answers[&r].status, 422, "{field}");
     }
@@ -1007,7 +1010,7 @@
     lacking.as_object_mut().unwrap().remove("crew");
     for node in 0..3 {
         for body in [&whole, &lacking] {
-            let r = w.ask(node, HttpCall::Submit(body.to_string().into_bytes()));
+            let r = w.ask(node, HttpRequest::Submit(body.to_string().into_bytes()));
             w.run(100);
             assert_eq!(w.answers[&r].status, 200, "{}", w.answers[&r].body);
         }
@@ -1015,10 +1018,10 @@
     assert!(w.until_done(&id(1), 90_000));
     w.run(500);
     for node in 0..3 {
-        let r = w.ask(node, HttpCall::Cancel(id(1)));
+        let r = w.ask(node, HttpRequest::Cancel(id(1)));
         w.run(100);
         assert_eq!(status_of(&w, r), "done");
-        let r = w.ask(node, HttpCall::Submit(lacking.to_string().into_bytes()));
+        let r = w.ask(node, HttpRequest::Submit(lacking.to_string().into_bytes()));
         w.run(100);
         assert_eq!(status_of(&w, r), "done");
     }
@@ -1079,8 +1082,8 @@
     // More to do meanwhile, and room for it there.
     w.accept(0, &job(2, "t1", 2, 20.0));
     w.workers[0].cut = false;
-    let seq = w.workers[0].seq;
-    while w.workers[0].seq == seq {
+    let sequence = w.workers[0].sequence;
+    while w.workers[0].sequence == sequence {
         w.run(25);
     }
     w.run(1_200);
@@ -1104,8 +1107,9 @@
     let leader = w.leader().unwrap();
     w.frame_ms = 400;
     w.run(2_000);
-    let holder = (0..3).find(|n| *n != leader && (0..8).any(|m| w.holder_of(m) == *n)).unwrap();
-    let ours: Vec<usize> = (0..8).filter(|m| w.holder_of(*m) == holder).collect();
+    let shard_owner =
+        (0..3).find(|n| *n != leader && (0..8).any(|m| w.shard_owner_of(m) == *n)).unwrap();
+    let ours: Vec<usize> = (0..8).filter(|m| w.shard_owner_of(*m) == shard_owner).collect();
     w.lose_replies.extend(lose);
     for n in 1..4 {
         let mut j = job(n, "t1", 1, 60.0);
@@ -1119,7 +1123,7 @@
             row.is_some_and(|(_, r)| !r[3].as_array().unwrap().is_empty())
         };
         if let Some(m) = ours.iter().copied().find(has_tasks) {
-            return (w, holder, m);
+            return (w, shard_owner, m);
         }
     }
     panic!("nothing is bound");
@@ -1133,18 +1137,18 @@
     let mut met = 0;
     for seed in 630..642 {
         let (_, _, m) = bound_over_slow_frames(seed, None);
-        let (mut w, holder, same) = bound_over_slow_frames(seed, Some(m));
+        let (mut w, shard_owner, same) = bound_over_slow_frames(seed, Some(m));
         // Where the lost answers have changed the choice, the machine got its `run`.
         if m != same {
             continue;
         }
         met += 1;
         w.run(50);
-        let mut next = w.workers[m].report();
-        next.session += 1;
-        next.seq += 1;
+        let mut next = w.workers[m].heartbeat();
+        next.incarnation += 1;
+        next.sequence += 1;
         next.tasks.clear();
-        w.late_report(holder, next);
+        w.late_report(shard_owner, next);
         // Whatever has begun by then is not heard of, nor told to stop.
         w.run(600);
         for x in &mut w.workers {
--- a/tests/final_jobs.rs
+++ b/tests/final_jobs.rs
@@ -9,11 +9,11 @@
 use std::sync::Arc;
 use support::{World, job, platform};
 use woadlever::config::Operator;
-use woadlever::core::HttpCall;
+use woadlever::core::HttpRequest;
 use woadlever::core::common::job_table::{FINAL_JOBS_BATCH, MAX_FINAL_JOBS};
 use woadlever::core::common::shared::{RecordSource, Shared};
-use woadlever::wire::state::{JobRecord, JobState};
-use woadlever::wire::workers::{ReportTask, TaskState};
+use woadlever::wire::store::{JobRecord, JobState};
+use woadlever::wire::workers::{HeartbeatTask, TaskState};
 use woadlever_cells::record::Origin;
 
 /// Jobs that an operator's day leaves on record, and a hundred thousand besides.
@@ -62,7 +62,7 @@
     world
 }
 
-fn answer(world: &mut World, node: usize, call: HttpCall) -> (u16, Value, Option<u32>) {
+fn answer(world: &mut World, node: usize, call: HttpRequest) -> (u16, Value, Option<u32>) {
     let request = world.ask(node, call);
     world.run(1_500);
     let answer = world.answers[&request].clone();
@@ -99,12 +99,12 @@
     let (old_done, old_withdrawn) = (id(FIRST_OLD_JOB), id(FIRST_OLD_JOB + 1));
     assert_eq!(jobs_in_memory(&world, 0), 0);
     for node in 0..3 {
-        let (status, body, _) = answer(&mut world, node, HttpCall::Status(old_done.clone()));
+        let (status, body, _) = answer(&mut world, node, HttpRequest::Status(old_done.clone()));
         assert_eq!((status, &body["status"], &body["done"]), (200, &json!("done"), &json!(2)));
-        let (status, body, _) = answer(&mut world, node, HttpCall::Status(old_withdrawn.clone()));
+        let (status, body, _) = answer(&mut world, node, HttpRequest::Status(old_withdrawn.clone()));
         assert_eq!((status, &body["status"]), (200, &json!("withdrawn")));
     }
-    let (status, ..) = answer(&mut world, 0, HttpCall::Status(id(499_999)));
+    let (status, ..) = answer(&mut world, 0, HttpRequest::Status(id(499_999)));
     assert_eq!(status, 404);
 }
 
@@ -112,7 +112,7 @@
 fn without_the_state_service_a_job_no_longer_in_memory_is_not_called_unknown() {
     let mut world = restarted_with(40, 3);
     world.state.down = true;
-    for call in [HttpCall::Status(id(FIRST_OLD_JOB)), HttpCall::Cancel(id(FIRST_OLD_JOB))] {
+    for call in [HttpRequest::Status(id(FIRST_OLD_JOB)), HttpRequest::Cancel(id(FIRST_OLD_JOB))] {
         let (status, _, retry_after_s) = answer(&mut world, 0, call);
         assert_eq!((status, retry_after_s), (503, Some(1)));
     }
@@ -123,12 +123,14 @@
     let mut world = restarted_with(40, 4);
     let mut submission = job(FIRST_OLD_JOB, "t1", 2, 5.0);
     submission["awaits"] = json!([id(499_999)]);
-    let (status, body, _) = answer(&mut world, 0, HttpCall::Submit(submission.to_string().into_bytes()));
+    let (status, body, _) =
+        answer(&mut world, 0, HttpRequest::Submit(submission.to_string().into_bytes()));
     assert_eq!((status, &body["status"]), (200, &json!("done")));
     let submission = job(FIRST_OLD_JOB + 1, "t1", 2, 5.0);
-    let (status, body, _) = answer(&mut world, 1, HttpCall::Submit(submission.to_string().into_bytes()));
+    let (status, body, _) =
+        answer(&mut world, 1, HttpRequest::Submit(submission.to_string().into_bytes()));
     assert_eq!((status, &body["status"]), (200, &json!("withdrawn")));
-    let (status, body, _) = answer(&mut world, 2, HttpCall::Cancel(id(FIRST_OLD_JOB + 2)));
+    let (status, body, _) = answer(&mut world, 2, HttpRequest::Cancel(id(FIRST_OLD_JOB + 2)));
     assert_eq!((status, &body["status"]), (200, &json!("done")));
     let records = world.state.keys.clone();
     world.run(20_000);
@@ -145,9 +147,9 @@
     let mut ready = job(1, "t1", 2, 5.0);
     ready["awaits"] = json!([id(FIRST_OLD_JOB), id(FIRST_OLD_JOB + 2)]);
     world.accept(0, &ready);
-    let mut doomed = job(2, "t1", 2, 5.0);
-    doomed["awaits"] = json!([id(FIRST_OLD_JOB), id(FIRST_OLD_JOB + 1)]);
-    world.accept(1, &doomed);
+    let mut has_cancelled_dependency = job(2, "t1", 2, 5.0);
+    has_cancelled_dependency["awaits"] = json!([id(FIRST_OLD_JOB), id(FIRST_OLD_JOB + 1)]);
+    world.accept(1, &has_cancelled_dependency);
     assert_eq!(world.status(2, &id(2)), "withdrawn");
     assert!(world.until_done(&id(1), 120_000));
     world.fair();
@@ -183,7 +185,7 @@
         world.run(25);
         for node in 0..3 {
             for number in [12, 13] {
-                requests.push(world.ask(node, HttpCall::Status(id(number))));
+                requests.push(world.ask(node, HttpRequest::Status(id(number))));
             }
         }
     }
@@ -245,18 +247,19 @@
     world.accept(0, &job(1, "t1", 1, 600.0));
     world.run(40_000);
     let worker = world.workers.iter().position(|worker| worker.alive).expect("a machine");
-    let mut report = world.workers[worker].report();
-    report.seq += 1;
-    let old_task = |number: u32, state: TaskState| ReportTask {
+    let mut heartbeat = world.workers[worker].heartbeat();
+    heartbeat.sequence += 1;
+    let old_task = |number: u32, state: TaskState| HeartbeatTask {
         task: format!("{}/0", id(number)),
         attempt: 7,
         state,
         why: (state == TaskState::Exited).then(|| "done".into()),
     };
-    report.tasks.push(old_task(FIRST_OLD_JOB, TaskState::Running));
-    report.tasks.push(old_task(FIRST_OLD_JOB + 1, TaskState::Exited));
-    let holder = world.holder_of(worker);
-    let (status, body, _) = answer(&mut world, holder, HttpCall::Checkin(Box::new(report)));
+    heartbeat.tasks.push(old_task(FIRST_OLD_JOB, TaskState::Running));
+    heartbeat.tasks.push(old_task(FIRST_OLD_JOB + 1, TaskState::Exited));
+    let shard_owner = world.shard_owner_of(worker);
+    let (status, body, _) =
+        answer(&mut world, shard_owner, HttpRequest::WorkerHeartbeat(Box::new(heartbeat)));
     assert_eq!(status, 200);
     let orders = body["orders"].as_array().cloned().unwrap_or_default();
     let verb_of = |number: u32| {
@@ -330,34 +333,34 @@
 
 fn end_jobs(shared: &mut Shared, first: u32, count: usize, version: u64) {
     for number in first..first + count as u32 {
-        shared.put_job(&id(number), JobRecord::done(2, 1), version, RecordSource::Watch);
+        shared.apply_job_record(&id(number), JobRecord::done(2, 1), version, RecordSource::Watch);
     }
     shared.jobs_changed.clear();
-    shared.cancelled_now.clear();
+    shared.newly_cancelled.clear();
 }
 
 #[test]
 fn a_dropped_job_is_not_revived_by_an_older_record() {
     let mut shared = shared();
     shared.watched_revision = Some(10);
-    assert!(shared.put_job(&id(1), live_record(), 10, RecordSource::Watch));
-    assert!(shared.put_job(&id(1), JobRecord::done(2, 1), 20, RecordSource::Watch));
+    assert!(shared.apply_job_record(&id(1), live_record(), 10, RecordSource::Watch));
+    assert!(shared.apply_job_record(&id(1), JobRecord::done(2, 1), 20, RecordSource::Watch));
     end_jobs(&mut shared, 1_000, MAX_FINAL_JOBS + FINAL_JOBS_BATCH, 30);
     shared.watched_revision = Some(100);
     shared.drop_final_jobs(|_| {});
-    assert_eq!(shared.job_ix(&id(1)), None, "the oldest is dropped");
+    assert_eq!(shared.job_index(&id(1)), None, "the oldest is dropped");
     assert_eq!(shared.jobs.len(), MAX_FINAL_JOBS);
     // A read that was under way for long, and a page of a full read.
-    assert!(!shared.put_job(&id(1), live_record(), 10, RecordSource::Single));
+    assert!(!shared.apply_job_record(&id(1), live_record(), 10, RecordSource::Single));
     shared.watched_revision = None;
-    assert!(!shared.put_job(&id(1), live_record(), 10, RecordSource::Single));
+    assert!(!shared.apply_job_record(&id(1), live_record(), 10, RecordSource::Single));
     let page = RecordSource::Page { first_revision: 100 };
-    assert!(shared.put_job(&id(1), JobRecord::done(2, 1), 20, page));
-    assert_eq!(shared.job_ix(&id(1)), None);
+    assert!(shared.apply_job_record(&id(1), JobRecord::done(2, 1), 20, page));
+    assert_eq!(shared.job_index(&id(1)), None);
     // One that has just been accepted is newer than what the watch has told.
     shared.watched_revision = Some(100);
-    assert!(shared.put_job(&id(2), live_record(), 101, RecordSource::Single));
-    assert!(shared.job_ix(&id(2)).is_some());
+    assert!(shared.apply_job_record(&id(2), live_record(), 101, RecordSource::Single));
+    assert!(shared.job_index(&id(2)).is_some());
 }
 
 /// The watch has still to tell that the job was live: dropped before, it would be
@@ -366,11 +369,11 @@
 fn a_final_job_newer_than_the_watch_is_kept() {
     let mut shared = shared();
     shared.watched_revision = Some(100);
-    assert!(shared.put_job(&id(1), JobRecord::done(2, 1), 150, RecordSource::Single));
+    assert!(shared.apply_job_record(&id(1), JobRecord::done(2, 1), 150, RecordSource::Single));
     end_jobs(&mut shared, 1_000, MAX_FINAL_JOBS + FINAL_JOBS_BATCH, 30);
     shared.drop_final_jobs(|_| {});
-    assert!(shared.put_job(&id(1), live_record(), 140, RecordSource::Watch));
-    let index = shared.job_ix(&id(1)).expect("still there");
+    assert!(shared.apply_job_record(&id(1), live_record(), 140, RecordSource::Watch));
+    let index = shared.job_index(&id(1)).expect("still there");
     assert_eq!(shared.job(index).state, JobState::Done);
 }
 
@@ -379,16 +382,16 @@
     let mut shared = shared();
     shared.watched_revision = Some(100);
     end_jobs(&mut shared, 1, 2, 20);
-    let (in_use, other) = (shared.job_ix(&id(1)).unwrap(), shared.job_ix(&id(2)).unwrap());
+    let (in_use, other) = (shared.job_index(&id(1)).unwrap(), shared.job_index(&id(2)).unwrap());
     end_jobs(&mut shared, 1_000, MAX_FINAL_JOBS + FINAL_JOBS_BATCH, 30);
     shared.drop_final_jobs(|indices| {
         indices.insert(in_use);
     });
-    assert_eq!(shared.job_ix(&id(1)), Some(in_use));
-    assert_eq!(shared.job_ix(&id(2)), None);
+    assert_eq!(shared.job_index(&id(1)), Some(in_use));
+    assert_eq!(shared.job_index(&id(2)), None);
     assert!(shared.must_stop(other), "who kept the index starts nothing");
-    assert!(shared.put_job(&id(2), JobRecord::done(2, 1), 20, RecordSource::Single));
-    assert_ne!(shared.job_ix(&id(2)), Some(other));
+    assert!(shared.apply_job_record(&id(2), JobRecord::done(2, 1), 20, RecordSource::Single));
+    assert_ne!(shared.job_index(&id(2)), Some(other));
 }
 
 /// The tombstone of another cell's job is the one final state that another can follow, and
@@ -400,26 +403,31 @@
     let origin = |epoch| Origin { cell: "a".into(), epoch, done: String::new() };
     let (spec, _) = live_record().into_parts();
     let hosted = |epoch| JobRecord::hosted(spec.clone().unwrap(), origin(epoch));
-    assert!(shared.put_job(&id(1), JobRecord::tombstone(0, origin(5)), 20, RecordSource::Single));
-    let index = shared.job_ix(&id(1)).unwrap();
-    assert!(shared.put_job(&id(1), hosted(5), 30, RecordSource::Watch));
+    assert!(shared.apply_job_record(
+        &id(1),
+        JobRecord::tombstone(0, origin(5)),
+        20,
+        RecordSource::Single
+    ));
+    let index = shared.job_index(&id(1)).unwrap();
+    assert!(shared.apply_job_record(&id(1), hosted(5), 30, RecordSource::Watch));
     assert_eq!(shared.job(index).state, JobState::Cancelled, "the same offer, late");
-    assert!(shared.put_job(&id(1), hosted(7), 40, RecordSource::Watch));
+    assert!(shared.apply_job_record(&id(1), hosted(7), 40, RecordSource::Watch));
     let job = shared.job(index);
     assert_eq!((job.state, job.tasks, job.origin()), (JobState::Live, 2, Some(&origin(7))));
     end_jobs(&mut shared, 1_000, MAX_FINAL_JOBS + FINAL_JOBS_BATCH, 50);
     shared.drop_final_jobs(|_| {});
     shared.now += 1_000_000;
-    shared.forget_specs();
-    assert_eq!(shared.job_ix(&id(1)), Some(index));
+    shared.drop_final_specs();
+    assert_eq!(shared.job_index(&id(1)), Some(index));
     assert!(shared.job(index).spec.is_some());
     let done = JobRecord::done(2, 1).with_origin(Some(origin(5)));
-    assert!(shared.put_job(&id(3), done, 60, RecordSource::Single));
-    assert!(shared.put_job(&id(3), hosted(7), 70, RecordSource::Watch));
-    let ended = shared.job_ix(&id(3)).unwrap();
+    assert!(shared.apply_job_record(&id(3), done, 60, RecordSource::Single));
+    assert!(shared.apply_job_record(&id(3), hosted(7), 70, RecordSource::Watch));
+    let ended = shared.job_index(&id(3)).unwrap();
     assert_eq!(shared.job(ended).state, JobState::Done, "what is done stays done");
-    assert!(shared.put_job(&id(2), JobRecord::cancelled(2), 60, RecordSource::Single));
-    assert!(shared.put_job(&id(2), live_record(), 70, RecordSource::Watch));
-    let own = shared.job_ix(&id(2)).unwrap();
+    assert!(shared.apply_job_record(&id(2), JobRecord::cancelled(2), 60, RecordSource::Single));
+    assert!(shared.apply_job_record(&id(2), live_record(), 70, RecordSource::Watch));
+    let own = shared.job_index(&id(2)).unwrap();
     assert_eq!(shared.job(own).state, JobState::Cancelled, "a job of this cell stays cancelled");
 }
--- a/tests/loopback.rs
+++ b/tests/loopback.rs
@@ -33,7 +33,7 @@
     let history = History::default();
     let settings = WorkerSettings {
         nodes: (0..NODES).map(|node| (format!("n{node}"), front[node])).collect(),
-        report: Duration::from_secs(1),
+        heartbeat: Duration::from_secs(1),
         lease: Duration::from_secs(45),
         run: RUN,
         history: history.clone(),
--- a/tests/pipelines.rs
+++ b/tests/pipelines.rs
@@ -11,7 +11,7 @@
 
 use serde_json::{Value, json};
 use support::{World, job};
-use woadlever::core::HttpCall;
+use woadlever::core::HttpRequest;
 
 /// What the state service takes after its limits have fallen.
 const NEXT: support::Next = (2.0, 4, 15.0);
@@ -110,7 +110,7 @@
         w.slow_watch.insert(1, slow);
         w.run(2 * slow + 100);
         w.asked_to_cancel.insert(id(1));
-        let c = w.ask(0, HttpCall::Cancel(id(1)));
+        let c = w.ask(0, HttpRequest::Cancel(id(1)));
         w.run(40);
         let s = w.submit(1, &stage(3, &[2]));
         w.run(500);
@@ -137,7 +137,7 @@
     w.accept(0, &stage(1, &[]));
     w.accept(1, &stage(2, &[1]));
     assert!(w.until_done(&id(1), 90_000));
-    let r = w.ask(2, HttpCall::Cancel(id(1)));
+    let r = w.ask(2, HttpRequest::Cancel(id(1)));
     w.run(500);
     assert!(w.answers[&r].body.contains("done"));
     // Named when it is over already, by a job of another team.
@@ -316,7 +316,7 @@
         // The one that knows nothing yet is asked first.
         for n in [4, 3, 2] {
             for node in [leader, (door + 1) % 3, door] {
-                let r = w.ask(node, HttpCall::Status(id(n)));
+                let r = w.ask(node, HttpRequest::Status(id(n)));
                 w.run(15);
                 if let Some(a) = w.answers.get(&r) {
                     assert!(a.status == 503 || a.body.contains("withdrawn"), "{}", a.body);
@@ -612,7 +612,7 @@
 #[test]
 fn old_frames_and_records_are_read_and_written_as_they_were() {
     use woadlever::wire::peer::Frame;
-    use woadlever::wire::state::{JobRecord, JobState};
+    use woadlever::wire::store::{JobRecord, JobState};
     for line in include_str!("fixtures/frames.hex").lines() {
         let byte = |i: usize| u8::from_str_radix(&line[i..i + 2], 16).unwrap();
         let bytes: Vec<u8> = (0..line.len()).step_by(2).map(byte).collect();
--- a/tests/recovery.rs
+++ b/tests/recovery.rs
@@ -8,7 +8,7 @@
 use serde_json::Value;
 use std::collections::HashSet;
 use support::{Orders, WTask, World, job};
-use woadlever::core::HttpCall;
+use woadlever::core::HttpRequest;
 use woadlever::wire::workers::TaskState;
 
 const NODES: usize = 3;
@@ -223,10 +223,10 @@
 fn reports_older_than_the_loss_prove_nothing() {
     let mut world = busy(780);
     // From before the tasks were there.
-    let mut old = world.workers[0].report();
+    let mut old = world.workers[0].heartbeat();
     old.tasks.clear();
-    old.seq = 1;
-    old.token = 0;
+    old.sequence = 1;
+    old.fencing_token = 0;
     crash_all(&mut world, 2_000);
     let kept = running(&world);
     world.run(2_300);
@@ -297,7 +297,7 @@
     world.accept(0, &job(1, "t1", 8, 5.0));
     assert!(world.until_done("run-000001", 120_000));
     // Idle machines are drained; the loss comes once a return is on record.
-    let returning = |world: &World| -> Vec<String> {
+    let terminating = |world: &World| -> Vec<String> {
         let records = world.state.keys.iter().filter(|(key, _)| key.starts_with("place/"));
         let rows = records.flat_map(|(_, value)| value.0["m"].as_array().cloned().unwrap_or_default());
         rows.filter(|row: &Value| row[2].as_u64().unwrap_or(0) & 4 != 0)
@@ -306,10 +306,10 @@
     };
     world.cloud_down = true;
     let end = world.now + 200_000;
-    while returning(&world).is_empty() && world.now < end {
+    while terminating(&world).is_empty() && world.now < end {
         world.run(100);
     }
-    let marked = returning(&world);
+    let marked = terminating(&world);
     assert!(!marked.is_empty(), "no return was recorded");
     crash_all(&mut world, 1_000);
     world.run(3_000);
@@ -346,7 +346,7 @@
     world.run(8_000);
     for node in 0..NODES {
         for id in 1..=4 {
-            let request = world.ask(node, HttpCall::Status(format!("run-{id:06}")));
+            let request = world.ask(node, HttpRequest::Status(format!("run-{id:06}")));
             world.run(300);
             assert_eq!(world.answers[&request].status, 200, "run-{id:06} at n{node}");
         }
--- a/tests/recovery_model.rs
+++ b/tests/recovery_model.rs
@@ -122,9 +122,9 @@
                 world.restart_worker(worker);
             }
             Step::RepeatReport { node, worker } if worker < world.workers.len() => {
-                let report = world.workers[worker].report();
+                let heartbeat = world.workers[worker].heartbeat();
                 world.run(700);
-                world.late_report(node, report);
+                world.late_report(node, heartbeat);
             }
             Step::RestartWorker { .. } | Step::RepeatReport { .. } => {}
             Step::Wait { ms } => world.run(ms),
--- a/tests/resource_bounds.rs
+++ b/tests/resource_bounds.rs
@@ -21,7 +21,7 @@
     assert!(world.returned.len() >= 6, "{} machines returned", world.returned.len());
     let alive = world.workers.iter().filter(|worker| worker.alive).count();
     let statistics = world.nodes[0].as_ref().expect("a node").0.statistics();
-    assert!(statistics.held_machines <= alive, "{statistics:?}, {alive} machines");
+    assert!(statistics.owned_machines <= alive, "{statistics:?}, {alive} machines");
     assert!(statistics.fleet_machines <= alive, "{statistics:?}, {alive} machines");
     world.fair();
 }
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -7,8 +7,8 @@
 use rand::RngExt;
 use serde_json::{Value, json};
 use support::{World, job};
-use woadlever::core::HttpCall;
-use woadlever::wire::workers::Report;
+use woadlever::core::HttpRequest;
+use woadlever::wire::workers::WorkerHeartbeat;
 
 fn world(seed: u64) -> World {
     let mut w = World::new(3, seed);
@@ -98,7 +98,7 @@
     let leader = w.leader().unwrap();
     (0..w.workers.len())
         .filter(|i| !w.workers[*i].tasks.is_empty())
-        .map(|i| (i, w.holder_of(i)))
+        .map(|i| (i, w.shard_owner_of(i)))
         .find(|(_, h)| *h != leader)
         .expect("a busy machine held by a follower")
 }
@@ -183,16 +183,16 @@
 #[test]
 fn a_late_report_is_no_proof_of_absence() {
     let mut w = busy_world(44, 8);
-    let (m, holder) = busy_machine(&w);
-    let mut old = w.workers[m].report();
+    let (m, shard_owner) = busy_machine(&w);
+    let mut old = w.workers[m].heartbeat();
     old.tasks.clear();
-    old.seq = 1;
-    old.token = 0;
+    old.sequence = 1;
+    old.fencing_token = 0;
     w.workers[m].cut = true;
-    w.crash(holder, 30_000);
+    w.crash(shard_owner, 30_000);
     w.run(6_000);
-    let now = w.holder_of(m);
-    assert_ne!(now, holder);
+    let now = w.shard_owner_of(m);
+    assert_ne!(now, shard_owner);
     w.late_report(now, old);
     w.run(3_000);
     w.workers[m].cut = false;
@@ -336,7 +336,7 @@
     let mut w = world(11);
     let victim = (w.leader().unwrap() + 1) % 3;
     let ready = |w: &mut World, n: usize| {
-        let r = w.ask(n, HttpCall::Ready);
+        let r = w.ask(n, HttpRequest::Ready);
         w.run(50);
         w.answers[&r].status
     };
@@ -592,14 +592,14 @@
 fn late_copies_of_reports_change_nothing() {
     let mut w = busy_world(60, 8);
     let gone = w.workers.iter().position(|x| x.tasks.is_empty());
-    let copies: Vec<_> = w.workers.iter().map(|x| x.report()).collect();
-    let (m, holder) = busy_machine(&w);
+    let copies: Vec<_> = w.workers.iter().map(|x| x.heartbeat()).collect();
+    let (m, shard_owner) = busy_machine(&w);
     // A machine goes for good, and its node with it; later copies of all
     // reports reach every node, again and again.
     w.workers[m].alive = false;
     let name = w.workers[m].name.clone();
     w.returned.push(name.clone());
-    w.crash(holder, 2_000);
+    w.crash(shard_owner, 2_000);
     let lost = w.workers[m].tasks.len();
     for _ in 0..20 {
         for c in &copies {
@@ -611,8 +611,8 @@
         }
         w.run(3_000);
     }
-    assert!(gone.is_none_or(|g| w.workers[g].session == 1));
-    assert!(w.workers.iter().all(|x| !x.alive || x.session == 1), "a true worker lost its lease");
+    assert!(gone.is_none_or(|g| w.workers[g].incarnation == 1));
+    assert!(w.workers.iter().all(|x| !x.alive || x.incarnation == 1), "a true worker lost its lease");
     let again = w.starts.values().filter(|n| **n > 1).count();
     assert_eq!(again, lost, "just what was lost runs again");
     assert!(w.record_of(&name).is_none_or(|(_, row)| row[3].as_array().unwrap().is_empty()));
@@ -627,11 +627,11 @@
     w.capacity = w.workers.len();
     let (m, _) = busy_machine(&w);
     let lost = w.workers[m].tasks.len();
-    w.workers[m].session += 3;
+    w.workers[m].incarnation += 3;
     w.run(8_000);
     w.restart_worker(m);
     w.run(26_000);
-    assert!(w.workers[m].token > 0, "no one answers it");
+    assert!(w.workers[m].fencing_token > 0, "no one answers it");
     assert!(!w.returned.contains(&w.workers[m].name), "taken for silent");
     w.run(30_000);
     assert_eq!(w.starts.values().filter(|n| **n == 2).count(), lost);
@@ -644,7 +644,7 @@
 #[test]
 fn a_late_report_of_a_returned_machine_gets_no_work() {
     let mut w = idle_east();
-    let copy = w.workers[0].report();
+    let copy = w.workers[0].heartbeat();
     w.workers[0].alive = false;
     let name = w.workers[0].name.clone();
     w.returned.push(name.clone());
@@ -716,14 +716,14 @@
         w.add_worker(i, support::ZONES[i % 2], false, 100);
     }
     w.run(6_000);
-    let (m, holder) = busy_machine(&w);
+    let (m, shard_owner) = busy_machine(&w);
     let lost = w.workers[m].tasks.len();
     w.workers[m].alive = false;
     let name = w.workers[m].name.clone();
     w.returned.push(name);
     let leader = w.leader().unwrap();
     w.crash(leader, 1_000);
-    w.crash(holder, 1_000);
+    w.crash(shard_owner, 1_000);
     w.run(26_000);
     assert_eq!(w.starts.values().filter(|n| **n == 2).count(), lost);
     w.fair();
@@ -777,7 +777,7 @@
         assert_eq!(w.cancel(asked, "run-000002"), 200);
         w.run(60_000);
         let alive = w.workers.iter().filter(|x| x.alive);
-        assert!(alive.clone().all(|x| x.session == 1), "a lease ended");
+        assert!(alive.clone().all(|x| x.incarnation == 1), "a lease ended");
         assert!(w.starts.values().all(|n| *n == 1), "{:?}", w.starts);
         w.state.refuses.clear();
         w.cuts.clear();
@@ -866,7 +866,7 @@
     w.accept(0, &job(1, "t1", 1, 5.0));
     w.slow.insert(0, 1_500);
     let asked: Vec<u64> = (0..1_000)
-        .map(|i| w.ask(0, HttpCall::Status(format!("run-{:06}", if i % 2 == 0 { 1 } else { i }))))
+        .map(|i| w.ask(0, HttpRequest::Status(format!("run-{:06}", if i % 2 == 0 { 1 } else { i }))))
         .collect();
     w.run(200);
     let at_once = asked.iter().filter(|r| w.answers.contains_key(r)).count();
@@ -1136,13 +1136,13 @@
         assert!(w.reconnects.contains(&link), "{:?}", w.reconnects);
     }
     for i in 0..w.workers.len() {
-        assert_ne!(w.holder_of(i), victim);
+        assert_ne!(w.shard_owner_of(i), victim);
     }
     w.accept(others[0], &job(3, "t1", 6, 5.0));
     assert!(w.until_done("run-000003", 60_000));
     w.one_way.clear();
     w.run(12_000);
-    assert!((0..w.workers.len()).any(|i| w.holder_of(i) == victim), "its blocks come home");
+    assert!((0..w.workers.len()).any(|i| w.shard_owner_of(i) == victim), "its blocks come home");
     w.fair();
 }
 
@@ -1188,7 +1188,7 @@
     for (field, value, status) in cases {
         let mut j = job(7, "t0", 2, 10.0);
         j[field] = value.clone();
-        let r = w.ask(0, HttpCall::Submit(j.to_string().into_bytes()));
+        let r = w.ask(0, HttpRequest::Submit(j.to_string().into_bytes()));
         w.run(100);
         let a = &w.answers[&r];
         assert_eq!(a.status, status, "{field} = {value}: {}", a.body);
@@ -1197,7 +1197,7 @@
         }
     }
     for body in [&b"not json"[..], b"[1]", b"", b"{}"] {
-        let r = w.ask(0, HttpCall::Submit(body.to_vec()));
+        let r = w.ask(0, HttpRequest::Submit(body.to_vec()));
         w.run(100);
         assert_eq!(w.answers[&r].status, 400);
     }
@@ -1229,7 +1229,7 @@
 }
 
 /// One fault, drawn at random, or the end of one.
-fn random_fault(w: &mut World, ids: &[String], copies: &mut Vec<Report>) {
+fn random_fault(w: &mut World, ids: &[String], copies: &mut Vec<WorkerHeartbeat>) {
     match w.rng.random_range(0..19) {
         0 => {
             let n = w.rng.random_range(0..3);
@@ -1272,7 +1272,7 @@
             // Copies from seconds to minutes ago reach any node.
             for _ in 0..4 {
                 let i = w.rng.random_range(0..w.workers.len());
-                copies.push(w.workers[i].report());
+                copies.push(w.workers[i].heartbeat());
                 let c = w.rng.random_range(0..copies.len());
                 let n = w.rng.random_range(0..3);
                 w.late_report(n, copies[c].clone());
@@ -1367,7 +1367,7 @@
         let other = (leader + 1) % 3;
         w.run(8_000);
         assert_ne!(w.leader(), Some(leader));
-        assert!((0..w.workers.len()).all(|i| w.holder_of(i) != leader));
+        assert!((0..w.workers.len()).all(|i| w.shard_owner_of(i) != leader));
         w.accept(other, &job(3, "t0", 16, 8.0));
         assert!(w.until_done("run-000003", 45_000));
         assert_eq!(w.cancel(other, "run-000002"), 200);
--- a/tests/support/cells.rs
+++ b/tests/support/cells.rs
@@ -114,10 +114,10 @@
 
     /// A user of one cell cancels a job; whether that was confirmed.
     pub fn cancel(&mut self, cell: usize, id: &str) -> bool {
-        use woadlever::core::HttpCall;
+        use woadlever::core::HttpRequest;
         self.worlds[cell].asked_to_cancel.insert(id.into());
         for _ in 0..20 {
-            let request = self.worlds[cell].ask(0, HttpCall::Cancel(id.into()));
+            let request = self.worlds[cell].ask(0, HttpRequest::Cancel(id.into()));
             self.run(500);
             let answer = self.worlds[cell].answers.get(&request);
             if answer.is_some_and(|answer| answer.body.contains("withdrawn")) {
@@ -133,8 +133,8 @@
 
     /// What a user of a cell is told of a job.
     pub fn status(&mut self, cell: usize, id: &str) -> String {
-        use woadlever::core::HttpCall;
-        let request = self.worlds[cell].ask(0, HttpCall::Status(id.into()));
+        use woadlever::core::HttpRequest;
+        let request = self.worlds[cell].ask(0, HttpRequest::Status(id.into()));
         self.run(300);
         self.worlds[cell].answers.get(&request).map_or("none".into(), |answer| {
             let body: Value = serde_json::from_str(&answer.body).unwrap_or_default();
