--- a/tests/support/cloud.rs
+++ b/tests/support/cloud.rs
@@ -3,12 +3,12 @@
 use super::{CLOUD_RPS, World, ZONES};
 use rand::RngExt;
 use serde_json::{Value, json};
-use woadlever::core::{CloudOp, CloudResult};
+use woadlever::core::{CloudRequest, CloudResponse};
 
 impl World {
-    pub(super) fn cloud(&mut self, op: CloudOp) -> CloudResult {
+    pub(super) fn cloud(&mut self, op: CloudRequest) -> CloudResponse {
         if self.cloud_down {
-            return CloudResult::NotExecuted;
+            return CloudResponse::NotExecuted;
         }
         self.cloud_calls += 1;
         let (left, at) = self.cloud_rate;
@@ -16,11 +16,11 @@
         if left < 1.0 {
             self.cloud_rate = (left, self.now);
             self.cloud_refused += 1;
-            return CloudResult::NotExecuted;
+            return CloudResponse::NotExecuted;
         }
         self.cloud_rate = (left - 1.0, self.now);
         match op {
-            CloudOp::Catalog => {
+            CloudRequest::Catalog => {
                 let mut types = vec![json!({"label":"m16","cores":16,"cards":0,
                     "memory_gb":64,"cache_gb":50,"pull_gb_per_s":1.0,"price":1.0,"spot_price":0.4,
                     "ready_s":10,"yards":ZONES})];
@@ -30,9 +30,9 @@
                         "yards":ZONES}));
                 }
                 let catalog = json!({ "hulltypes": types });
-                CloudResult::Catalog(serde_json::from_value(catalog).unwrap())
+                CloudResponse::Catalog(serde_json::from_value(catalog).unwrap())
             }
-            CloudOp::List { since } => {
+            CloudRequest::List { since } => {
                 let after = since.unwrap_or_default();
                 let now = self.now;
                 let list: Vec<Value> = self
@@ -46,19 +46,19 @@
                             "age_s":(now - w.rented) as f64 / 1000.0})
                     })
                     .collect();
-                CloudResult::Page(
+                CloudResponse::Page(
                     serde_json::from_value(json!({"hulls":list,"has_next":false})).unwrap(),
                 )
             }
-            CloudOp::Rent(r) => {
+            CloudRequest::Rent(r) => {
                 assert!(r.count <= 50, "{} machines in one request", r.count);
                 if let Some(old) = self.charters.get(&r.request) {
-                    return CloudResult::Rented(serde_json::from_value(json!({"hulls":old})).unwrap());
+                    return CloudResponse::Rented(serde_json::from_value(json!({"hulls":old})).unwrap());
                 }
                 let up = self.workers.iter().filter(|w| !self.returned.contains(&w.name)).count();
                 let n = (r.count as usize).min(self.capacity.saturating_sub(up));
                 if n == 0 {
-                    return CloudResult::NoCapacity;
+                    return CloudResponse::NoCapacity;
                 }
                 let mut names = Vec::new();
                 for _ in 0..n {
@@ -67,9 +67,9 @@
                     names.push(self.add_worker(self.rented, &r.zone, r.spot, boot));
                 }
                 self.charters.insert(r.request, names.clone());
-                CloudResult::Rented(serde_json::from_value(json!({"hulls":names})).unwrap())
+                CloudResponse::Rented(serde_json::from_value(json!({"hulls":names})).unwrap())
             }
-            CloudOp::Return(r) => {
+            CloudRequest::Return(r) => {
                 assert!(r.machines.len() <= 100, "{} names in one request", r.machines.len());
                 for name in r.machines {
                     if let Some(w) = self.workers.iter_mut().find(|w| w.name == name) {
@@ -78,7 +78,7 @@
                     }
                     self.returned.push(name);
                 }
-                CloudResult::Returned
+                CloudResponse::Returned
             }
         }
     }
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -27,11 +27,11 @@
 use std::sync::Arc;
 use woadlever::config::Operator;
 use woadlever::core::{
-    Answer, CloudOp, CloudResult, Core, HttpCall, Input, Output, StateOp, StateResult,
+    Answer, CloudRequest, CloudResponse, Core, HttpRequest, Input, Output, StoreRequest, StoreResponse,
 };
 use woadlever::wire::peer::Frame;
-use woadlever::wire::state::{Change, Txn, WatchAnswer};
-use woadlever::wire::workers::{DirectCommands, Report};
+use woadlever::wire::store::{CompareAndSwap, Mutation, WatchAnswer};
+use woadlever::wire::workers::{DirectCommands, WorkerHeartbeat};
 use woadlever_cells::message::CellMessage;
 
 pub const ZONES: [&str; 2] = ["east", "west"];
@@ -40,12 +40,12 @@
 const CLOUD_RPS: f64 = 5.0;
 
 enum Ev {
-    StateReq { node: usize, inc: u64, call: u64, op: StateOp, silent: bool, late: bool },
-    StateRes { node: usize, inc: u64, call: u64, result: StateResult },
-    CloudReq { node: usize, inc: u64, call: u64, op: CloudOp },
-    CloudRes { node: usize, inc: u64, call: u64, result: CloudResult },
+    StateReq { node: usize, inc: u64, call: u64, op: StoreRequest, silent: bool, late: bool },
+    StateRes { node: usize, inc: u64, call: u64, result: StoreResponse },
+    CloudReq { node: usize, inc: u64, call: u64, op: CloudRequest },
+    CloudRes { node: usize, inc: u64, call: u64, result: CloudResponse },
     Frame { to: usize, inc: u64, frame: Frame },
-    Report { worker: usize, id: u64, node: usize, report: Box<Report> },
+    WorkerHeartbeat { worker: usize, id: u64, node: usize, heartbeat: Box<WorkerHeartbeat> },
     Reply { worker: usize, node: usize, id: u64, answer: Answer },
     Direct { worker: usize, order: DirectCommands },
     User { req: u64, answer: Answer },
@@ -70,7 +70,7 @@
     pub workers: Vec<Worker>,
     pub jobs: HashMap<String, Value>,
     queue: BTreeMap<(u64, u64), Ev>,
-    seq: u64,
+    sequence: u64,
     pub rng: StdRng,
     /// Nodes that can't reach each other (or `usize::MAX`: the workers).
     pub cuts: HashSet<(usize, usize)>,
@@ -135,7 +135,7 @@
     pub pick: Option<(usize, String, Fate)>,
     /// Those picked out so far, and those of them still under way.
     pub picked: usize,
-    under_way: Vec<Txn>,
+    under_way: Vec<CompareAndSwap>,
     /// Tasks that started after their job's cancellation was confirmed: how long
     /// after.
     pub late_starts: Vec<(String, u64)>,
@@ -212,7 +212,7 @@
             workers: Vec::new(),
             jobs: HashMap::new(),
             queue: BTreeMap::new(),
-            seq: 0,
+            sequence: 0,
             rng: StdRng::seed_from_u64(seed),
             cuts: HashSet::new(),
             one_way: HashSet::new(),
@@ -331,7 +331,7 @@
             Ev::Frame { to, frame, .. } => {
                 frame.from[1..].parse().is_ok_and(|from: usize| of_node(from) != of_node(*to))
             }
-            Ev::Report { worker, node, .. } | Ev::Reply { worker, node, .. } => {
+            Ev::WorkerHeartbeat { worker, node, .. } | Ev::Reply { worker, node, .. } => {
                 of_worker(*worker) != of_node(*node)
             }
             _ => false,
@@ -341,7 +341,9 @@
     /// What a slow node still has before it when this reaches it.
     fn lag_of(&self, ev: &Ev) -> u64 {
         let node = match ev {
-            Ev::StateRes { node, .. } | Ev::CloudRes { node, .. } | Ev::Report { node, .. } => node,
+            Ev::StateRes { node, .. } | Ev::CloudRes { node, .. } | Ev::WorkerHeartbeat { node, .. } => {
+                node
+            }
             Ev::Frame { to, .. } => to,
             _ => return 0,
         };
@@ -354,8 +356,8 @@
             return;
         }
         let delay = delay + self.lag_of(&ev);
-        self.seq += 1;
-        self.queue.insert((self.now + delay, self.seq), ev);
+        self.sequence += 1;
+        self.queue.insert((self.now + delay, self.sequence), ev);
     }
 
     fn step(&mut self, node: usize, input: Input) {
@@ -384,30 +386,33 @@
                         self.push(1, Ev::User { req, answer });
                     }
                 }
-                Output::State { call, op } => {
+                Output::Store { call, op } => {
                     if let Some(fate) = self.fate_of(node, &op) {
-                        let StateOp::Txn(t) = op else { continue };
+                        let StoreRequest::CompareAndSwap(t) = op else { continue };
                         if fate == Fate::Late {
                             self.under_way.push(t);
                         } else if !self.state.down {
                             self.state.txn(&t);
                         }
-                        let result = StateResult::Unknown;
+                        let result = StoreResponse::OutcomeUnknown;
                         self.push(self.given_up_ms, Ev::StateRes { node, inc, call, result });
                         continue;
                     }
                     let silent = self.lossy > 0.0
-                        && matches!(op, StateOp::Txn(_))
+                        && matches!(op, StoreRequest::CompareAndSwap(_))
                         && self.rng.random_range(0.0..1.0) < self.lossy;
                     // A lost call may still run, seconds later.
                     let mut slow = self.slow.get(&node).copied().unwrap_or(0);
-                    if matches!(op, StateOp::Txn(_)) {
+                    if matches!(op, StoreRequest::CompareAndSwap(_)) {
                         slow += self.slow_txn.get(&node).copied().unwrap_or(0);
                     }
                     let late = slow > 0;
                     let d = slow + if silent { self.rng.random_range(1..8000) } else { 2 };
                     if silent {
-                        self.push(2000, Ev::StateRes { node, inc, call, result: StateResult::Unknown });
+                        self.push(
+                            2000,
+                            Ev::StateRes { node, inc, call, result: StoreResponse::OutcomeUnknown },
+                        );
                     }
                     self.push(d, Ev::StateReq { node, inc, call, op, silent, late });
                 }
@@ -426,7 +431,7 @@
                         self.push(self.frame_ms, Ev::Frame { to, inc, frame });
                     }
                 }
-                Output::Direct { addr, commands: order } => {
+                Output::DirectCommands { addr, commands: order } => {
                     let found = self.workers.iter().position(|w| w.name == addr);
                     if let Some(worker) = found.filter(|_| !self.cut(node, usize::MAX)) {
                         self.push(2, Ev::Direct { worker, order });
@@ -438,11 +443,11 @@
         }
     }
 
-    fn fate_of(&mut self, node: usize, op: &StateOp) -> Option<Fate> {
+    fn fate_of(&mut self, node: usize, op: &StoreRequest) -> Option<Fate> {
         let (at, prefix, fate) = self.pick.as_ref().filter(|p| p.0 == node)?;
-        let StateOp::Txn(t) = op else { return None };
-        let touches = |c: &Change| match c {
-            Change::Put { key, .. } | Change::Delete { key } => key.starts_with(prefix.as_str()),
+        let StoreRequest::CompareAndSwap(t) = op else { return None };
+        let touches = |c: &Mutation| match c {
+            Mutation::Put { key, .. } | Mutation::Delete { key } => key.starts_with(prefix.as_str()),
         };
         let found = (*at == node && t.changes.iter().any(touches)).then_some(*fate);
         self.picked += usize::from(found.is_some());
@@ -450,7 +455,7 @@
     }
 
     /// What was under way is carried out after all, in order: what became of it.
-    pub fn carry_out_late(&mut self) -> Vec<StateResult> {
+    pub fn carry_out_late(&mut self) -> Vec<StoreResponse> {
         let late = std::mem::take(&mut self.under_way);
         late.iter().map(|t| self.state.txn(t)).collect()
     }
@@ -460,15 +465,15 @@
     }
 
     /// The node that holds a machine's block, as the records say.
-    pub fn holder_of(&self, worker: usize) -> usize {
+    pub fn shard_owner_of(&self, worker: usize) -> usize {
         let cfg = platform(0, self.n);
         let mut nodes: Vec<(String, String)> =
             cfg.peers.iter().map(|p| (p.node.clone(), p.zone.clone())).collect();
         nodes.push((cfg.node.clone(), cfg.zone.clone()));
-        let blocks = woadlever::core::common::model::blocks_of(&cfg.cluster.zones, &nodes);
+        let shards = woadlever::core::common::model::shards_of(&cfg.cluster.zones, &nodes);
         let w = &self.workers[worker];
-        let b = woadlever::core::common::model::block_of(&blocks, &w.zone, &w.name).unwrap();
-        let rec = &self.state.keys[&format!("w/block/{}", blocks[b as usize].name)].0;
+        let b = woadlever::core::common::model::shard_of(&shards, &w.zone, &w.name).unwrap();
+        let rec = &self.state.keys[&format!("w/block/{}", shards[b as usize].name)].0;
         rec["node"].as_str().unwrap()[1..].parse().unwrap()
     }
 
@@ -517,9 +522,12 @@
             Ev::StateReq { node, inc, call, op, silent, late } => {
                 self.state.requests += 1;
                 let refused = self.state.refuses.contains(&node) || self.state.over_rate(self.now, &op);
-                if let StateOp::Watch { prefix, since, block_ms } = &op {
+                if let StoreRequest::Watch { prefix, since, block_ms } = &op {
                     if self.state.down || refused {
-                        self.push(2, Ev::StateRes { node, inc, call, result: StateResult::NotExecuted });
+                        self.push(
+                            2,
+                            Ev::StateRes { node, inc, call, result: StoreResponse::NotExecuted },
+                        );
                     } else {
                         let until = self.now + block_ms;
                         self.state.watches.push((node, inc, call, prefix.clone(), *since, until));
@@ -533,7 +541,7 @@
                     return;
                 }
                 let result = if self.state.down || refused && !late {
-                    StateResult::NotExecuted
+                    StoreResponse::NotExecuted
                 } else {
                     self.state.run(self.now, &op)
                 };
@@ -541,7 +549,7 @@
             }
             Ev::StateRes { node, inc, call, result } => {
                 if self.nodes[node].as_ref().is_some_and(|n| n.1 == inc) {
-                    self.step(node, Input::State { call, result });
+                    self.step(node, Input::Store { call, result });
                 }
             }
             Ev::CloudReq { node, inc, call, op } => {
@@ -558,14 +566,14 @@
                     self.step(to, Input::Frame(frame));
                 }
             }
-            Ev::Report { worker, id, node, report } => {
+            Ev::WorkerHeartbeat { worker, id, node, heartbeat } => {
                 if self.nodes[node].is_none() {
                     return;
                 }
                 let req = self.next_req;
                 self.next_req += 1;
                 self.worker_reqs.insert((node, req), (worker, id));
-                self.step(node, Input::Http { req, call: HttpCall::Checkin(report) });
+                self.step(node, Input::Http { req, call: HttpRequest::WorkerHeartbeat(heartbeat) });
             }
             Ev::Reply { worker, id, node, answer } => {
                 let wait = self.workers[worker].hung_until.saturating_sub(self.now);
@@ -597,7 +605,7 @@
         for w in list {
             let found = self.state.watch(&w.3, w.4);
             let late = (now >= w.5).then(|| {
-                StateResult::Watch(WatchAnswer { revision: self.state.revision, events: vec![] })
+                StoreResponse::Watch(WatchAnswer { revision: self.state.revision, events: vec![] })
             });
             let held = self.state.refuses.contains(&w.0);
             match found.or(late) {
@@ -606,7 +614,7 @@
                     self.push(1 + late, Ev::StateRes { node: w.0, inc: w.1, call: w.2, result });
                 }
                 _ if now > w.5 + 3000 => {
-                    let result = StateResult::Unknown;
+                    let result = StoreResponse::OutcomeUnknown;
                     self.push(1, Ev::StateRes { node: w.0, inc: w.1, call: w.2, result });
                 }
                 _ => self.state.watches.push(w),
--- a/tests/support/production.rs
+++ b/tests/support/production.rs
@@ -4,7 +4,7 @@
 use super::{WTask, World};
 use serde_json::Value;
 use woadlever::config::Operator;
-use woadlever::wire::workers::Report;
+use woadlever::wire::workers::WorkerHeartbeat;
 
 impl World {
     /// As the version in production left it, with all processes new: its
@@ -33,11 +33,12 @@
             w.state.keys.insert(k[0].as_str().unwrap().into(), value);
         }
         for (i, x) in d["workers"].as_array().unwrap().iter().enumerate() {
-            let r: Report = serde_json::from_value(x.clone()).expect("worker");
+            let r: WorkerHeartbeat = serde_json::from_value(x.clone()).expect("worker");
             w.add_worker(i, &r.zone, r.spot, 0);
             let left = x["left_ms"].as_array().unwrap();
             let worker = &mut w.workers[i];
-            (worker.session, worker.seq, worker.token) = (r.session, r.seq, r.token);
+            (worker.incarnation, worker.sequence, worker.fencing_token) =
+                (r.incarnation, r.sequence, r.fencing_token);
             for (t, left) in r.tasks.into_iter().zip(left) {
                 let (job, task) = t.task.rsplit_once('/').unwrap();
                 worker.tasks.push(WTask {
--- a/tests/support/recorder.rs
+++ b/tests/support/recorder.rs
@@ -11,7 +11,7 @@
 use std::hash::{DefaultHasher, Hasher};
 use std::io::Write;
 use std::path::PathBuf;
-use woadlever::core::{CloudOp, Output, StateOp};
+use woadlever::core::{CloudRequest, Output, StoreRequest};
 
 const FILE_VARIABLE: &str = "OUTPUT_DIGESTS";
 
@@ -61,10 +61,10 @@
         Output::Answer { answer, .. } => {
             ("answer", json(&(answer.status, &answer.body, answer.retry_after_s)))
         }
-        Output::State { op, .. } => encode_store_request(op),
+        Output::Store { op, .. } => encode_store_request(op),
         Output::Cloud { op, .. } => encode_cloud_request(op),
         Output::Send { to, frame } => ("frame", with_recipient(to, bitcode::encode(frame))),
-        Output::Direct { addr, commands } => ("direct", with_recipient(addr, json(commands))),
+        Output::DirectCommands { addr, commands } => ("direct", with_recipient(addr, json(commands))),
         Output::SendCell { cell, message } => {
             ("cell", with_recipient(cell, bitcode::encode(message.as_ref())))
         }
@@ -73,24 +73,24 @@
     with_recipient(kind, bytes)
 }
 
-fn encode_store_request(request: &StateOp) -> (&'static str, Vec<u8>) {
+fn encode_store_request(request: &StoreRequest) -> (&'static str, Vec<u8>) {
     match request {
-        StateOp::Get(key) => ("get", key.clone().into_bytes()),
-        StateOp::List { prefix, since, most } => ("list", json(&(prefix, since, most))),
-        StateOp::Txn(transaction) => ("txn", json(transaction)),
-        StateOp::Grant { ttl_ms } => ("lease-open", json(ttl_ms)),
-        StateOp::Renew(lease) => ("lease-renew", json(lease)),
-        StateOp::Release(lease) => ("lease-end", json(lease)),
-        StateOp::Watch { prefix, since, block_ms } => ("watch", json(&(prefix, since, block_ms))),
+        StoreRequest::Get(key) => ("get", key.clone().into_bytes()),
+        StoreRequest::List { prefix, since, most } => ("list", json(&(prefix, since, most))),
+        StoreRequest::CompareAndSwap(transaction) => ("txn", json(transaction)),
+        StoreRequest::OpenLease { ttl_ms } => ("lease-open", json(ttl_ms)),
+        StoreRequest::RenewLease(lease) => ("lease-renew", json(lease)),
+        StoreRequest::EndLease(lease) => ("lease-end", json(lease)),
+        StoreRequest::Watch { prefix, since, block_ms } => ("watch", json(&(prefix, since, block_ms))),
     }
 }
 
-fn encode_cloud_request(request: &CloudOp) -> (&'static str, Vec<u8>) {
+fn encode_cloud_request(request: &CloudRequest) -> (&'static str, Vec<u8>) {
     match request {
-        CloudOp::Catalog => ("cloud-catalog", Vec::new()),
-        CloudOp::List { since } => ("cloud-list", json(since)),
-        CloudOp::Rent(rent) => ("cloud-rent", json(rent)),
-        CloudOp::Return(machines) => ("cloud-return", json(machines)),
+        CloudRequest::Catalog => ("cloud-catalog", Vec::new()),
+        CloudRequest::List { since } => ("cloud-list", json(since)),
+        CloudRequest::Rent(rent) => ("cloud-rent", json(rent)),
+        CloudRequest::Return(machines) => ("cloud-return", json(machines)),
     }
 }
 
--- a/tests/support/state_service.rs
+++ b/tests/support/state_service.rs
@@ -3,9 +3,11 @@
 use serde_json::Value;
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::ops::Bound;
-use woadlever::core::{StateOp, StateResult};
+use woadlever::core::{StoreRequest, StoreResponse};
 use woadlever::wire::encoded::Encoded;
-use woadlever::wire::state::{Change, Event as StateEvent, Item, Page, Txn, WatchAnswer};
+use woadlever::wire::store::{
+    CompareAndSwap, Event as StateEvent, KeyValue, Mutation, Page, WatchAnswer,
+};
 
 #[derive(Default)]
 pub struct State {
@@ -37,13 +39,13 @@
 
 impl State {
     /// Whether the service has to answer 429.
-    pub(super) fn over_rate(&mut self, now: u64, op: &StateOp) -> bool {
+    pub(super) fn over_rate(&mut self, now: u64, op: &StoreRequest) -> bool {
         let Some((rps, writes)) = self.rates else { return false };
         let passed = (now - self.tokens.2) as f64 / 1000.0;
         self.tokens.0 = (self.tokens.0 + rps * passed).min(rps);
         self.tokens.1 = (self.tokens.1 + writes * passed).min(writes);
         self.tokens.2 = now;
-        let n = if let StateOp::Txn(t) = op { t.changes.len() as f64 } else { 0.0 };
+        let n = if let StoreRequest::CompareAndSwap(t) = op { t.changes.len() as f64 } else { 0.0 };
         if self.tokens.0 < 1.0 || self.tokens.1 < n {
             self.refused += 1;
             return true;
@@ -100,102 +102,107 @@
         }
     }
 
-    pub(super) fn txn(&mut self, t: &Txn) -> StateResult {
+    pub(super) fn txn(&mut self, t: &CompareAndSwap) -> StoreResponse {
         let failed: Vec<String> = t
-            .conds
+            .compares
             .iter()
             .filter(|c| self.keys.get(&c.key).map_or(0, |v| v.1) != c.version)
             .map(|c| c.key.clone())
             .collect();
         for c in &t.changes {
-            if let Change::Put { lease: Some(l), .. } = c
+            if let Mutation::Put { lease: Some(l), .. } = c
                 && !self.leases.contains_key(l)
             {
-                return StateResult::NoLease;
+                return StoreResponse::LeaseNotFound;
             }
         }
         if !failed.is_empty() {
-            return StateResult::Failed(failed);
+            return StoreResponse::Conflict(failed);
         }
         let bytes = serde_json::to_string(t).map_or(0, |s| s.len());
         assert!(bytes <= 64 << 10, "transaction of {bytes} bytes");
         if let Some((kb, ops)) = self.fallen {
-            let too_long = |c: &&Change| match c {
-                Change::Put { value, .. } => value.len() as f64 > kb * 1024.0,
-                Change::Delete { .. } => false,
+            let too_long = |c: &&Mutation| match c {
+                Mutation::Put { value, .. } => value.len() as f64 > kb * 1024.0,
+                Mutation::Delete { .. } => false,
             };
-            if let Some(Change::Put { key, .. }) = t.changes.iter().find(too_long) {
+            if let Some(Mutation::Put { key, .. }) = t.changes.iter().find(too_long) {
                 self.rejected.push(key.clone());
-                return StateResult::Bad;
+                return StoreResponse::Malformed;
             }
-            assert!(t.changes.len() <= ops && t.conds.len() <= 4 * ops, "transaction over its limits");
+            assert!(
+                t.changes.len() <= ops && t.compares.len() <= 4 * ops,
+                "transaction over its limits"
+            );
         }
-        assert!(t.changes.len() <= 12 && t.conds.len() <= 48, "transaction over its limits");
+        assert!(t.changes.len() <= 12 && t.compares.len() <= 48, "transaction over its limits");
         self.revision += 1;
         self.writes += t.changes.len() as u64;
         for c in &t.changes {
             match c {
-                Change::Put { key, value, lease } => {
+                Mutation::Put { key, value, lease } => {
                     assert!(value.len() <= 8 << 10, "value over its limit: {key}");
                     let value = value.decode().expect("JSON");
                     self.change(key, Some((value, *lease)));
                 }
-                Change::Delete { key } => self.change(key, None),
+                Mutation::Delete { key } => self.change(key, None),
             }
         }
-        StateResult::Done { revision: self.revision }
+        StoreResponse::Committed { revision: self.revision }
     }
 
-    pub(super) fn run(&mut self, now: u64, op: &StateOp) -> StateResult {
+    pub(super) fn run(&mut self, now: u64, op: &StoreRequest) -> StoreResponse {
         match op {
-            StateOp::Get(k) => match self.keys.get(k) {
-                Some((v, s, _)) => {
-                    StateResult::Item(Item { key: k.clone(), value: Encoded::new(v), version: *s })
-                }
-                None => StateResult::Missing,
+            StoreRequest::Get(k) => match self.keys.get(k) {
+                Some((v, s, _)) => StoreResponse::KeyValue(KeyValue {
+                    key: k.clone(),
+                    value: Encoded::new(v),
+                    version: *s,
+                }),
+                None => StoreResponse::NotFound,
             },
-            StateOp::List { prefix, since, most } => {
+            StoreRequest::List { prefix, since, most } => {
                 // Small pages, so that every scenario pages.
                 let page = self.page_size.unwrap_or(20).min(*most as usize);
                 let from = match since {
                     Some(key) => Bound::Excluded(key.clone()),
                     None => Bound::Included(prefix.clone()),
                 };
-                let mut items: Vec<Item> = self
+                let mut items: Vec<KeyValue> = self
                     .keys
                     .range((from, Bound::Unbounded))
                     .take_while(|(k, _)| k.starts_with(prefix.as_str()))
                     .take(page + 1)
-                    .map(|(k, v)| Item { key: k.clone(), value: Encoded::new(&v.0), version: v.1 })
+                    .map(|(k, v)| KeyValue { key: k.clone(), value: Encoded::new(&v.0), version: v.1 })
                     .collect();
                 let more = items.len() > page;
                 items.truncate(page);
-                StateResult::Page(Page { items, more, revision: self.revision })
+                StoreResponse::Page(Page { items, more, revision: self.revision })
             }
-            StateOp::Txn(t) => self.txn(t),
-            StateOp::Grant { ttl_ms } => {
+            StoreRequest::CompareAndSwap(t) => self.txn(t),
+            StoreRequest::OpenLease { ttl_ms } => {
                 self.next_lease += 1;
                 self.leases.insert(self.next_lease, (*ttl_ms, now + ttl_ms));
-                StateResult::Lease(self.next_lease)
+                StoreResponse::LeaseOpened(self.next_lease)
             }
-            StateOp::Renew(id) => match self.leases.get_mut(id) {
+            StoreRequest::RenewLease(id) => match self.leases.get_mut(id) {
                 Some(l) => {
                     l.1 = now + l.0;
-                    StateResult::Done { revision: 0 }
+                    StoreResponse::Committed { revision: 0 }
                 }
-                None => StateResult::NoLease,
+                None => StoreResponse::LeaseNotFound,
             },
-            StateOp::Release(id) => {
+            StoreRequest::EndLease(id) => {
                 self.end_lease(*id);
-                StateResult::Done { revision: 0 }
+                StoreResponse::Committed { revision: 0 }
             }
-            StateOp::Watch { .. } => unreachable!("watches are kept by the world"),
+            StoreRequest::Watch { .. } => unreachable!("watches are kept by the world"),
         }
     }
 
-    pub(super) fn watch(&self, prefix: &str, since: u64) -> Option<StateResult> {
+    pub(super) fn watch(&self, prefix: &str, since: u64) -> Option<StoreResponse> {
         if since < self.floor {
-            return Some(StateResult::TooOld);
+            return Some(StoreResponse::Compacted);
         }
         let touches = |e: &StateEvent| {
             let k = e.put.as_ref().or(e.delete.as_ref());
@@ -204,6 +211,6 @@
         let from = self.log.partition_point(|e| e.version <= since);
         let events: Vec<StateEvent> = self.log[from..].iter().filter(|e| touches(e)).cloned().collect();
         (!events.is_empty())
-            .then_some(StateResult::Watch(WatchAnswer { revision: self.revision, events }))
+            .then_some(StoreResponse::Watch(WatchAnswer { revision: self.revision, events }))
     }
 }
--- a/tests/support/users.rs
+++ b/tests/support/users.rs
@@ -2,12 +2,12 @@
 
 use super::World;
 use serde_json::Value;
-use woadlever::core::{HttpCall, Input};
-use woadlever::wire::workers::Report;
+use woadlever::core::{HttpRequest, Input};
+use woadlever::wire::workers::WorkerHeartbeat;
 
 impl World {
     /// A user's request to one node; the answer shows up in `answers`.
-    pub fn ask(&mut self, node: usize, call: HttpCall) -> u64 {
+    pub fn ask(&mut self, node: usize, call: HttpRequest) -> u64 {
         let req = self.next_req;
         self.next_req += 1;
         self.reqs.insert(req, (self.now, node));
@@ -18,7 +18,7 @@
     pub fn submit(&mut self, node: usize, body: &Value) -> u64 {
         let id = body["name_id"].as_str().unwrap_or("").to_string();
         self.jobs.entry(id).or_insert(body.clone());
-        self.ask(node, HttpCall::Submit(body.to_string().into_bytes()))
+        self.ask(node, HttpRequest::Submit(body.to_string().into_bytes()))
     }
 
     /// Submits until accepted.
@@ -34,7 +34,7 @@
     }
 
     pub fn status(&mut self, node: usize, id: &str) -> String {
-        let r = self.ask(node, HttpCall::Status(id.into()));
+        let r = self.ask(node, HttpRequest::Status(id.into()));
         self.run(300);
         self.answers.get(&r).map_or("none".into(), |a| {
             let v: Value = serde_json::from_str(&a.body).unwrap_or_default();
@@ -55,7 +55,7 @@
 
     pub fn cancel(&mut self, node: usize, id: &str) -> u16 {
         self.asked_to_cancel.insert(id.into());
-        let r = self.ask(node, HttpCall::Cancel(id.into()));
+        let r = self.ask(node, HttpRequest::Cancel(id.into()));
         self.run(500);
         let a = self.answers.get(&r).cloned();
         if let Some(a) = &a
@@ -67,9 +67,9 @@
     }
 
     /// A report that was under way for a long time reaches a node after all.
-    pub fn late_report(&mut self, node: usize, report: Report) {
+    pub fn late_report(&mut self, node: usize, heartbeat: WorkerHeartbeat) {
         let req = self.next_req;
         self.next_req += 1;
-        self.step(node, Input::Http { req, call: HttpCall::Checkin(Box::new(report)) });
+        self.step(node, Input::Http { req, call: HttpRequest::WorkerHeartbeat(Box::new(heartbeat)) });
     }
 }
--- a/tests/support/workers.rs
+++ b/tests/support/workers.rs
@@ -5,7 +5,7 @@
 use serde_json::Value;
 use std::collections::HashMap;
 use woadlever::wire::workers::{
-    Command, DirectCommands, Op, Report, ReportAnswer, ReportTask, TaskState,
+    Command, CommandAction, DirectCommands, HeartbeatResponse, HeartbeatTask, TaskState, WorkerHeartbeat,
 };
 
 pub struct WTask {
@@ -31,9 +31,9 @@
     /// It hangs until then: it does nothing, and what reaches it waits.
     pub hung_until: u64,
     pub sick: bool,
-    pub session: u64,
-    pub seq: u64,
-    pub token: u64,
+    pub incarnation: u64,
+    pub sequence: u64,
+    pub fencing_token: u64,
     pub tasks: Vec<WTask>,
     /// When the last answered report was sent.
     pub(super) lease_from: u64,
@@ -45,21 +45,21 @@
 }
 
 impl Worker {
-    pub fn report(&self) -> Report {
-        Report {
+    pub fn heartbeat(&self) -> WorkerHeartbeat {
+        WorkerHeartbeat {
             machine: self.name.clone(),
             addr: self.name.clone(),
             machine_type: self.type_name.clone(),
             zone: self.zone.clone(),
             spot: self.spot,
-            session: self.session,
-            seq: self.seq,
-            token: self.token,
-            notice_s: None,
+            incarnation: self.incarnation,
+            sequence: self.sequence,
+            fencing_token: self.fencing_token,
+            preemption_notice_s: None,
             tasks: self
                 .tasks
                 .iter()
-                .map(|t| ReportTask {
+                .map(|t| HeartbeatTask {
                     task: format!("{}/{}", t.job, t.task),
                     attempt: t.attempt,
                     state: t.state,
@@ -82,9 +82,11 @@
 impl Orders {
     fn count(&mut self, command: &Command) {
         match command.op {
-            Op::Start => *self.runs.entry((command.task.clone(), command.attempt)).or_default() += 1,
-            Op::Stop => self.stops += 1,
-            Op::Forget => self.clears += 1,
+            CommandAction::Start => {
+                *self.runs.entry((command.task.clone(), command.attempt)).or_default() += 1
+            }
+            CommandAction::Stop => self.stops += 1,
+            CommandAction::Forget => self.clears += 1,
         }
     }
 
@@ -110,9 +112,9 @@
             mute: false,
             hung_until: 0,
             sick: false,
-            session: 1,
-            seq: 0,
-            token: 0,
+            incarnation: 1,
+            sequence: 0,
+            fencing_token: 0,
             tasks: Vec::new(),
             lease_from: up_at,
             in_flight: None,
@@ -128,7 +130,7 @@
     pub fn restart_worker(&mut self, i: usize) {
         let now = self.now;
         let w = &mut self.workers[i];
-        (w.session, w.seq, w.token) = (1, 0, 0);
+        (w.incarnation, w.sequence, w.fencing_token) = (1, 0, 0);
         w.tasks.clear();
         w.lease_from = now;
         w.in_flight = None;
@@ -145,8 +147,8 @@
         }
         if now > w.lease_from + LEASE_MS {
             w.tasks.clear();
-            w.session += 1;
-            w.seq = 0;
+            w.incarnation += 1;
+            w.sequence = 0;
             w.lease_from = now;
             w.in_flight = None;
         }
@@ -177,14 +179,14 @@
         if w.in_flight.is_none() && (now >= w.next_at || w.changed && now >= w.report_at + 500) && !w.cut
         {
             w.changed = false;
-            w.seq += 1;
-            let id = self.seq + 1;
+            w.sequence += 1;
+            let id = self.sequence + 1;
             w.in_flight = Some((id, now));
             w.report_at = now;
             w.next_at = now + if rare { 6_000 + jitter * 8 / 3 } else { 2_250 + jitter };
-            let (node, report) = (w.node, Box::new(w.report()));
+            let (node, heartbeat) = (w.node, Box::new(w.heartbeat()));
             if !self.cut(node, usize::MAX) && !self.workers[i].mute {
-                self.push(2, Ev::Report { worker: i, id, node, report });
+                self.push(2, Ev::WorkerHeartbeat { worker: i, id, node, heartbeat });
             }
         }
         for (job, task) in started {
@@ -213,12 +215,12 @@
             w.next_at = now + 1000;
             return;
         }
-        let a: ReportAnswer = serde_json::from_str(&answer.body).expect("answer to a report");
-        if a.token < w.token {
+        let a: HeartbeatResponse = serde_json::from_str(&answer.body).expect("answer to a report");
+        if a.fencing_token < w.fencing_token {
             return;
         }
-        w.changed |= a.token > w.token;
-        w.token = a.token;
+        w.changed |= a.fencing_token > w.fencing_token;
+        w.fencing_token = a.fencing_token;
         w.lease_from = w.lease_from.max(sent);
         for c in a.commands {
             self.orders.count(&c);
@@ -227,7 +229,7 @@
             let found =
                 w.tasks.iter().position(|t| t.job == job && t.task == task && t.attempt == c.attempt);
             match (c.op, found) {
-                (Op::Start, None) => {
+                (CommandAction::Start, None) => {
                     let busy = w
                         .tasks
                         .iter()
@@ -242,12 +244,12 @@
                     });
                     w.changed = true;
                 }
-                (Op::Stop, Some(t)) if w.tasks[t].state != TaskState::Exited => {
+                (CommandAction::Stop, Some(t)) if w.tasks[t].state != TaskState::Exited => {
                     w.tasks[t].state = TaskState::Exited;
                     w.tasks[t].why = Some("halted".into());
                     w.changed = true;
                 }
-                (Op::Forget, Some(t)) if w.tasks[t].state == TaskState::Exited => {
+                (CommandAction::Forget, Some(t)) if w.tasks[t].state == TaskState::Exited => {
                     w.tasks.remove(t);
                     w.changed = true;
                 }
@@ -263,13 +265,13 @@
             return;
         }
         // The answer is a report, and counts as one.
-        w.seq += 1;
-        if order.token < w.token || order.session != w.session {
+        w.sequence += 1;
+        if order.fencing_token < w.fencing_token || order.incarnation != w.incarnation {
             return;
         }
-        w.token = order.token;
+        w.fencing_token = order.fencing_token;
         for c in order.commands {
-            assert_eq!(c.op, Op::Stop, "a direct command may be carried out minutes late");
+            assert_eq!(c.op, CommandAction::Stop, "a direct command may be carried out minutes late");
             let (job, task) = c.task.rsplit_once('/').unwrap();
             let task: u32 = task.parse().unwrap();
             let here = |t: &&mut WTask| t.job == job && t.task == task && t.attempt == c.attempt;
--- a/tests/units.rs
+++ b/tests/units.rs
@@ -5,17 +5,18 @@
 use serde_json::json;
 use std::collections::BTreeMap;
 use woadlever::config::{Operator, Platform};
-use woadlever::core::common::model::{Res, TaskSet, block_of, blocks_of, split_task};
+use woadlever::core::common::model::{Resources, TaskSet, shard_of, shards_of, split_task};
 use woadlever::core::common::window::{Booking, project, remaining_s};
 use woadlever::core::forecast::History;
 use woadlever::io::frames::Payload;
 use woadlever::wire::encoded::Encoded;
-use woadlever::wire::peer::{Body, Frame, Heartbeat};
-use woadlever::wire::state::{
-    Change, Cond, Item, JobRecord, JobState, LeaseGranted, Page, Txn, TxnDone, TxnFailed, WatchAnswer,
+use woadlever::wire::peer::{Frame, PeerHeartbeat, PeerMessage};
+use woadlever::wire::store::{
+    Compare, CompareAndSwap, CompareAndSwapCommitted, CompareAndSwapConflict, JobRecord, JobState,
+    KeyValue, LeaseOpened, Mutation, Page, WatchAnswer,
 };
 use woadlever::wire::users::parse_job;
-use woadlever::wire::workers::{Report, TaskState};
+use woadlever::wire::workers::{TaskState, WorkerHeartbeat};
 use woadlever_cells::message::{CellMessage, ForwardedState, HostedState};
 use woadlever_cells::origin::RecallReason;
 use woadlever_cells::record::{CellLease, Forwarding, Origin};
@@ -96,23 +97,24 @@
 /// Bits that were recorded in whole chunks and in parts are one set.
 #[test]
 fn keys_of_progress_are_read_in_both_layouts() {
-    use woadlever::core::progress::Chunk;
-    let read =
-        |key: &str| Chunk::of_key(key).map(|(id, c)| (id.to_string(), c.first_word(), c.is_fine()));
+    use woadlever::core::progress::ProgressSegment;
+    let read = |key: &str| {
+        ProgressSegment::of_key(key).map(|(id, c)| (id.to_string(), c.first_word(), c.is_fine()))
+    };
     let id = "run-000001".to_string();
     assert_eq!(read("progress/run-000001/2"), Some((id.clone(), 512, false)));
     assert_eq!(read("progress/run-000001/2.3"), Some((id, 512 + 96, true)));
     for bad in ["progress/run-000001/2.8", "progress/run-000001/x", "progress/1", "progress/r/9999999"] {
         assert_eq!(read(bad), None, "{bad}");
     }
-    let (id, c) = Chunk::of_key("progress/run-000001/2.3").unwrap();
+    let (id, c) = ProgressSegment::of_key("progress/run-000001/2.3").unwrap();
     assert_eq!(c.key(id), "progress/run-000001/2.3");
 }
 
 #[test]
 fn authority_ends_early_enough_for_every_lease_to_end_within_a_cancellation() {
     let p = Platform::parse("f", PLATFORM).unwrap();
-    let d = p.authority_ms(&Operator::default()) as f64 / 1000.0;
+    let d = p.control_lease_ms(&Operator::default()) as f64 / 1000.0;
     assert!(d > 5.0 && d + 27.0 * 1.001 + 1.0 < 52.0, "{d}");
     // Any settings: in time with both clocks off by 0.05%, or refused by name.
     for (lease, cancel) in
@@ -123,7 +125,7 @@
             .replace("cancel_s = 52.0", &format!("cancel_s = {cancel:?}"));
         match Platform::parse("f", &text) {
             Ok(p) => {
-                let d = p.authority_ms(&Operator::default()) as f64 / 1000.0;
+                let d = p.control_lease_ms(&Operator::default()) as f64 / 1000.0;
                 let gone = (d + lease) * 1.0005;
                 assert!(d >= 1.0 && gone + 0.4 < cancel, "{lease}, {cancel}: {d}");
             }
@@ -173,10 +175,10 @@
         assert!(s.insert(t) && !s.insert(t));
     }
     let mut back = TaskSet::with_room(100_000);
-    for chunk in 0..7 {
-        let text = s.to_hex(chunk * 256, chunk * 256 + 256);
+    for segment in 0..7 {
+        let text = s.to_hex(segment * 256, segment * 256 + 256);
         assert!(text.len() <= 4096);
-        back.add_hex(chunk * 256, &text);
+        back.add_hex(segment * 256, &text);
     }
     assert_eq!(s, back);
     assert!(!back.insert(200_000), "beyond the job's tasks");
@@ -188,13 +190,13 @@
     let zones: Vec<String> = ["a", "b", "c"].map(String::from).to_vec();
     let nodes: Vec<(String, String)> =
         [("n0", "a"), ("n1", "a"), ("n2", "b")].map(|(n, z)| (n.into(), z.into())).to_vec();
-    let blocks = blocks_of(&zones, &nodes);
-    assert_eq!(blocks.len(), 4);
+    let shards = shards_of(&zones, &nodes);
+    assert_eq!(shards.len(), 4);
     let in_a: Vec<u32> =
-        (0..4).map(|i| block_of(&blocks, "a", &format!("host-{i:06}")).unwrap()).collect();
+        (0..4).map(|i| shard_of(&shards, "a", &format!("host-{i:06}")).unwrap()).collect();
     assert!(in_a[0] != in_a[1] && in_a[0] == in_a[2]);
-    assert!(block_of(&blocks, "c", "host-000001").is_some());
-    assert!(block_of(&blocks, "elsewhere", "host-000001").is_none());
+    assert!(shard_of(&shards, "c", "host-000001").is_some());
+    assert!(shard_of(&shards, "elsewhere", "host-000001").is_none());
     assert_eq!(split_task("run-000412/3"), Some(("run-000412", 3)));
     assert_eq!(split_task("run-000412"), None);
 }
@@ -204,9 +206,9 @@
     let f = Frame {
         from: "n1".into(),
         incarnation: 9,
-        body: Body::Heartbeat(Heartbeat {
-            state_age_ms: 12,
-            unheard: Vec::new(),
+        body: PeerMessage::PeerHeartbeat(PeerHeartbeat {
+            store_silence_ms: 12,
+            silent_peers: Vec::new(),
             counts: vec![("run-000001".into(), 1, 2)],
         }),
     };
@@ -218,17 +220,17 @@
 
 #[test]
 fn reports_may_leave_out_what_may_be_null_and_carry_what_is_new() {
-    let r: Report = serde_json::from_str(
+    let r: WorkerHeartbeat = serde_json::from_str(
         r#"{"hull":"host-1","endpoint":"e","hulltype":"g","yard":"a","shift":1,"tally":2,"new":{},
             "pieces":[{"piece":"run-1/0","try":1,"status":"pondering"}]}"#,
     )
     .unwrap();
-    assert_eq!((r.token, r.notice_s, r.tasks[0].state), (0, None, TaskState::Other));
-    assert!(serde_json::from_str::<Report>(r#"{"hull":"host-1"}"#).is_err());
+    assert_eq!((r.fencing_token, r.preemption_notice_s, r.tasks[0].state), (0, None, TaskState::Other));
+    assert!(serde_json::from_str::<WorkerHeartbeat>(r#"{"hull":"host-1"}"#).is_err());
 }
 
 fn booking(ran: u64, expected: u64) -> Booking {
-    Booking { need: Res { cpus: 4.0, gpus: 0.0, mem: 1.0 }, ran_ms: ran, expected_ms: expected }
+    Booking { need: Resources { cpus: 4.0, gpus: 0.0, mem: 1.0 }, ran_ms: ran, expected_ms: expected }
 }
 
 #[test]
@@ -238,14 +240,14 @@
     // Past its estimate: extended by a fifth of it, again and again.
     assert!((remaining_s(&op, &booking(10_500, 10_000)) - 1.5).abs() < 1e-9);
     assert!((remaining_s(&op, &booking(12_500, 10_000)) - 1.5).abs() < 1e-9);
-    let room = Res { cpus: 8.0, gpus: 0.0, mem: 64.0 };
-    let none = Res::default();
+    let room = Resources { cpus: 8.0, gpus: 0.0, mem: 64.0 };
+    let none = Resources::default();
     let full = [booking(0, 9_000), booking(0, 9_000)];
     let p = project(&op, &room, &full, &none);
     assert_eq!((p.peak, p.overloaded), (1.0, false), "9 of 100 steps are no overload");
     let longer = [booking(0, 11_000), booking(0, 11_000)];
     assert!(project(&op, &room, &longer, &none).overloaded);
-    let waiting = Res { cpus: 4.0, gpus: 0.0, mem: 1.0 };
+    let waiting = Resources { cpus: 4.0, gpus: 0.0, mem: 1.0 };
     assert!(project(&op, &room, &[booking(0, 50_000)], &waiting).overloaded);
     assert!(!project(&op, &room, &[], &waiting).overloaded);
 }
@@ -286,7 +288,7 @@
 /// the core, so that nothing else here would notice a wrong one.
 #[test]
 fn the_state_services_messages_are_read_and_written_in_its_words() {
-    let item: Item =
+    let item: KeyValue =
         serde_json::from_str(r#"{"k":"a/b","data":{"x":1},"stamp":412,"permit":7}"#).unwrap();
     assert_eq!((item.key.as_str(), item.version), ("a/b", 412));
     assert_eq!(item.value.decode::<serde_json::Value>().unwrap(), json!({"x": 1}));
@@ -299,20 +301,21 @@
     assert_eq!((watch.revision, watch.events[0].version, watch.events[1].version), (433, 433, 432));
     assert_eq!(watch.events[0].put.as_deref(), Some("c/9"));
     assert_eq!(watch.events[1].delete.as_deref(), Some("c/d"));
-    let txn = Txn {
-        conds: vec![Cond { key: "a/b".into(), version: 3 }],
+    let txn = CompareAndSwap {
+        compares: vec![Compare { key: "a/b".into(), version: 3 }],
         changes: vec![
-            Change::Put { key: "a/b".into(), value: Encoded::new(&json!({"x": 1})), lease: Some(7) },
-            Change::Put { key: "a/c".into(), value: Encoded::new("text"), lease: None },
-            Change::Delete { key: "c/d".into() },
+            Mutation::Put { key: "a/b".into(), value: Encoded::new(&json!({"x": 1})), lease: Some(7) },
+            Mutation::Put { key: "a/c".into(), value: Encoded::new("text"), lease: None },
+            Mutation::Delete { key: "c/d".into() },
         ],
     };
     let expected = json!({"if": [{"k": "a/b", "stamp": 3}],
         "apply": [{"write": "a/b", "data": {"x": 1}, "permit": 7}, {"write": "a/c", "data": "text"}, {"drop": "c/d"}]});
     assert_eq!(serde_json::to_value(&txn).unwrap(), expected);
-    let done: TxnDone = serde_json::from_str(r#"{"ledger":432}"#).unwrap();
-    let failed: TxnFailed = serde_json::from_str(r#"{"failed":["a/b"],"ledger":431}"#).unwrap();
-    let lease: LeaseGranted = serde_json::from_str(r#"{"permit":7}"#).unwrap();
+    let done: CompareAndSwapCommitted = serde_json::from_str(r#"{"ledger":432}"#).unwrap();
+    let failed: CompareAndSwapConflict =
+        serde_json::from_str(r#"{"failed":["a/b"],"ledger":431}"#).unwrap();
+    let lease: LeaseOpened = serde_json::from_str(r#"{"permit":7}"#).unwrap();
     assert_eq!((done.revision, failed.failed, lease.lease), (432, vec!["a/b".to_string()], 7));
 }
 
