--- a/src/core/leader/scheduling_cycle.rs
+++ b/src/core/leader/scheduling_cycle.rs
@@ -5,11 +5,11 @@
 //! batch is as wide as the backlog; what holds it back is room, not a count.
 
 use super::Leader;
+use super::free_capacity::{FreeCapacity, best_rooms, may_use, reserve};
 use super::live_jobs::LiveJob;
 use super::quota::quota_tasks;
-use super::rooms::{Rooms, best_rooms, may_use, reserve};
 use super::zones::Zones;
-use crate::core::common::shared::Shared;
+use crate::core::common::context::NodeContext;
 use rustc_hash::FxHashSet;
 use std::collections::BTreeMap;
 
@@ -21,27 +21,28 @@
 const OLDEST_EVERY: u64 = 8;
 
 impl Leader {
-    pub fn run_cycle(&mut self, shared: &mut Shared) {
-        if shared.types.is_empty() {
+    pub fn run_cycle(&mut self, context: &mut NodeContext) {
+        if context.machine_types.is_empty() {
             return;
         }
-        let order = self.order(shared);
-        let mut rooms = self.rooms(shared);
-        let mut used = self.team_use(shared);
+        let order = self.order(context);
+        let mut free_capacity = self.free_capacity(context);
+        let mut used = self.team_use(context);
         let mut granted = 0;
         let mut left: Vec<(u32, u32)> = Vec::new();
-        let starving = self.starving(shared, &order);
+        let starving = self.starving(context, &order);
         let order: Vec<u32> = starving.iter().chain(order.iter()).copied().collect();
         for (place, ix) in order.into_iter().enumerate() {
             let Some(j) = self.jobs.get(&ix) else { continue };
             let spec = j.spec.clone();
-            let team = &shared.cfg.cluster.teams[j.team];
-            let need = spec.need();
-            let mut quota = quota_tasks(team, &used[j.team], &need);
+            let team = &context.platform.cluster.teams[j.team];
+            let demand = spec.demand();
+            let mut quota = quota_tasks(team, &used[j.team], &demand);
             let team_ix = j.team;
-            let mut zones = Zones::of(shared, self, ix, &spec);
+            let mut zones = Zones::of(context, self, ix, &spec);
             // Best fit: a room that takes a task is the better fit for the next.
-            let mut places = best_rooms(shared, &mut rooms, &spec, quota).into_iter().peekable();
+            let mut places =
+                best_rooms(context, &mut free_capacity, &spec, quota).into_iter().peekable();
             // A starving job gets its first tasks before all others; its turn
             // with the rest of them comes in the ordinary order.
             let first = place < starving.len();
@@ -52,26 +53,26 @@
             while quota > 0 && granted < MAX_GRANTS {
                 let Some(task) = self.jobs.get_mut(&ix).and_then(|j| j.peek()) else { break };
                 let Some(&i) = places.peek() else { break };
-                let zone = &rooms.classes[rooms.list[i].class].zone;
-                let r = &mut rooms.list[i];
-                if !need.fits_within(&r.free) || !zones.allows(zone) {
+                let zone = &free_capacity.classes[free_capacity.list[i].class].zone;
+                let r = &mut free_capacity.list[i];
+                if !demand.fits_within(&r.free) || !zones.allows(zone) {
                     places.next();
                     continue;
                 }
                 if let Some(j) = self.jobs.get_mut(&ix) {
                     j.take();
                 }
-                r.free.sub(&need);
+                r.free.sub(&demand);
                 zones.add(zone);
                 let (machine, shard) = (r.machine, r.shard);
-                used[team_ix].add(&need);
+                used[team_ix].add(&demand);
                 self.new_attempt(ix, task, machine, shard);
                 quota -= 1;
                 granted += 1;
             }
             if first {
                 if granted == before {
-                    reserve(shared, &mut rooms, &spec, &zones);
+                    reserve(context, &mut free_capacity, &spec, &zones);
                 }
                 continue;
             }
@@ -88,8 +89,8 @@
         if granted >= MAX_GRANTS {
             self.cycle_due = true;
         }
-        self.preempt(shared, &rooms, &left, used);
-        self.spread_waiting(shared, &rooms, &left);
+        self.preempt(context, &free_capacity, &left, used);
+        self.spread_waiting(context, &free_capacity, &left);
         self.fleet.waiting = left;
     }
 
@@ -98,15 +99,15 @@
     /// every few scheduling cycles the longest waiting of all. The order by aims puts late
     /// work and low priorities last without end; this brings each job to its
     /// start, and then on, whatever the burst.
-    fn starving(&mut self, shared: &Shared, order: &[u32]) -> Vec<u32> {
+    fn starving(&mut self, context: &NodeContext, order: &[u32]) -> Vec<u32> {
         self.cycles += 1;
-        let age_s = |j: &LiveJob| shared.wall.saturating_sub(j.ready_ms) as f64 / 1000.0;
+        let age_s = |j: &LiveJob| context.clock.wall().saturating_sub(j.ready_at_ms) as f64 / 1000.0;
         let served = self.served();
         let mut old: Vec<(u64, u32)> = order
             .iter()
             .filter_map(|ix| Some((self.jobs.get(ix)?, *ix)))
-            .filter(|(j, _)| age_s(j) >= shared.op.starve_after_s)
-            .map(|(j, ix)| (j.ready_ms, ix))
+            .filter(|(j, _)| age_s(j) >= context.operator.starve_after_s)
+            .map(|(j, ix)| (j.ready_at_ms, ix))
             .collect();
         old.sort_unstable();
         let oldest = old.first().map(|(_, ix)| *ix).filter(|_| self.cycles.is_multiple_of(OLDEST_EVERY));
@@ -130,15 +131,21 @@
 
     /// Names the tasks that fit no free room to the blocks whose machines
     /// could take them, so that the holders count them in their projection.
-    fn spread_waiting(&mut self, shared: &Shared, rooms: &Rooms, left: &[(u32, u32)]) {
+    fn spread_waiting(
+        &mut self,
+        context: &NodeContext,
+        free_capacity: &FreeCapacity,
+        left: &[(u32, u32)],
+    ) {
         let mut lists: Vec<Vec<(u32, u32)>> = vec![Vec::new(); self.shards.len()];
         let mut counts: BTreeMap<(usize, u32), u32> = BTreeMap::new();
-        for r in &rooms.list {
+        for r in &free_capacity.list {
             *counts.entry((r.class, r.shard)).or_default() += 1;
         }
         for &(ix, n) in left {
             let Some(j) = self.jobs.get(&ix) else { continue };
-            let will_do: Vec<bool> = rooms.classes.iter().map(|c| may_use(shared, &j.spec, c)).collect();
+            let will_do: Vec<bool> =
+                free_capacity.classes.iter().map(|c| may_use(context, &j.spec, c)).collect();
             let mut able = vec![0u32; self.shards.len()];
             for ((class, shard), n) in &counts {
                 if will_do[*class] {
--- a/src/core/leader/shards.rs
+++ b/src/core/leader/shards.rs
@@ -2,10 +2,11 @@
 //! when a node is lost or back.
 
 use super::{Leader, LeaderCall};
-use crate::core::common::model::Ms;
-use crate::core::common::shared::Shared;
+use crate::core::common::context::NodeContext;
+use crate::core::common::shard_map::KnownOwner;
 use crate::core::common::watch_cache::shard_key;
 use crate::core::{StoreCallOwner, StoreRequest};
+use crate::model::Ms;
 use crate::wire::encoded::Encoded;
 use crate::wire::store::{Compare, CompareAndSwap, Mutation, ShardRecord};
 
@@ -35,25 +36,30 @@
 }
 
 impl Leader {
-    pub(super) fn node_alive(&self, shared: &Shared, node: &str, incarnation: Option<u64>) -> bool {
-        if node == shared.me {
-            return incarnation.is_none_or(|i| i == shared.incarnation);
+    pub(super) fn node_alive(
+        &self,
+        context: &NodeContext,
+        node: &str,
+        incarnation: Option<u64>,
+    ) -> bool {
+        if node == context.node {
+            return incarnation.is_none_or(|i| i == context.incarnation);
         }
-        let silence = (shared.op.node_silence_s * 1000.0) as Ms;
-        shared.peers.get(node).is_some_and(|p| {
-            p.heard + silence > shared.now
+        let silence = (context.operator.node_silence_s * 1000.0) as Ms;
+        context.peers.get(node).is_some_and(|p| {
+            p.heard_at + silence > context.clock.now()
                 && p.receives_our_frames
                 && incarnation.is_none_or(|i| i == p.incarnation)
-                && (p.store_silence_ms < HOLDER_STATE_MS || shared.store_silence_ms() > 1500)
+                && (p.store_silence_ms < HOLDER_STATE_MS || context.store_silence_ms() > 1500)
         })
     }
 
     /// Gives blocks to living nodes: home first, then the zone, then anyone
     /// with few blocks.
-    pub(super) fn assign_shards(&mut self, shared: &mut Shared) {
+    pub(super) fn assign_shards(&mut self, context: &mut NodeContext) {
         for b in 0..self.shards.len() {
-            let rec = shared.shard_records[b].clone();
-            let fencing_token = rec.as_ref().map_or(0, |(_, s)| *s);
+            let rec = context.shards.owner(b).cloned();
+            let fencing_token = rec.as_ref().map_or(0, |owner| owner.fencing_token);
             if self.shards[b].fencing_token != fencing_token {
                 self.shards[b].fencing_token = fencing_token;
                 self.shards[b].shown = false;
@@ -64,22 +70,22 @@
                     a.named_in = None;
                 }
             }
-            if self.shards[b].writing || shared.now < self.shards[b].retry_at {
+            if self.shards[b].writing || context.clock.now() < self.shards[b].retry_at {
                 continue;
             }
-            let home = shared.shards[b].home.clone();
+            let home = context.shards[b].home.clone();
             let target = match &rec {
-                None => self.choose_shard_owner(shared, b, None),
-                Some((r, _)) => {
-                    let alive = self.node_alive(shared, &r.node, Some(r.incarnation));
+                None => self.choose_shard_owner(context, b, None),
+                Some(KnownOwner { record: r, .. }) => {
+                    let alive = self.node_alive(context, &r.node, Some(r.incarnation));
                     let restarted =
-                        shared.peers.get(&r.node).is_some_and(|p| p.incarnation > r.incarnation)
-                            || (r.node == shared.me && r.incarnation != shared.incarnation);
-                    if !alive && (restarted || shared.now > self.active_at + HOLDER_GRACE_MS) {
+                        context.peers.get(&r.node).is_some_and(|p| p.incarnation > r.incarnation)
+                            || (r.node == context.node && r.incarnation != context.incarnation);
+                    if !alive && (restarted || context.clock.now() > self.active_at + HOLDER_GRACE_MS) {
                         let except = (!restarted).then_some(r.node.as_str());
-                        self.choose_shard_owner(shared, b, except)
+                        self.choose_shard_owner(context, b, except)
                     } else if alive
-                        && home.as_ref().is_some_and(|h| *h != r.node && self.settled(shared, h))
+                        && home.as_ref().is_some_and(|h| *h != r.node && self.settled(context, h))
                     {
                         home
                     } else {
@@ -88,53 +94,58 @@
                 }
             };
             let Some(node) = target else { continue };
-            let incarnation = if node == shared.me {
-                shared.incarnation
+            let incarnation = if node == context.node {
+                context.incarnation
             } else {
-                shared.peers.get(&node).map_or(0, |p| p.incarnation)
+                context.peers.get(&node).map_or(0, |p| p.incarnation)
             };
-            if rec.as_ref().is_some_and(|(r, _)| r.node == node && r.incarnation == incarnation) {
+            if rec.as_ref().is_some_and(|owner| {
+                owner.record.node == node && owner.record.incarnation == incarnation
+            }) {
                 continue;
             }
-            tracing::debug!(shard = shared.shards[b].name, node, "granting block");
-            let key = shard_key(&shared.shards[b].name);
+            tracing::debug!(shard = context.shards[b].name, node, "granting block");
+            let key = shard_key(&context.shards[b].name);
             let value = Encoded::new(&ShardRecord { node, incarnation });
             let txn = CompareAndSwap {
                 compares: vec![
                     self.compare_term(),
                     Compare { key: key.clone(), version: fencing_token },
                 ],
-                changes: vec![Mutation::Put { key, value, lease: None }],
+                mutations: vec![Mutation::Put { key, value, lease: None }],
             };
             self.shards[b].writing = true;
-            shared.send_store_request(
+            context.send_store_request(
                 StoreCallOwner::Leader(LeaderCall::AssignShard { shard: b as u32 }),
                 StoreRequest::CompareAndSwap(txn),
             );
         }
     }
 
-    pub(super) fn settled(&self, shared: &Shared, node: &str) -> bool {
-        node == shared.me
-            || (self.node_alive(shared, node, None)
-                && shared.peers.get(node).is_some_and(|p| p.since + SETTLED_MS < shared.now))
+    pub(super) fn settled(&self, context: &NodeContext, node: &str) -> bool {
+        node == context.node
+            || (self.node_alive(context, node, None)
+                && context
+                    .peers
+                    .get(node)
+                    .is_some_and(|p| p.heard_since + SETTLED_MS < context.clock.now()))
     }
 
     pub(super) fn choose_shard_owner(
         &self,
-        shared: &Shared,
+        context: &NodeContext,
         shard: usize,
         except: Option<&str>,
     ) -> Option<String> {
         let mut nodes: Vec<(&str, &str)> =
-            shared.cfg.peers.iter().map(|p| (p.node.as_str(), p.zone.as_str())).collect();
-        nodes.push((&shared.me, &shared.cfg.zone));
-        let b = &shared.shards[shard];
+            context.platform.peers.iter().map(|p| (p.node.as_str(), p.zone.as_str())).collect();
+        nodes.push((&context.node, &context.platform.zone));
+        let b = &context.shards[shard];
         nodes
             .into_iter()
-            .filter(|(n, _)| Some(*n) != except && self.node_alive(shared, n, None))
+            .filter(|(n, _)| Some(*n) != except && self.node_alive(context, n, None))
             .min_by_key(|(n, z)| {
-                let holds = shared.shard_records.iter().flatten().filter(|(r, _)| r.node == *n).count();
+                let holds = context.shards.count_owned_by(n);
                 (b.home.as_deref() != Some(*n), *z != b.zone, holds, n.to_string())
             })
             .map(|(n, _)| n.to_string())
--- a/src/core/leader/zones.rs
+++ b/src/core/leader/zones.rs
@@ -1,8 +1,8 @@
 //! Rules on the zones of a job's tasks.
 
 use super::Leader;
-use crate::core::common::model::Spec;
-use crate::core::common::shared::Shared;
+use crate::core::common::context::NodeContext;
+use crate::model::JobSpec;
 use crate::wire::peer::ReportedPhase;
 use rustc_hash::FxHashMap;
 
@@ -14,7 +14,7 @@
 }
 
 impl Zones {
-    pub fn of(shared: &Shared, l: &Leader, ix: u32, spec: &Spec) -> Zones {
+    pub fn of(context: &NodeContext, l: &Leader, ix: u32, spec: &JobSpec) -> Zones {
         let mut z = Zones {
             one: spec.one_zone,
             most: spec.spread.then(|| spec.tasks.div_ceil(2)),
@@ -24,7 +24,7 @@
             // By block, which lies in one zone: the machine itself may be unknown
             // to a leader that has just begun.
             for a in l.attempts.values().filter(|a| a.job == ix && a.state != ReportedPhase::Done) {
-                if let Some(b) = shared.shards.get(a.shard as usize) {
+                if let Some(b) = context.shards.get(a.shard as usize) {
                     z.add(&b.zone);
                 }
             }
--- a/src/core/messages.rs
+++ b/src/core/messages.rs
@@ -15,23 +15,23 @@
     /// A request has arrived.
     Http {
         /// Number of the request, for its answer.
-        req: u64,
+        request_id: u64,
         /// What is asked.
-        call: HttpRequest,
+        request: HttpRequest,
     },
     /// A call to the state service has ended.
     Store {
         /// Number of the call.
         call: u64,
         /// How it ended.
-        result: StoreResponse,
+        response: StoreResponse,
     },
     /// A call to the cloud has ended.
     Cloud {
         /// Number of the call.
         call: u64,
         /// How it ended.
-        result: CloudResponse,
+        response: CloudResponse,
     },
     /// A frame of another node has arrived.
     Frame(Frame),
@@ -60,7 +60,7 @@
     /// Answer a request.
     Answer {
         /// Number of the request.
-        req: u64,
+        request_id: u64,
         /// The answer.
         answer: Answer,
     },
@@ -69,14 +69,14 @@
         /// Number of the call, for its result.
         call: u64,
         /// What to ask for.
-        op: StoreRequest,
+        request: StoreRequest,
     },
     /// Call the cloud.
     Cloud {
         /// Number of the call, for its result.
         call: u64,
         /// What to ask for.
-        op: CloudRequest,
+        request: CloudRequest,
     },
     /// Send a frame to another node.
     Send {
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -17,9 +17,10 @@
 };
 
 use crate::config::{Operator, Platform};
+use crate::model::Ms;
 use crate::wire::peer::{Frame, PeerMessage};
-use common::model::Ms;
-use common::shared::Shared;
+use common::context::NodeContext;
+use common::store_calls::PendingCall;
 use common::{election, lookups, watch_cache};
 use std::sync::Arc;
 
@@ -52,7 +53,7 @@
 /// All roles of one node.
 pub struct Core {
     /// What all roles use.
-    pub shared: Shared,
+    pub context: NodeContext,
     watch_cache: watch_cache::WatchCache,
     lookups: lookups::Lookups,
     election: election::Election,
@@ -68,97 +69,96 @@
 
 impl Core {
     /// A process that has just started; `seed` makes its choices repeatable.
-    pub fn new(cfg: Arc<Platform>, op: Operator, incarnation: u64, seed: u64, now: Ms) -> Core {
-        let shared = Shared::new(cfg, op, incarnation, seed, BEFORE_START + now);
+    pub fn new(platform: Arc<Platform>, op: Operator, incarnation: u64, seed: u64, now: Ms) -> Core {
+        let context = NodeContext::new(platform, op, incarnation, seed, BEFORE_START + now);
         Core {
-            shard_owner: shard_owner::ShardOwner::new(&shared),
+            shard_owner: shard_owner::ShardOwner::new(&context),
             watch_cache: watch_cache::WatchCache::default(),
             lookups: lookups::Lookups::default(),
             election: election::Election::default(),
             user_api: user_api::UserApi::default(),
             leader: None,
-            shared,
+            context,
         }
     }
 
     /// One input in, the things to do out. `wall` is the time of day.
     pub fn step(&mut self, now: Ms, wall: Ms, input: Input) -> Vec<Output> {
-        // A clock that steps back must not make ages negative.
-        self.shared.now = self.shared.now.max(BEFORE_START + now);
-        self.shared.wall = wall;
+        self.context.clock.advance(BEFORE_START + now, wall);
         match input {
             Input::Tick => {}
-            Input::Http { req, call } => self.http(req, call),
-            Input::Store { call, result } => self.state(call, result),
-            Input::Cloud { call, result } => {
+            Input::Http { request_id, request } => self.http(request_id, request),
+            Input::Store { call, response } => self.store(call, response),
+            Input::Cloud { call, response } => {
                 if let Some(l) = &mut self.leader {
-                    l.on_cloud(&mut self.shared, call, result);
+                    l.on_cloud(&mut self.context, call, response);
                 }
             }
             Input::Frame(f) => self.frame(f),
             Input::Cell(message) => {
                 if let Some(l) = &mut self.leader {
-                    l.on_cell_message(&mut self.shared, *message);
+                    l.on_cell_message(&mut self.context, *message);
                 }
             }
         }
         self.settle();
-        std::mem::take(&mut self.shared.out)
+        self.context.outbox.take()
     }
 
     /// What this node's memory and processor time follow from.
     pub fn statistics(&self) -> Statistics {
         Statistics {
-            jobs: self.shared.jobs.len(),
+            jobs: self.context.jobs.len(),
             owned_machines: self.shard_owner.machines.len(),
             fleet_machines: self.leader.as_ref().map_or(0, |leader| leader.fleet.machines.len()),
-            store_calls: self.shared.calls.len(),
+            store_calls: self.context.store.pending_count(),
             plans: self.leader.as_ref().map_or(0, |leader| leader.plans),
         }
     }
 
-    fn http(&mut self, req: u64, call: HttpRequest) {
-        match call {
-            HttpRequest::Submit(body) => self.user_api.submit(&mut self.shared, req, &body),
-            HttpRequest::Status(id) => self.user_api.status(&mut self.shared, req, &id),
-            HttpRequest::Cancel(id) => self.user_api.cancel(&mut self.shared, req, &id),
+    fn http(&mut self, request_id: u64, request: HttpRequest) {
+        match request {
+            HttpRequest::Submit(body) => self.user_api.submit(&mut self.context, request_id, &body),
+            HttpRequest::Status(id) => self.user_api.status(&mut self.context, request_id, &id),
+            HttpRequest::Cancel(id) => self.user_api.cancel(&mut self.context, request_id, &id),
             HttpRequest::WorkerHeartbeat(heartbeat) => {
-                self.shard_owner.on_worker_heartbeat(&mut self.shared, req, *heartbeat)
+                self.shard_owner.on_worker_heartbeat(&mut self.context, request_id, *heartbeat)
             }
             HttpRequest::Ready => {
-                let status = if self.shared.is_ready() { 200 } else { 503 };
-                self.shared.answer(req, status, "{}".into(), None);
+                let status = if self.context.is_ready() { 200 } else { 503 };
+                self.context.respond(request_id, status, "{}".into(), None);
             }
         }
     }
 
-    fn state(&mut self, call: u64, result: StoreResponse) {
-        let Some((purpose, sent)) = self.shared.calls.remove(&call) else { return };
-        self.shared.note_store_response(sent, &result);
-        match purpose {
+    fn store(&mut self, call: u64, result: StoreResponse) {
+        let Some(PendingCall { owner, sent_at }) = self.context.finish_store_call(call, &result) else {
+            return;
+        };
+        match owner {
             StoreCallOwner::WatchCache(c) => {
-                self.watch_cache.on_result(&mut self.shared, c, sent, result)
+                self.watch_cache.on_result(&mut self.context, c, sent_at, result)
             }
-            StoreCallOwner::Lookup(c) => self.lookups.on_result(&mut self.shared, c, result),
-            StoreCallOwner::Election(c) => self.election.on_result(&mut self.shared, c, result),
-            StoreCallOwner::UserApi(c) => self.user_api.on_result(&mut self.shared, c, result),
-            StoreCallOwner::ShardOwner(c) => self.shard_owner.on_result(&mut self.shared, c, result),
+            StoreCallOwner::Lookup(c) => self.lookups.on_result(&mut self.context, c, result),
+            StoreCallOwner::Election(c) => self.election.on_result(&mut self.context, c, result),
+            StoreCallOwner::UserApi(c) => self.user_api.on_result(&mut self.context, c, result),
+            StoreCallOwner::ShardOwner(c) => self.shard_owner.on_result(&mut self.context, c, result),
             StoreCallOwner::Leader(c) => {
                 if let Some(l) = &mut self.leader {
-                    l.on_result(&mut self.shared, c, result);
+                    l.on_result(&mut self.context, c, result);
                 }
             }
         }
     }
 
     fn frame(&mut self, f: Frame) {
-        self.shared.on_peer_frame(&f);
-        match f.body {
-            PeerMessage::PeerHeartbeat(_) => {}
-            PeerMessage::DesiredState(w) => self.shard_owner.on_desired_state(&mut self.shared, w),
+        self.context.on_peer_frame(&f);
+        match f.message {
+            PeerMessage::Heartbeat(_) => {}
+            PeerMessage::DesiredState(w) => self.shard_owner.on_desired_state(&mut self.context, w),
             PeerMessage::ReportedState(h) => {
                 if let Some(l) = &mut self.leader {
-                    l.on_reported_state(&mut self.shared, &f.from, h);
+                    l.on_reported_state(&mut self.context, &f.from, h);
                 }
             }
         }
@@ -166,22 +166,22 @@
 
     /// Everything that follows from the input, until nothing is left to do.
     fn settle(&mut self) {
-        self.shared.update_scarce_types();
-        self.shared.track_control_lease();
+        self.context.update_scarce_types();
+        self.context.control_lease.track(self.context.clock.now());
         for _ in 0..8 {
-            self.watch_cache.poll(&mut self.shared);
-            self.lookups.poll(&mut self.shared);
-            self.election.poll(&mut self.shared);
+            self.watch_cache.poll(&mut self.context);
+            self.lookups.poll(&mut self.context);
+            self.election.poll(&mut self.context);
             self.follow_term();
-            self.user_api.poll(&mut self.shared);
-            self.shard_owner.poll(&mut self.shared);
+            self.user_api.poll(&mut self.context);
+            self.shard_owner.poll(&mut self.context);
             match &mut self.leader {
-                Some(l) => l.poll(&mut self.shared),
+                Some(l) => l.poll(&mut self.context),
                 // Only a leader follows each change; a new one looks at all.
-                None => self.shared.jobs_changed.clear(),
+                None => self.context.jobs.clear_changed(),
             }
             // Frames to ourselves go round inside.
-            let local = std::mem::take(&mut self.shared.local);
+            let local = self.context.outbox.take_local();
             if local.is_empty() {
                 break;
             }
@@ -190,13 +190,13 @@
             }
         }
         self.drop_final_jobs();
-        self.shared.announce_cancellations();
-        self.shared.send_heartbeat();
+        self.context.announce_cancellations();
+        self.context.send_heartbeat();
     }
 
     fn drop_final_jobs(&mut self) {
         let (shard_owner, leader) = (&self.shard_owner, &self.leader);
-        self.shared.drop_final_jobs(|in_use| {
+        self.context.drop_final_jobs(|in_use| {
             in_use.extend(shard_owner.jobs_in_use());
             if let Some(leader) = leader {
                 in_use.extend(leader.attempts.values().map(|attempt| attempt.job));
@@ -206,12 +206,12 @@
 
     /// Starts or ends our leadership as the watched record says.
     fn follow_term(&mut self) {
-        let mine = self.shared.own_term();
+        let mine = self.context.own_term();
         match (&self.leader, mine) {
             (Some(l), Some(term)) if l.term == term => {}
             (_, Some(term)) => {
                 tracing::info!(term, "leading");
-                self.leader = Some(leader::Leader::new(&mut self.shared, term));
+                self.leader = Some(leader::Leader::new(&mut self.context, term));
             }
             (Some(l), None) => {
                 tracing::info!(term = l.term, "no longer leading");
--- a/src/core/shard_owner/binding.rs
+++ b/src/core/shard_owner/binding.rs
@@ -3,9 +3,9 @@
 use super::ShardOwner;
 use super::machine::{Attempt, Machine};
 use super::placement_records;
-use crate::core::common::model::{Ms, Resources};
-use crate::core::common::shared::Shared;
+use crate::core::common::context::NodeContext;
 use crate::core::common::window;
+use crate::model::{Ms, Resources};
 use crate::wire::store::JobState;
 use woadlever_recovery::attempt::AttemptPhase;
 
@@ -13,10 +13,10 @@
 const LISTENS: f64 = 0.5;
 
 /// A machine that may take tasks, with what is free on it.
-pub(super) struct FreeMachine {
+pub(super) struct BindCandidate {
     index: u32,
     kind: usize,
-    room: Resources,
+    capacity: Resources,
 }
 
 /// A task that the leader allows to bind.
@@ -30,14 +30,14 @@
 
 impl ShardOwner {
     /// Machines of a block that may take tasks now, with what is free on them.
-    pub(super) fn free_machines(&self, shared: &Shared, shard: u32) -> Vec<FreeMachine> {
-        let able = |m: &Machine| m.shard == shard && m.takes_tasks(shared);
+    pub(super) fn free_machines(&self, context: &NodeContext, shard: u32) -> Vec<BindCandidate> {
+        let able = |m: &Machine| m.shard == shard && m.takes_tasks(context);
         let mut free = Vec::new();
         for (index, m) in self.machines.iter().filter(|(_, m)| able(m)) {
-            let Some(kind) = shared.machine_type_index(&m.type_name) else { continue };
-            let mut room = shared.types[kind].room;
-            room.sub(&m.used());
-            free.push(FreeMachine { index, kind, room });
+            let Some(kind) = context.machine_types.index_of(&m.type_name) else { continue };
+            let mut capacity = context.machine_types[kind].capacity;
+            capacity.sub(&m.used());
+            free.push(BindCandidate { index, kind, capacity });
         }
         free
     }
@@ -46,33 +46,33 @@
     /// image and the least room left over. Spot first where it is allowed.
     pub(super) fn bind(
         &mut self,
-        shared: &Shared,
+        context: &NodeContext,
         shard: u32,
         granted: &Granted,
-        free: &mut [FreeMachine],
+        free: &mut [BindCandidate],
     ) -> bool {
         let &Granted { id, job, task, expected } = granted;
-        let j = shared.job(job);
-        let (Some(spec), JobState::Live, false) = (j.spec.clone(), j.state, shared.must_stop(job))
+        let j = context.job(job);
+        let (Some(spec), JobState::Live, false) = (j.spec.clone(), j.state, context.must_stop(job))
         else {
             return false;
         };
-        let need = spec.need();
+        let demand = spec.demand();
         let Some(h) = &mut self.shards[shard as usize] else { return false };
         let mut best: Option<(f64, usize)> = None;
         for (place, candidate) in free.iter().enumerate() {
-            if !need.fits_within(&candidate.room) {
+            if !demand.fits_within(&candidate.capacity) {
                 continue;
             }
             let Some(m) = self.machines.get(candidate.index) else { continue };
             if !window::allowed(&spec, &m.type_name, &m.zone, m.spot) {
                 continue;
             }
-            let total = &shared.types[candidate.kind].room;
+            let total = &context.machine_types[candidate.kind].capacity;
             let has_image = spec.image_gb <= 0.0 || m.images.iter().any(|(n, _)| *n == spec.image);
             let wastes = spec.spot && !m.spot;
-            let mut score = window::fit_score(&need, &candidate.room, total, wastes, has_image);
-            score += shared.scarcity_penalty(candidate.kind);
+            let mut score = window::fit_score(&demand, &candidate.capacity, total, wastes, has_image);
+            score += context.machine_types.scarcity_penalty(candidate.kind);
             // One whose report waits for an answer starts the task now, not
             // with its next report.
             if m.held.is_none() {
@@ -84,16 +84,16 @@
         }
         let Some((_, place)) = best else { return false };
         let ix = free[place].index;
-        free[place].room.sub(&need);
-        placement_records::open_record(shared, h, &self.machines, shard);
+        free[place].capacity.sub(&demand);
+        placement_records::open_record(context, h, &self.machines, shard);
         let Some(m) = self.machines.get_mut(ix) else { return false };
-        let record = placement_records::reserve(shared, h, m, job, &spec.team);
+        let record = placement_records::reserve(context, h, m, job, &spec.team);
         m.attempts.push(Attempt {
             job,
             task,
             id,
-            need,
-            job_row_bytes: placement_records::job_row_bytes(shared.jobs.id(job), &spec.team, &need),
+            demand,
+            job_row_bytes: placement_records::job_row_bytes(context.jobs.id(job), &spec.team, &demand),
             team: spec.team.clone(),
             record,
             moving: None,
@@ -106,10 +106,13 @@
             started: None,
             ran: 0,
             expected_ms: expected,
-            bound_at: shared.now,
+            bound_at: context.clock.now(),
             written_at: 0,
         });
-        let cache = shared.machine_type_index(&m.type_name).map_or(0.0, |t| shared.types[t].cache_gb);
+        let cache = context
+            .machine_types
+            .index_of(&m.type_name)
+            .map_or(0.0, |t| context.machine_types[t].cache_gb);
         remember_image(&mut m.images, &spec.image, spec.image_gb, cache);
         true
     }
--- a/src/core/shard_owner/desired_state.rs
+++ b/src/core/shard_owner/desired_state.rs
@@ -3,15 +3,15 @@
 use super::binding::Granted;
 use super::machine::{Attempt, Machine};
 use super::{Load, ShardOwner, placement_records};
-use crate::core::common::model::Ms;
-use crate::core::common::shared::Shared;
+use crate::core::common::context::NodeContext;
+use crate::model::Ms;
 use crate::wire::peer::DesiredState;
 use rustc_hash::{FxHashMap, FxHashSet};
 use woadlever_recovery::attempt;
 
 impl ShardOwner {
-    pub fn on_desired_state(&mut self, shared: &mut Shared, w: DesiredState) {
-        let current = shared.leader.as_ref().map(|(_, t)| *t);
+    pub fn on_desired_state(&mut self, context: &mut NodeContext, w: DesiredState) {
+        let current = context.leadership.term();
         let Some(Some(h)) = self.shards.get_mut(w.shard as usize) else { return };
         if current != Some(w.term) || w.fencing_token != h.fencing_token || h.load != Load::Done {
             return;
@@ -19,16 +19,16 @@
         if h.term == w.term && w.serial <= h.echo {
             return;
         }
-        if knows_jobs(shared, &w) {
+        if knows_jobs(context, &w) {
             h.parked = None;
-            self.take_desired_state(shared, w);
+            self.take_desired_state(context, w);
         } else if h.parked.as_ref().is_none_or(|(p, _)| p.serial < w.serial || p.term != w.term) {
-            let at = h.parked.as_ref().map_or(shared.now, |(_, at)| *at);
+            let at = h.parked.as_ref().map_or(context.clock.now(), |(_, at)| *at);
             h.parked = Some((w, at));
         }
     }
 
-    pub(super) fn take_desired_state(&mut self, shared: &mut Shared, w: DesiredState) {
+    pub(super) fn take_desired_state(&mut self, context: &mut NodeContext, w: DesiredState) {
         let b = w.shard as usize;
         let Some(h) = &mut self.shards[b] else { return };
         if h.fencing_token != w.fencing_token {
@@ -43,7 +43,7 @@
         // for good: bound with a later state message, it would run twice.
         let mut unknown: FxHashSet<u64> = FxHashSet::default();
         for j in &w.jobs {
-            let Some(job) = shared.job_index(&j.job) else {
+            let Some(job) = context.job_index(&j.job) else {
                 unknown.extend(j.tasks.iter().map(|t| t.1));
                 continue;
             };
@@ -54,9 +54,9 @@
         h.rejected.retain(|id| wanted.contains_key(id));
         h.rejected.extend(unknown);
         h.waiting =
-            w.waiting.iter().filter_map(|x| Some((shared.job_index(&x.job)?, x.count))).collect();
+            w.waiting.iter().filter_map(|x| Some((context.job_index(&x.job)?, x.count))).collect();
         for name in &w.gone {
-            self.forget_machine(shared, name, w.shard);
+            self.forget_machine(context, name, w.shard);
         }
         let cordoned: FxHashSet<&str> = w.cordoned.iter().map(String::as_str).collect();
         let decommission: FxHashSet<&str> = w.decommission.iter().map(|r| r.machine.as_str()).collect();
@@ -96,7 +96,7 @@
             if let Some(h) = &mut self.shards[b] {
                 let is_gone = |a: &mut Attempt| attempt::ends_when_unwanted(&a.state(), lease_ended);
                 let gone = m.attempts.extract_if(.., is_gone);
-                placement_records::mark_stale(h, gone.map(|a| a.record), shared.now);
+                placement_records::mark_stale(h, gone.map(|a| a.record), context.clock.now());
             }
         }
         let mut granted: Vec<Granted> = wanted
@@ -106,15 +106,15 @@
             .collect();
         granted.sort_unstable_by_key(|granted| granted.id);
         if !granted.is_empty() {
-            self.bind_all(shared, w.shard, &granted);
+            self.bind_all(context, w.shard, &granted);
         }
     }
 
-    fn bind_all(&mut self, shared: &Shared, shard: u32, granted: &[Granted]) {
-        let mut free = self.free_machines(shared, shard);
+    fn bind_all(&mut self, context: &NodeContext, shard: u32, granted: &[Granted]) {
+        let mut free = self.free_machines(context, shard);
         for task in granted {
             let rejected = self.shards[shard as usize].as_ref().map(|h| h.rejected.contains(&task.id));
-            if rejected != Some(false) || self.bind(shared, shard, task, &mut free) {
+            if rejected != Some(false) || self.bind(context, shard, task, &mut free) {
                 continue;
             }
             if let Some(h) = &mut self.shards[shard as usize] {
@@ -123,22 +123,22 @@
         }
     }
 
-    fn forget_machine(&mut self, shared: &mut Shared, name: &str, shard: u32) {
+    fn forget_machine(&mut self, context: &mut NodeContext, name: &str, shard: u32) {
         if !self.gone.insert(name) {
             return;
         }
         let Some(ix) = self.machines.index_of(name) else { return };
         let Some(m) = self.machines.remove(ix) else { return };
         if let Some(held) = &m.held {
-            shared.busy(held.req, "this machine has been returned");
+            context.respond_unavailable(held.request_id, "this machine has been returned");
         }
         if let Some(h) = &mut self.shards[shard as usize] {
-            h.note_gone_attempts(m.attempts.iter().map(|a| (a.id, a.record)), shared.now);
-            placement_records::mark_stale(h, m.record, shared.now);
+            h.note_gone_attempts(m.attempts.iter().map(|a| (a.id, a.record)), context.clock.now());
+            placement_records::mark_stale(h, m.record, context.clock.now());
         }
     }
 }
 
-pub(super) fn knows_jobs(shared: &Shared, w: &DesiredState) -> bool {
-    w.jobs.iter().all(|j| shared.job_index(&j.job).is_some())
+pub(super) fn knows_jobs(context: &NodeContext, w: &DesiredState) -> bool {
+    w.jobs.iter().all(|j| context.job_index(&j.job).is_some())
 }
--- a/src/core/shard_owner/loading.rs
+++ b/src/core/shard_owner/loading.rs
@@ -3,15 +3,21 @@
 use super::machine::{Attempt, Machine};
 use super::placement_records::{self, HeldRecord};
 use super::{Load, ShardOwner, ShardOwnerCall, place_prefix, reconciliation};
-use crate::core::common::model::Resources;
-use crate::core::common::shared::Shared;
+use crate::core::common::context::NodeContext;
 use crate::core::{StoreCallOwner, StoreRequest, StoreResponse};
+use crate::model::Resources;
 use crate::wire::store::{KeyValue, PlacementRecord, RecordedMachine};
 use woadlever_recovery::attempt::AttemptPhase;
 
 impl ShardOwner {
     /// The machines of one record as its record tells them.
-    fn load_record(&mut self, shared: &mut Shared, shard: u32, fencing_token: u64, item: KeyValue) {
+    fn load_record(
+        &mut self,
+        context: &mut NodeContext,
+        shard: u32,
+        fencing_token: u64,
+        item: KeyValue,
+    ) {
         let number = item.key.rsplit('/').next().and_then(|n| n.parse::<u32>().ok());
         let bytes = item.value.len();
         let rec = item.value.decode::<PlacementRecord>();
@@ -23,7 +29,7 @@
             while h.records.len() <= number as usize {
                 h.records.push(HeldRecord::new(0, 0));
             }
-            h.records[number as usize] = HeldRecord::read(shared, item.version, bytes);
+            h.records[number as usize] = HeldRecord::read(context, item.version, bytes);
         }
         for row in &rec.machines {
             // Another record may have told of it already.
@@ -33,7 +39,7 @@
                 *m = Machine::blank(&row.0, shard, fencing_token);
             }
             m.type_name = rec.types.get(row.1 as usize).cloned().unwrap_or_default();
-            m.zone = shared.shards[shard as usize].zone.clone();
+            m.zone = context.shards[shard as usize].zone.clone();
             m.spot = row.is(RecordedMachine::SPOT);
             m.terminating_recorded |= row.is(RecordedMachine::TERMINATING);
             m.decommission |= m.terminating_recorded;
@@ -45,14 +51,14 @@
             // What its report told meanwhile stays; and the record may be read
             // a second time.
             m.attempts.retain(|a| a.record != number);
-            for new in inherited(shared, &rec, row, number) {
+            for new in inherited(context, &rec, row, number) {
                 // On two records, if a holder was lost while it moved it.
                 let Some(old) = m.attempts.iter_mut().find(|a| a.id == new.id) else {
                     m.attempts.push(new);
                     continue;
                 };
                 if let Some(h) = &mut self.shards[shard as usize] {
-                    placement_records::mark_stale(h, [old.record], shared.now);
+                    placement_records::mark_stale(h, [old.record], context.clock.now());
                 }
                 (old.record, old.moving) = (number, None);
             }
@@ -61,7 +67,7 @@
 
     pub(super) fn on_load(
         &mut self,
-        shared: &mut Shared,
+        context: &mut NodeContext,
         shard: u32,
         fencing_token: u64,
         result: StoreResponse,
@@ -71,17 +77,17 @@
             return;
         };
         let StoreResponse::Page(p) = result else {
-            h.load = Load::Wanted { at: shared.now + shared.jitter(300) };
+            h.load = Load::Wanted { at: context.clock.now() + context.jitter(300) };
             return;
         };
         let revision = p.revision;
         let last = p.items.last().map(|i| i.key.clone());
         for i in p.items {
-            self.load_record(shared, shard, fencing_token, i);
+            self.load_record(context, shard, fencing_token, i);
         }
         if p.more && last.is_some() {
-            let prefix = place_prefix(&shared.shards[shard as usize].name);
-            shared.send_store_request(
+            let prefix = place_prefix(&context.shards[shard as usize].name);
+            context.send_store_request(
                 StoreCallOwner::ShardOwner(ShardOwnerCall::Load { shard, fencing_token }),
                 StoreRequest::List { prefix, since: last, most: 1000 },
             );
@@ -93,13 +99,13 @@
             h.load = Load::Done;
             h.recovery.records_read(revision, recorded as u32);
             h.dirty = true;
-            reconciliation::log_phase(shared, shard as usize, h.fencing_token, &h.recovery);
+            reconciliation::log_phase(context, shard as usize, h.fencing_token, &h.recovery);
         }
     }
 }
 
 fn inherited(
-    shared: &mut Shared,
+    context: &mut NodeContext,
     rec: &PlacementRecord,
     row: &RecordedMachine,
     record: u32,
@@ -109,14 +115,14 @@
         let Some(j) = rec.jobs.get(job) else { continue };
         // A job not in memory is final, and its tasks are to be stopped. Left out,
         // they would pass for gone.
-        let job = shared.job_index_or_lookup(&j.0);
-        let need = Resources { cpus: j.2, gpus: j.3, mem: j.4 };
+        let job = context.job_index_or_lookup(&j.0);
+        let demand = Resources { cpus: j.2, gpus: j.3, mem: j.4 };
         out.push(Attempt {
             job,
             task,
             id,
-            need,
-            job_row_bytes: placement_records::job_row_bytes(&j.0, &j.1, &need),
+            demand,
+            job_row_bytes: placement_records::job_row_bytes(&j.0, &j.1, &demand),
             team: j.1.clone(),
             record,
             moving: None,
--- a/src/core/shard_owner/machine.rs
+++ b/src/core/shard_owner/machine.rs
@@ -1,8 +1,8 @@
 //! A machine of a held block, with the attempts that may be on it.
 
-use crate::core::common::model::{Ms, Resources};
+use crate::core::common::context::NodeContext;
 use crate::core::common::named_table::NamedTable;
-use crate::core::common::shared::Shared;
+use crate::model::{Ms, Resources};
 use crate::wire::workers::Command;
 use woadlever_recovery::attempt::{AttemptPhase, AttemptState};
 use woadlever_recovery::worker::{HeartbeatVersion, WorkerLiveness};
@@ -16,7 +16,7 @@
     pub job: u32,
     pub task: u32,
     pub id: u64,
-    pub need: Resources,
+    pub demand: Resources,
     pub team: String,
     /// Length of its job's row in a placement record.
     pub job_row_bytes: usize,
@@ -90,7 +90,7 @@
 /// A report that waits for its answer.
 #[derive(Debug)]
 pub(super) struct Held {
-    pub(super) req: u64,
+    pub(super) request_id: u64,
     pub(super) until: Ms,
     pub(super) commands: Vec<Command>,
 }
@@ -129,19 +129,19 @@
     pub(super) fn used(&self) -> Resources {
         let mut used = Resources::default();
         for attempt in self.attempts.iter().filter(|attempt| !attempt.phase.has_ended()) {
-            used.add(&attempt.need);
+            used.add(&attempt.demand);
         }
         used
     }
 
     /// Whether new tasks may be bound to it.
-    pub(super) fn takes_tasks(&self, shared: &Shared) -> bool {
+    pub(super) fn takes_tasks(&self, context: &NodeContext) -> bool {
         !self.preemption_notice
             && !self.cordoned
             && !self.quarantined
             && !self.decommission
             && !self.terminating_recorded
-            && self.worker.takes_work(shared.fresh_ms, shared.now)
+            && self.worker.takes_work(context.fresh_ms, context.clock.now())
     }
 
     /// Attempts that no report has confirmed or disproved.
--- a/src/core/shard_owner/mod.rs
+++ b/src/core/shard_owner/mod.rs
@@ -20,10 +20,10 @@
 mod reported_state;
 mod worker_heartbeats;
 
-use crate::core::common::model::Ms;
+use crate::core::common::context::NodeContext;
 use crate::core::common::recent_names::RecentNames;
-use crate::core::common::shared::Shared;
 use crate::core::{StoreCallOwner, StoreRequest, StoreResponse};
+use crate::model::Ms;
 use crate::wire::peer::DesiredState;
 use desired_state::knows_jobs;
 use machine::Machines;
@@ -104,11 +104,11 @@
 }
 
 impl ShardOwner {
-    pub fn new(shared: &Shared) -> ShardOwner {
+    pub fn new(context: &NodeContext) -> ShardOwner {
         ShardOwner {
-            shards: shared.shards.iter().map(|_| None).collect(),
+            shards: context.shards.iter().map(|_| None).collect(),
             machines: Machines::default(),
-            gone: RecentNames::new(shared.returned_kept()),
+            gone: RecentNames::new(context.returned_kept()),
             next_scan: 0,
             next_check: 0,
             next_project: 0,
@@ -116,14 +116,12 @@
     }
 
     /// Takes blocks over and gives them up as the watched records say.
-    fn follow_shard_records(&mut self, shared: &mut Shared) {
+    fn follow_shard_records(&mut self, context: &mut NodeContext) {
         for b in 0..self.shards.len() {
-            let granted = match &shared.shard_records[b] {
-                Some((r, version)) if r.node == shared.me && r.incarnation == shared.incarnation => {
-                    Some(*version)
-                }
-                _ => None,
-            };
+            let owner = context.shards.owner(b);
+            let granted = owner
+                .filter(|owner| context.is_self(&owner.record.node, owner.record.incarnation))
+                .map(|owner| owner.fencing_token);
             let have = self.shards[b].as_ref().map(|h| h.fencing_token);
             if granted == have {
                 continue;
@@ -132,15 +130,15 @@
                 if self.machines.get(ix).is_some_and(|m| m.shard == b as u32)
                     && let Some(held) = self.machines.remove(ix).and_then(|m| m.held)
                 {
-                    shared.busy(held.req, "the block went to another holder");
+                    context.respond_unavailable(held.request_id, "the block went to another holder");
                 }
             }
             self.shards[b] = granted.map(|fencing_token| {
-                tracing::info!(shard = shared.shards[b].name, fencing_token, "holding block");
+                tracing::info!(shard = context.shards[b].name, fencing_token, "holding block");
                 OwnedShard {
                     fencing_token,
-                    load: Load::Wanted { at: shared.now },
-                    recovery: ShardRecovery::new(shared.now),
+                    load: Load::Wanted { at: context.clock.now() },
+                    recovery: ShardRecovery::new(context.clock.now()),
                     term: 0,
                     echo: 0,
                     rejected: FxHashSet::default(),
@@ -155,14 +153,14 @@
                 }
             });
             if granted.is_none() {
-                tracing::info!(shard = shared.shards[b].name, "block went to another holder");
+                tracing::info!(shard = context.shards[b].name, "block went to another holder");
             }
         }
     }
 
-    pub fn poll(&mut self, shared: &mut Shared) {
-        self.follow_shard_records(shared);
-        let now = shared.now;
+    pub fn poll(&mut self, context: &mut NodeContext) {
+        self.follow_shard_records(context);
+        let now = context.clock.now();
         for b in 0..self.shards.len() {
             let Some(h) = &mut self.shards[b] else { continue };
             if let Load::Wanted { at } = h.load
@@ -170,39 +168,39 @@
             {
                 h.load = Load::Reading;
                 let call = ShardOwnerCall::Load { shard: b as u32, fencing_token: h.fencing_token };
-                let prefix = place_prefix(&shared.shards[b].name);
-                shared.send_store_request(
+                let prefix = place_prefix(&context.shards[b].name);
+                context.send_store_request(
                     StoreCallOwner::ShardOwner(call),
                     StoreRequest::List { prefix, since: None, most: 1000 },
                 );
             }
             if let Some((w, at)) = h.parked.take() {
-                if now > at + DESIRED_WAIT_MS || knows_jobs(shared, &w) {
-                    self.take_desired_state(shared, w);
+                if now > at + DESIRED_WAIT_MS || knows_jobs(context, &w) {
+                    self.take_desired_state(context, w);
                 } else if let Some(h) = &mut self.shards[b] {
                     h.parked = Some((w, at));
                 }
             }
         }
-        self.stop_cancelled(shared);
+        self.stop_cancelled(context);
         if now >= self.next_check {
             self.next_check = now + 250;
-            self.check_leases(shared);
-            self.repeat_stops(shared);
-            self.follow_recovery(shared);
+            self.check_leases(context);
+            self.repeat_stops(context);
+            self.follow_recovery(context);
         }
         if now >= self.next_project {
             self.next_project =
-                now + shared.load_adjusted_gap(PROJECT_EVERY_MS, self.machines.len() / 4);
-            self.project(shared);
+                now + context.load_adjusted_gap(PROJECT_EVERY_MS, self.machines.len() / 4);
+            self.project(context);
         }
         // These look at every machine, so they must not follow every input:
         // hundreds of reports a second reach a node.
         if now >= self.next_scan {
             self.next_scan = now + SCAN_GAP_MS;
-            placement_records::write_all(shared, &mut self.shards, &mut self.machines);
-            self.answer_due(shared);
-            self.tell_leader(shared);
+            placement_records::write_all(context, &mut self.shards, &mut self.machines);
+            self.answer_due(context);
+            self.tell_leader(context);
         }
     }
 
@@ -211,21 +209,27 @@
         self.machines.values().flat_map(|m| m.attempts.iter().map(|a| a.job))
     }
 
-    pub fn on_result(&mut self, shared: &mut Shared, call: ShardOwnerCall, result: StoreResponse) {
+    pub fn on_result(&mut self, context: &mut NodeContext, call: ShardOwnerCall, result: StoreResponse) {
         match call {
             ShardOwnerCall::Load { shard, fencing_token } => {
-                self.on_load(shared, shard, fencing_token, result)
+                self.on_load(context, shard, fencing_token, result)
             }
             ShardOwnerCall::Write(w) => {
                 if let Some(h) = &mut self.shards[w.shard as usize] {
-                    placement_records::on_written(shared, h, &mut self.machines, w, result);
+                    placement_records::on_written(context, h, &mut self.machines, w, result);
                 }
             }
             ShardOwnerCall::Reread { shard, record, fencing_token } => {
                 let h =
                     self.shards[shard as usize].as_mut().filter(|h| h.fencing_token == fencing_token);
                 if let Some(h) = h {
-                    placement_records::on_reread(shared, h, &mut self.machines, (shard, record), result);
+                    placement_records::on_reread(
+                        context,
+                        h,
+                        &mut self.machines,
+                        (shard, record),
+                        result,
+                    );
                 }
             }
         }
--- a/src/core/shard_owner/placement_records.rs
+++ b/src/core/shard_owner/placement_records.rs
@@ -19,10 +19,10 @@
 use super::machine::{Attempt, Machine, Machines};
 use super::record_draft::RecordDraft;
 use super::{Load, OwnedShard, ShardOwnerCall};
-use crate::core::common::model::{Ms, Resources};
-use crate::core::common::shared::Shared;
+use crate::core::common::context::NodeContext;
 use crate::core::common::watch_cache::{LEADER, shard_key};
 use crate::core::{StoreCallOwner, StoreRequest, StoreResponse};
+use crate::model::{Ms, Resources};
 use crate::wire::encoded::Encoded;
 use crate::wire::store::{
     Compare, CompareAndSwap, JobState, Mutation, PlacementRecord, RecordedMachine,
@@ -81,8 +81,8 @@
     }
 
     /// As read, under the limit that holds for writes.
-    pub fn read(shared: &Shared, version: u64, bytes: usize) -> HeldRecord {
-        HeldRecord { long: bytes > limit(shared), ..HeldRecord::new(version, bytes) }
+    pub fn read(context: &NodeContext, version: u64, bytes: usize) -> HeldRecord {
+        HeldRecord { long: bytes > limit(context), ..HeldRecord::new(version, bytes) }
     }
 }
 
@@ -100,8 +100,8 @@
     pub(super) flags: FxHashMap<u32, u8>,
 }
 
-pub(super) fn limit(shared: &Shared) -> usize {
-    shared.cfg.cluster.state.value_bytes()
+pub(super) fn limit(context: &NodeContext) -> usize {
+    context.platform.cluster.state.value_bytes()
 }
 
 /// Upper bounds of what each part adds to a record.
@@ -120,9 +120,9 @@
 /// What a job's row takes, to the byte: an estimate would leave bound tasks
 /// waiting for room that is there. It is worked out once for an attempt, as it
 /// writes out three decimal numbers.
-pub fn job_row_bytes(name: &str, team: &str, need: &Resources) -> usize {
+pub fn job_row_bytes(name: &str, team: &str, demand: &Resources) -> usize {
     let number = |n: f64| n.to_string().len() + 3;
-    let numbers = number(need.cpus) + number(need.gpus) + number(need.mem);
+    let numbers = number(demand.cpus) + number(demand.gpus) + number(demand.mem);
     name.len() + team.len() + numbers + 9
 }
 
@@ -133,8 +133,8 @@
 /// Makes sure that the record which takes what is new has room for one more
 /// attempt. A record whose record lists much that is gone has the room of that,
 /// as its next write leaves it out.
-pub fn open_record(shared: &Shared, h: &mut OwnedShard, machines: &Machines, shard: u32) {
-    let most = limit(shared);
+pub fn open_record(context: &NodeContext, h: &mut OwnedShard, machines: &Machines, shard: u32) {
+    let most = limit(context);
     let spare = ATTEMPT_BYTES + 2 * MOST_HEADER;
     if h.records.get(h.open as usize).is_some_and(|s| !s.long && s.bytes + spare <= most) {
         return;
@@ -159,7 +159,7 @@
                 rows.insert(s);
                 add(s, ATTEMPT_BYTES);
                 if jobs.insert((s, a.job)) {
-                    add(s, job_bytes(shared.jobs.id(a.job), &a.team));
+                    add(s, job_bytes(context.jobs.id(a.job), &a.team));
                 }
             }
         }
@@ -184,10 +184,10 @@
 
 /// A record that surely has room for one more attempt on this machine: the open
 /// one, or any other that has.
-pub fn reserve(shared: &Shared, h: &mut OwnedShard, m: &mut Machine, job: u32, team: &str) -> u32 {
-    let header = job_bytes(shared.jobs.id(job), team);
+pub fn reserve(context: &NodeContext, h: &mut OwnedShard, m: &mut Machine, job: u32, team: &str) -> u32 {
+    let header = job_bytes(context.jobs.id(job), team);
     let row = ATTEMPT_BYTES + machine_bytes(&m.name);
-    let most = limit(shared);
+    let most = limit(context);
     let fits_within = |s: &HeldRecord| {
         !s.long && s.bytes + row + if s.jobs.contains(&job) { 0 } else { header } <= most
     };
@@ -206,7 +206,7 @@
 /// The record that a machine's own state is on, with room kept there for its
 /// row: hundreds of machines may be isolated or returned at once, and a record
 /// that passed the limit would be rejected for ever, with all that is on it.
-fn home(shared: &Shared, h: &mut OwnedShard, m: &mut Machine) -> u32 {
+fn home(context: &NodeContext, h: &mut OwnedShard, m: &mut Machine) -> u32 {
     if let Some(s) = m.record.filter(|s| !h.records.get(*s as usize).is_some_and(|s| s.long)) {
         let busy = h.records.get(s as usize).is_some_and(|s| s.write != Write::Idle);
         let row = m.row_kept || m.cordoned_recorded || m.terminating_recorded;
@@ -215,7 +215,7 @@
         }
     }
     let row = machine_bytes(&m.name);
-    let fits_within = |s: &HeldRecord| s.bytes + row <= limit(shared);
+    let fits_within = |s: &HeldRecord| s.bytes + row <= limit(context);
     let own = m.record.filter(|s| h.records.get(*s as usize).is_some_and(fits_within));
     let found = own.or_else(|| h.records.iter().position(fits_within).map(|s| s as u32));
     let s = found.unwrap_or_else(|| {
@@ -233,8 +233,14 @@
 
 /// Finds new places for what a long record holds too much of: attempts and rows
 /// of machines, in whole machines. What stays leaves room for a write.
-fn spread_out(shared: &Shared, h: &mut OwnedShard, machines: &mut Machines, shard: u32, record: u32) {
-    let most = limit(shared) * 9 / 10;
+fn spread_out(
+    context: &NodeContext,
+    h: &mut OwnedShard,
+    machines: &mut Machines,
+    shard: u32,
+    record: u32,
+) {
+    let most = limit(context) * 9 / 10;
     let mut bytes = HEAD_BYTES;
     let mut jobs: FxHashSet<u32> = FxHashSet::default();
     for m in machines.values_mut().filter(|m| m.shard == shard) {
@@ -259,7 +265,7 @@
             continue;
         }
         if row {
-            home(shared, h, m);
+            home(context, h, m);
         }
         let ids: Vec<(usize, u32, String)> = m
             .attempts
@@ -269,7 +275,7 @@
             .map(|(i, a)| (i, a.job, a.team.clone()))
             .collect();
         for (i, job, team) in ids {
-            let to = reserve(shared, h, m, job, &team);
+            let to = reserve(context, h, m, job, &team);
             m.attempts[i].moving = Some(to);
         }
     }
@@ -277,7 +283,7 @@
 
 /// Whether a long record can't be written yet: it still holds too much, or what
 /// is to leave it does not stand elsewhere.
-fn held_back(shared: &Shared, machines: &Machines, shard: u32, record: u32) -> bool {
+fn held_back(context: &NodeContext, machines: &Machines, shard: u32, record: u32) -> bool {
     let ours = || machines.values().filter(|m| m.shard == shard);
     let leaves = |m: &Machine| {
         m.row_from == Some(record) || m.attempts.iter().any(|a| a.record == record && a.moving.is_some())
@@ -287,7 +293,7 @@
     }
     let here = |m: &Machine| m.attempts.iter().filter(|a| a.record == record).map(|a| a.id).min();
     let base = ours().filter_map(here).min().unwrap_or(0);
-    due_bytes(machines, shard, record, base) > limit(shared)
+    due_bytes(machines, shard, record, base) > limit(context)
 }
 
 /// What a record holds in any case: rows that it may have already, and those
@@ -319,16 +325,16 @@
 
 /// Time between two writes of one of `own` records when each node has as many,
 /// and all together take a share of the changes.
-fn gap_ms(shared: &Shared, own: usize, share: f64) -> Ms {
-    let nodes = shared.cfg.peers.len() + 1;
-    let rate = (shared.cfg.cluster.state.write_rps * share).max(0.1);
+fn gap_ms(context: &NodeContext, own: usize, share: f64) -> Ms {
+    let nodes = context.platform.peers.len() + 1;
+    let rate = (context.platform.cluster.state.write_rps * share).max(0.1);
     ((own * nodes) as f64 * 1000.0 / rate).clamp(MIN_GAP_MS as f64, 5_000.0) as Ms
 }
 
 /// Writes the records that have something new, and reads back those in doubt.
-pub fn write_all(shared: &mut Shared, shards: &mut [Option<OwnedShard>], machines: &mut Machines) {
-    let Some(term) = shared.leader.as_ref().map(|(_, t)| *t) else { return };
-    let now = shared.now;
+pub fn write_all(context: &mut NodeContext, shards: &mut [Option<OwnedShard>], machines: &mut Machines) {
+    let Some(term) = context.leadership.term() else { return };
+    let now = context.clock.now();
     if !shards.iter().flatten().any(|h| h.load == Load::Done) {
         return;
     }
@@ -340,8 +346,8 @@
             continue;
         }
         for s in 0..h.records.len() as u32 {
-            if h.records[s as usize].long && held_back(shared, machines, b as u32, s) {
-                spread_out(shared, h, machines, b as u32, s);
+            if h.records[s as usize].long && held_back(context, machines, b as u32, s) {
+                spread_out(context, h, machines, b as u32, s);
                 h.records[s as usize].next_at = now + MIN_GAP_MS;
             }
         }
@@ -354,7 +360,7 @@
             continue;
         }
         if h.term == term {
-            for a in m.attempts.iter().filter(|a| a.unwritten(shared)) {
+            for a in m.attempts.iter().filter(|a| a.unwritten(context)) {
                 needs.insert((m.shard, a.record), true);
             }
         }
@@ -368,7 +374,7 @@
             needs.insert((m.shard, home), true);
         }
         if m.can_decommission() || m.cordoned != m.cordoned_recorded {
-            let record = home(shared, h, m);
+            let record = home(context, h, m);
             *needs.entry((m.shard, record)).or_default() |= m.can_decommission();
         }
     }
@@ -388,8 +394,8 @@
                     record: key.1,
                     fencing_token: h.fencing_token,
                 };
-                let key = record_key(&shared.shards[b].name, key.1);
-                shared.send_store_request(StoreCallOwner::ShardOwner(call), StoreRequest::Get(key));
+                let key = record_key(&context.shards[b].name, key.1);
+                context.send_store_request(StoreCallOwner::ShardOwner(call), StoreRequest::Get(key));
                 continue;
             }
             if record.write != Write::Idle || now < record.next_at {
@@ -406,31 +412,31 @@
                 record.stale.get_or_insert(now);
                 continue;
             }
-            if record.long && (h.term != term || held_back(shared, machines, key.0, key.1)) {
+            if record.long && (h.term != term || held_back(context, machines, key.0, key.1)) {
                 continue;
             }
-            if !shared.can_write(1) {
+            if !context.can_write(1) {
                 return;
             }
             let record = &mut h.records[s];
-            record.next_at = now + gap_ms(shared, pressing, RATE_SHARE);
+            record.next_at = now + gap_ms(context, pressing, RATE_SHARE);
             if !press {
-                h.tidy_at = now + gap_ms(shared, 1, TIDY_SHARE);
+                h.tidy_at = now + gap_ms(context, 1, TIDY_SHARE);
             }
-            write(shared, h, machines, key, term);
+            write(context, h, machines, key, term);
         }
     }
 }
 
 /// One record as it is now, under the conditions of all that is new in it.
 fn write(
-    shared: &mut Shared,
+    context: &mut NodeContext,
     h: &mut OwnedShard,
     machines: &mut Machines,
     (shard, record): (u32, u32),
     term: u64,
 ) {
-    let block_name = shared.shards[shard as usize].name.clone();
+    let block_name = context.shards[shard as usize].name.clone();
     let key = record_key(&block_name, record);
     let compares = vec![
         Compare { key: LEADER.into(), version: term },
@@ -456,7 +462,7 @@
     let takes_new = h.term == term;
     let mut draft = RecordDraft::new(written, compares, base, bytes, takes_new);
     for (ix, m) in machines.iter_mut().filter(|(_, m)| m.shard == shard) {
-        draft.add_machine(shared, ix, m);
+        draft.add_machine(context, ix, m);
     }
     let RecordDraft { record: content, job_rows, written, compares, .. } = draft;
     let state = &mut h.records[record as usize];
@@ -466,23 +472,23 @@
     // What is bound but did not get its condition yet still needs its place.
     let value = Encoded::new(&content);
     let bytes = value.len() + RECORD_SLACK;
-    state.bytes = bytes + unwritten_bytes(shared, machines, shard, record, &written);
-    let txn = CompareAndSwap { compares, changes: vec![Mutation::Put { key, value, lease: None }] };
-    shared.send_store_request(
+    state.bytes = bytes + unwritten_bytes(context, machines, shard, record, &written);
+    let txn = CompareAndSwap { compares, mutations: vec![Mutation::Put { key, value, lease: None }] };
+    context.send_store_request(
         StoreCallOwner::ShardOwner(ShardOwnerCall::Write(written)),
         StoreRequest::CompareAndSwap(txn),
     );
 }
 
 fn unwritten_bytes(
-    shared: &Shared,
+    context: &NodeContext,
     machines: &Machines,
     shard: u32,
     record: u32,
     done: &Written,
 ) -> usize {
     let left = |a: &&Attempt| {
-        a.record == record && a.unwritten(shared) && !done.attempts.contains(&a.id)
+        a.record == record && a.unwritten(context) && !done.attempts.contains(&a.id)
             || a.moving == Some(record) && !done.moved.contains(&a.id)
     };
     let ours = machines.values().filter(|m| m.shard == shard);
@@ -503,7 +509,7 @@
 }
 
 pub fn on_written(
-    shared: &mut Shared,
+    context: &mut NodeContext,
     h: &mut OwnedShard,
     machines: &mut Machines,
     w: Written,
@@ -525,7 +531,7 @@
                 for a in &mut m.attempts {
                     if a.record == w.record {
                         if w.attempts.contains(&a.id) {
-                            (a.written, a.written_at) = (true, shared.now);
+                            (a.written, a.written_at) = (true, context.clock.now());
                         }
                     } else if a.moving == Some(w.record) && w.moved.contains(&a.id) {
                         emptier.push(a.record);
@@ -548,40 +554,40 @@
                 // Gone meanwhile, and now listed here for nothing.
                 emptier.push(w.record);
             }
-            mark_stale(h, emptier, shared.now);
+            mark_stale(h, emptier, context.clock.now());
         }
         StoreResponse::NotExecuted => {
             untried(machines, &w);
             record.write = Write::Idle;
-            record.stale.get_or_insert(shared.now);
-            record.retry_at = shared.now + shared.jitter(200);
+            record.stale.get_or_insert(context.clock.now());
+            record.retry_at = context.clock.now() + context.jitter(200);
         }
         StoreResponse::Conflict(keys) => {
             untried(machines, &w);
-            let key = record_key(&shared.shards[w.shard as usize].name, w.record);
+            let key = record_key(&context.shards[w.shard as usize].name, w.record);
             record.write = if keys.contains(&key) { Write::OutcomeUnknown } else { Write::Idle };
-            record.stale.get_or_insert(shared.now);
-            record.retry_at = shared.now + shared.jitter(80);
+            record.stale.get_or_insert(context.clock.now());
+            record.retry_at = context.clock.now() + context.jitter(80);
         }
         StoreResponse::Malformed => {
             // Longer than the service takes, whatever the settings say: never
             // again as it is.
-            let key = record_key(&shared.shards[w.shard as usize].name, w.record);
+            let key = record_key(&context.shards[w.shard as usize].name, w.record);
             tracing::error!(key, "record rejected; what it holds goes to others");
             record.write = Write::OutcomeUnknown;
             record.long = true;
-            record.retry_at = shared.now + 2_000;
+            record.retry_at = context.clock.now() + 2_000;
         }
         _ => {
             record.write = Write::OutcomeUnknown;
-            record.stale.get_or_insert(shared.now);
-            record.retry_at = shared.now + shared.jitter(100);
+            record.stale.get_or_insert(context.clock.now());
+            record.retry_at = context.clock.now() + context.jitter(100);
         }
     }
 }
 
 pub fn on_reread(
-    shared: &mut Shared,
+    context: &mut NodeContext,
     h: &mut OwnedShard,
     machines: &mut Machines,
     (shard, record): (u32, u32),
@@ -594,13 +600,13 @@
             let Ok(rec) = i.value.decode::<PlacementRecord>() else {
                 tracing::error!(key = i.key, "unreadable record");
                 state.write = Write::OutcomeUnknown;
-                state.retry_at = shared.now + 2_000;
+                state.retry_at = context.clock.now() + 2_000;
                 return;
             };
             state.write = Write::Idle;
             state.version = i.version;
-            state.stale.get_or_insert(shared.now);
-            state.long |= bytes > limit(shared);
+            state.stale.get_or_insert(context.clock.now());
+            state.long |= bytes > limit(context);
             let mut emptier = Vec::new();
             let listed: FxHashMap<&str, &RecordedMachine> =
                 rec.machines.iter().map(|m| (m.0.as_str(), m)).collect();
@@ -627,7 +633,7 @@
                     }
                 }
             }
-            mark_stale(h, emptier, shared.now);
+            mark_stale(h, emptier, context.clock.now());
             h.dirty = true;
         }
         StoreResponse::NotFound => {
@@ -640,7 +646,7 @@
         }
         _ => {
             state.write = Write::OutcomeUnknown;
-            state.retry_at = shared.now + shared.jitter(300);
+            state.retry_at = context.clock.now() + context.jitter(300);
         }
     }
 }
@@ -662,10 +668,10 @@
     }
 
     /// Waits for the record that must stand before its `run`.
-    pub fn unwritten(&self, shared: &Shared) -> bool {
+    pub fn unwritten(&self, context: &NodeContext) -> bool {
         !self.written
             && self.wanted
-            && shared.job(self.job).state == JobState::Live
-            && !shared.must_stop(self.job)
+            && context.job(self.job).state == JobState::Live
+            && !context.must_stop(self.job)
     }
 }
--- a/src/core/shard_owner/reconciliation.rs
+++ b/src/core/shard_owner/reconciliation.rs
@@ -3,8 +3,8 @@
 
 use super::machine::{Attempt, Machine};
 use super::{Load, ShardOwner};
-use crate::core::common::model::{Ms, split_task};
-use crate::core::common::shared::Shared;
+use crate::core::common::context::NodeContext;
+use crate::model::{Ms, split_task};
 use crate::wire::workers::{Command, CommandAction, HeartbeatTask, TaskState};
 use rustc_hash::FxHashSet;
 use woadlever_recovery::attempt::{self, AttemptPhase, Verdict, WorkerAction};
@@ -12,8 +12,8 @@
 
 impl ShardOwner {
     /// Machines whose lease has surely ended hold nothing any more.
-    pub(super) fn check_leases(&mut self, shared: &mut Shared) {
-        let timing = shared.timing();
+    pub(super) fn check_leases(&mut self, context: &mut NodeContext) {
+        let timing = context.timing();
         for m in self.machines.values_mut() {
             let Some(h) = &mut self.shards[m.shard as usize] else { continue };
             // A report that waits for its answer is no silence: the first one
@@ -22,7 +22,7 @@
             if m.worker.has_ended() || m.held.is_some() || h.load != Load::Done {
                 continue;
             }
-            if !m.worker.lease_is_over(h.recovery.since(), &timing, shared.now) {
+            if !m.worker.lease_is_over(h.recovery.since(), &timing, context.clock.now()) {
                 continue;
             }
             m.worker.end_lease();
@@ -32,34 +32,39 @@
             }
             h.recovery.count_lease_ended(m.unreconciled_attempts() as u32);
             let gone = m.attempts.extract_if(.., |a| attempt::ends_with_lease(&a.state()));
-            h.note_gone_attempts(gone.map(|a| (a.id, a.record)), shared.now);
+            h.note_gone_attempts(gone.map(|a| (a.id, a.record)), context.clock.now());
             h.dirty = true;
         }
     }
 
     /// Tells of blocks whose last attempt has been squared.
-    pub(super) fn follow_recovery(&mut self, shared: &Shared) {
+    pub(super) fn follow_recovery(&mut self, context: &NodeContext) {
         for (b, held) in self.shards.iter_mut().enumerate() {
             let Some(h) = held.as_mut().filter(|h| h.recovery.is_reconciling()) else { continue };
             let of_block = self.machines.values().filter(|m| m.shard as usize == b);
             let unreconciled_attempts = of_block.map(Machine::unreconciled_attempts).sum();
             if h.recovery.settle(unreconciled_attempts) {
-                log_phase(shared, b, h.fencing_token, &h.recovery);
+                log_phase(context, b, h.fencing_token, &h.recovery);
             }
         }
     }
 }
 
 /// Tells operators of a block's phase; `woadlever-recovery-report` reads these lines.
-pub(super) fn log_phase(shared: &Shared, shard: usize, fencing_token: u64, recovery: &ShardRecovery) {
+pub(super) fn log_phase(
+    context: &NodeContext,
+    shard: usize,
+    fencing_token: u64,
+    recovery: &ShardRecovery,
+) {
     let tally = recovery.tally();
     tracing::info!(
         target: "woadlever::recovery",
         format = LOG_FORMAT,
-        block = shared.shards[shard].name,
+        block = context.shards[shard].name,
         grant = fencing_token,
         phase = recovery.phase().name(),
-        age_ms = recovery.age_ms(shared.now),
+        age_ms = recovery.age_ms(context.clock.now()),
         revision = recovery.revision(),
         recorded = recovery.recorded(),
         confirmed = tally.confirmed,
@@ -76,13 +81,13 @@
 /// Takes in what a report says of the machine's tasks, and what it proves by
 /// not saying it. The attempts that are gone, with their records.
 pub(super) fn reconcile_heartbeat(
-    shared: &mut Shared,
+    context: &mut NodeContext,
     m: &mut Machine,
     tasks: &[HeartbeatTask],
     recovery: &mut ShardRecovery,
     commands: &mut Vec<Command>,
 ) -> Vec<(u64, u32)> {
-    let listed = note_listed(shared, m, tasks, recovery, commands);
+    let listed = note_listed(context, m, tasks, recovery, commands);
     let verdicts: Vec<Verdict> = m
         .attempts
         .iter()
@@ -102,7 +107,7 @@
     };
     let gone = m.attempts.extract_if(.., is_gone);
     gone.map(|a| {
-        tracing::debug!(machine, job = shared.jobs.id(a.job), task = a.task, attempt = a.id, phase = ?a.phase, "gone");
+        tracing::debug!(machine, job = context.jobs.id(a.job), task = a.task, attempt = a.id, phase = ?a.phase, "gone");
         (a.id, a.record)
     })
     .collect()
@@ -111,7 +116,7 @@
 /// Notes the phases of the attempts that a report lists. What no record speaks of is
 /// stopped or cleared.
 fn note_listed(
-    shared: &Shared,
+    context: &NodeContext,
     m: &mut Machine,
     tasks: &[HeartbeatTask],
     recovery: &mut ShardRecovery,
@@ -120,7 +125,7 @@
     let mut listed: FxHashSet<u64> = FxHashSet::default();
     for task in tasks {
         let found = split_task(&task.task).and_then(|(job, number)| {
-            let job = shared.job_index(job)?;
+            let job = context.job_index(job)?;
             let is_it = |a: &&mut Attempt| a.id == task.attempt && a.job == job && a.task == number;
             m.attempts.iter_mut().find(is_it)
         });
@@ -134,7 +139,7 @@
         }
         listed.insert(attempt.id);
         attempt.listed = true;
-        note_phase(attempt, phase_of(task), shared.now);
+        note_phase(attempt, phase_of(task), context.clock.now());
     }
     listed
 }
--- a/src/core/shard_owner/record_draft.rs
+++ b/src/core/shard_owner/record_draft.rs
@@ -3,7 +3,7 @@
 
 use super::machine::{Attempt, Machine};
 use super::placement_records::{Written, digits, limit, machine_bytes};
-use crate::core::common::shared::Shared;
+use crate::core::common::context::NodeContext;
 use crate::core::common::watch_cache::job_key;
 use crate::wire::store::{Compare, PlacementRecord, RecordedJob, RecordedMachine};
 use rustc_hash::{FxHashMap, FxHashSet};
@@ -48,7 +48,7 @@
     }
 
     /// Adds the machine's own state and its attempts, as far as they belong here.
-    pub(super) fn add_machine(&mut self, shared: &Shared, index: u32, machine: &mut Machine) {
+    pub(super) fn add_machine(&mut self, context: &NodeContext, index: u32, machine: &mut Machine) {
         let record = self.written.record;
         let own = machine.record == Some(record);
         let flags = if own { state_flags(machine) } else { 0 };
@@ -58,11 +58,11 @@
         let mut tasks = Vec::new();
         let here = |a: &&mut Attempt| a.record == record || a.moving == Some(record);
         for attempt in machine.attempts.iter_mut().filter(here) {
-            if !self.add_attempt(shared, attempt, row_bytes) {
+            if !self.add_attempt(context, attempt, row_bytes) {
                 continue;
             }
             row_bytes = 0;
-            let row = self.job_row(shared, attempt);
+            let row = self.job_row(context, attempt);
             tasks.extend([u64::from(row), u64::from(attempt.task), attempt.id - self.record.base]);
         }
         if tasks.is_empty() && !has_state {
@@ -77,11 +77,11 @@
 
     /// Whether the attempt is part of the record. `row_bytes` is what its machine's
     /// row takes, if it is the machine's first.
-    fn add_attempt(&mut self, shared: &Shared, attempt: &mut Attempt, row_bytes: usize) -> bool {
+    fn add_attempt(&mut self, context: &NodeContext, attempt: &mut Attempt, row_bytes: usize) -> bool {
         let job_bytes = if self.job_rows.contains_key(&attempt.job) { 0 } else { attempt.job_row_bytes };
         let numbers = digits(u64::from(attempt.task)) + digits(attempt.id - self.record.base);
         let bytes = ATTEMPT_OVERHEAD + numbers + row_bytes + job_bytes;
-        let fits_within = self.bytes + bytes <= limit(shared);
+        let fits_within = self.bytes + bytes <= limit(context);
         if attempt.moving == Some(self.written.record) {
             // On record elsewhere, so that it needs no condition of its own.
             if fits_within {
@@ -91,8 +91,8 @@
             return fits_within;
         }
         let may_add =
-            self.takes_new && attempt.moving.is_none() && attempt.unwritten(shared) && fits_within;
-        if may_add && self.check_job(shared, attempt.job) {
+            self.takes_new && attempt.moving.is_none() && attempt.unwritten(context) && fits_within;
+        if may_add && self.check_job(context, attempt.job) {
             self.bytes += bytes;
             attempt.tried = true;
             self.written.attempts.insert(attempt.id);
@@ -103,25 +103,25 @@
 
     /// Makes the write depend on the job's record. False: there are more jobs than
     /// a transaction has conditions, and the rest goes with the next.
-    fn check_job(&mut self, shared: &Shared, job: u32) -> bool {
+    fn check_job(&mut self, context: &NodeContext, job: u32) -> bool {
         if self.checked_jobs.contains(&job) {
             return true;
         }
-        if self.compares.len() >= CONDS_PER_CHANGE * shared.cfg.cluster.state.txn_ops {
+        if self.compares.len() >= CONDS_PER_CHANGE * context.platform.cluster.state.txn_ops {
             return false;
         }
         self.checked_jobs.insert(job);
         self.compares
-            .push(Compare { key: job_key(shared.jobs.id(job)), version: shared.job(job).version });
+            .push(Compare { key: job_key(context.jobs.id(job)), version: context.job(job).version });
         true
     }
 
-    fn job_row(&mut self, shared: &Shared, attempt: &Attempt) -> u32 {
+    fn job_row(&mut self, context: &NodeContext, attempt: &Attempt) -> u32 {
         let jobs = &mut self.record.jobs;
         *self.job_rows.entry(attempt.job).or_insert_with(|| {
-            let need = &attempt.need;
-            let id = shared.jobs.id(attempt.job).to_string();
-            jobs.push(RecordedJob(id, attempt.team.clone(), need.cpus, need.gpus, need.mem));
+            let demand = &attempt.demand;
+            let id = context.jobs.id(attempt.job).to_string();
+            jobs.push(RecordedJob(id, attempt.team.clone(), demand.cpus, demand.gpus, demand.mem));
             jobs.len() as u32 - 1
         })
     }
--- a/src/core/shard_owner/reported_state.rs
+++ b/src/core/shard_owner/reported_state.rs
@@ -3,9 +3,10 @@
 
 use super::machine::Machine;
 use super::{Load, ShardOwner};
-use crate::core::common::model::{MachineType, Ms, Resources};
-use crate::core::common::shared::Shared;
+use crate::core::common::context::NodeContext;
+use crate::core::common::leadership::KnownLeader;
 use crate::core::common::window::{self, Booking};
+use crate::model::{MachineType, Ms, Resources};
 use crate::wire::peer::{
     PeerMessage, ReportedJob, ReportedMachine, ReportedPhase, ReportedState, ReportedTask,
 };
@@ -23,16 +24,16 @@
 impl ShardOwner {
     /// Each waiting task counts once, on its best-fit machine: the one with the
     /// most room left when earlier ones are counted.
-    fn waiting_on(&self, shared: &Shared, shard: usize) -> FxHashMap<u32, Resources> {
+    fn waiting_on(&self, context: &NodeContext, shard: usize) -> FxHashMap<u32, Resources> {
         let mut extra: FxHashMap<u32, Resources> = FxHashMap::default();
         let Some(h) = self.shards[shard].as_ref().filter(|h| !h.waiting.is_empty()) else {
             return extra;
         };
         let mut able: Vec<(u32, &Machine, &MachineType, Resources)> = Vec::new();
-        let ours = |m: &Machine| m.shard as usize == shard && m.takes_tasks(shared);
+        let ours = |m: &Machine| m.shard as usize == shard && m.takes_tasks(context);
         for (ix, m) in self.machines.iter().filter(|(_, m)| ours(m)) {
-            if let Some(t) = shared.machine_type_index(&m.type_name) {
-                able.push((ix, m, &shared.types[t], m.used()));
+            if let Some(t) = context.machine_types.index_of(&m.type_name) {
+                able.push((ix, m, &context.machine_types[t], m.used()));
             }
         }
         // Machines that what waits has not overloaded beyond doubt yet. Once there is none,
@@ -42,11 +43,12 @@
             if open.is_empty() {
                 break;
             }
-            let Some(spec) = shared.job(job).spec.clone() else { continue };
-            let need = spec.need();
-            let parts = |load: &Resources, t: &MachineType| (load.dominant_share(&t.room) * 1e6) as u64;
+            let Some(spec) = context.job(job).spec.clone() else { continue };
+            let demand = spec.demand();
+            let parts =
+                |load: &Resources, t: &MachineType| (load.dominant_share(&t.capacity) * 1e6) as u64;
             let fit = |m: &Machine, t: &MachineType| {
-                window::allowed(&spec, &m.type_name, &m.zone, m.spot) && need.fits_within(&t.room)
+                window::allowed(&spec, &m.type_name, &m.zone, m.spot) && demand.fits_within(&t.capacity)
             };
             let mut heap: BinaryHeap<Reverse<(u64, usize)>> = open
                 .iter()
@@ -60,8 +62,8 @@
                     break;
                 }
                 let (ix, _, t, load) = &mut able[i];
-                load.add(&need);
-                extra.entry(*ix).or_default().add(&need);
+                load.add(&demand);
+                extra.entry(*ix).or_default().add(&demand);
                 heap.push(Reverse((parts(load, t), i)));
             }
             open.retain(|i| parts(&able[*i].3, able[*i].2) <= WAITING_ENOUGH);
@@ -69,15 +71,17 @@
         extra
     }
 
-    pub(super) fn project(&mut self, shared: &mut Shared) {
+    pub(super) fn project(&mut self, context: &mut NodeContext) {
         for b in 0..self.shards.len() {
             if self.shards[b].is_none() {
                 continue;
             }
-            let extra = self.waiting_on(shared, b);
+            let extra = self.waiting_on(context, b);
             let mut changed = false;
             for (ix, m) in self.machines.iter_mut().filter(|(_, m)| m.shard as usize == b) {
-                let Some(t) = shared.machine_type_index(&m.type_name).map(|t| &shared.types[t]) else {
+                let Some(t) =
+                    context.machine_types.index_of(&m.type_name).map(|t| &context.machine_types[t])
+                else {
                     continue;
                 };
                 let bookings: Vec<Booking> = m
@@ -85,13 +89,13 @@
                     .iter()
                     .filter(|a| !a.phase.has_ended())
                     .map(|a| Booking {
-                        need: a.need,
-                        ran_ms: a.started.map_or(0, |s| shared.now.saturating_sub(s)),
+                        demand: a.demand,
+                        ran_ms: a.started.map_or(0, |s| context.clock.now().saturating_sub(s)),
                         expected_ms: a.expected_ms,
                     })
                     .collect();
                 let more = extra.get(&ix).copied().unwrap_or_default();
-                let p = window::project(&shared.op, &t.room, &bookings, &more);
+                let p = window::project(&context.operator, &t.capacity, &bookings, &more);
                 changed |= p.overloaded != m.overloaded;
                 m.overloaded = p.overloaded;
                 m.peak = p.peak;
@@ -102,15 +106,17 @@
         }
     }
 
-    pub(super) fn tell_leader(&mut self, shared: &mut Shared) {
-        let Some((leader, term)) = shared.leader.clone() else { return };
-        let now = shared.now;
+    pub(super) fn tell_leader(&mut self, context: &mut NodeContext) {
+        let Some(KnownLeader { record: leader, term }) = context.leadership.current().cloned() else {
+            return;
+        };
+        let now = context.clock.now();
         for b in 0..self.shards.len() {
             let Some(h) = &mut self.shards[b] else { continue };
             if h.load != Load::Done {
                 continue;
             }
-            let gap = shared.load_adjusted_gap(REPORTED_GAP_MS, h.size);
+            let gap = context.load_adjusted_gap(REPORTED_GAP_MS, h.size);
             let due = h.sent_at + if h.dirty { gap } else { REPORTED_EVERY_MS.max(gap) };
             if now < due && h.sent_at != 0 {
                 continue;
@@ -129,18 +135,18 @@
             };
             let mut rows: FxHashMap<u32, u32> = FxHashMap::default();
             for m in self.machines.values().filter(|m| m.shard as usize == b) {
-                let m = reported_machine(shared, m, &mut have, &mut rows);
+                let m = reported_machine(context, m, &mut have, &mut rows);
                 have.machines.push(m);
             }
             h.size = have.machines.iter().map(|m| 1 + m.tasks.len()).sum();
-            shared.send(&leader.node, PeerMessage::ReportedState(have));
+            context.send(&leader.node, PeerMessage::ReportedState(have));
         }
     }
 }
 
 /// A machine as the state message shows it; `rows` are the places of its jobs there.
 fn reported_machine(
-    shared: &Shared,
+    context: &NodeContext,
     m: &Machine,
     have: &mut ReportedState,
     rows: &mut FxHashMap<u32, u32>,
@@ -154,18 +160,18 @@
     for a in &m.attempts {
         let job = *rows.entry(a.job).or_insert_with(|| {
             have.jobs.push(ReportedJob {
-                job: shared.jobs.id(a.job).to_string(),
+                job: context.jobs.id(a.job).to_string(),
                 team: a.team.clone(),
-                cpus: a.need.cpus,
-                gpus: a.need.gpus,
-                memory_gb: a.need.mem,
+                cpus: a.demand.cpus,
+                gpus: a.demand.gpus,
+                memory_gb: a.demand.mem,
             });
             have.jobs.len() as u32 - 1
         });
         let ran_ms = if a.phase.has_ended() {
             a.ran
         } else {
-            a.started.map_or(0, |s| shared.now.saturating_sub(s))
+            a.started.map_or(0, |s| context.clock.now().saturating_sub(s))
         };
         let state = match a.phase {
             AttemptPhase::Bound | AttemptPhase::Inherited => ReportedPhase::Bound,
@@ -183,7 +189,7 @@
         machine: m.name.clone(),
         machine_type,
         spot: m.spot,
-        silent_ms: m.worker.last_heartbeat().map_or(u64::MAX, |at| shared.now - at),
+        silent_ms: m.worker.last_heartbeat().map_or(u64::MAX, |at| context.clock.now() - at),
         preemption_notice: m.preemption_notice,
         terminating: m.terminating_recorded,
         fenced: m.worker.is_fenced(),
--- a/src/core/shard_owner/worker_heartbeats.rs
+++ b/src/core/shard_owner/worker_heartbeats.rs
@@ -4,8 +4,8 @@
 use super::machine::{Attempt, Held, Machine};
 use super::reconciliation::reconcile_heartbeat;
 use super::{Load, ShardOwner};
-use crate::core::common::model::Ms;
-use crate::core::common::shared::Shared;
+use crate::core::common::context::NodeContext;
+use crate::model::Ms;
 use crate::wire::store::JobState;
 use crate::wire::workers::{Command, CommandAction, HeartbeatResponse, Redirect, WorkerHeartbeat};
 use woadlever_recovery::attempt::{self, AttemptPhase, JobEligibility, WorkerAction};
@@ -20,26 +20,31 @@
 
 impl ShardOwner {
     /// Takes in a worker's report.
-    pub fn on_worker_heartbeat(&mut self, shared: &mut Shared, req: u64, heartbeat: WorkerHeartbeat) {
-        let Some(b) = shared.shard_of(&heartbeat.zone, &heartbeat.machine) else {
-            return shared.refuse(req, 400, "unknown zone", Some("yard"));
+    pub fn on_worker_heartbeat(
+        &mut self,
+        context: &mut NodeContext,
+        request_id: u64,
+        heartbeat: WorkerHeartbeat,
+    ) {
+        let Some(b) = context.shards.shard_of(&heartbeat.zone, &heartbeat.machine) else {
+            return context.refuse(request_id, 400, "unknown zone", Some("yard"));
         };
-        if !shared.synced {
-            return shared.busy(req, "not yet in touch with the state service");
+        if !context.is_synced {
+            return context.respond_unavailable(request_id, "not yet in touch with the state service");
         }
         let holds = self.shards[b as usize].as_ref().map(|h| (h.fencing_token, h.load));
-        let Some((fencing_token, load)) = holds else { return redirect(shared, req, b) };
-        if !shared.has_control_lease() {
-            return shared.busy(req, "no proof of authority");
+        let Some((fencing_token, load)) = holds else { return redirect(context, request_id, b) };
+        if !context.has_control_lease() {
+            return context.respond_unavailable(request_id, "no proof of authority");
         }
         let version =
             HeartbeatVersion { incarnation: heartbeat.incarnation, sequence: heartbeat.sequence };
         let header = HeartbeatHeader { version, fencing_token: heartbeat.fencing_token };
         if let Err(why) = worker::check_fencing_token(header, fencing_token) {
-            return reject(shared, req, why);
+            return reject(context, request_id, why);
         }
         if self.gone.contains(&heartbeat.machine) {
-            return shared.busy(req, "this machine has been returned");
+            return context.respond_unavailable(request_id, "this machine has been returned");
         }
         let blank = || Machine::blank(&heartbeat.machine, b, fencing_token);
         let (ix, m) = self.machines.get_or_insert_with(&heartbeat.machine, blank);
@@ -48,10 +53,11 @@
             *m = Machine::blank(&heartbeat.machine, b, fencing_token);
             m.held = held;
         }
-        let only_node = shared.cfg.peers.is_empty();
-        if let Err(why) = m.worker.accept(header, fencing_token, only_node, &shared.timing(), shared.now)
+        let only_node = context.platform.peers.is_empty();
+        if let Err(why) =
+            m.worker.accept(header, fencing_token, only_node, &context.timing(), context.clock.now())
         {
-            return reject(shared, req, why);
+            return reject(context, request_id, why);
         }
         m.addr = heartbeat.addr;
         m.type_name = heartbeat.machine_type;
@@ -67,37 +73,37 @@
             // so that the worker's lease goes on, but without any order.
             if load == Load::Done {
                 let recovery = &mut h.recovery;
-                let gone = reconcile_heartbeat(shared, m, &heartbeat.tasks, recovery, &mut commands);
-                h.note_gone_attempts(gone, shared.now);
+                let gone = reconcile_heartbeat(context, m, &heartbeat.tasks, recovery, &mut commands);
+                h.note_gone_attempts(gone, context.clock.now());
             }
         }
-        let hold = if load == Load::Done && commands.is_empty() { hold_ms(shared, m) } else { 0 };
-        m.held = Some(Held { req, until: shared.now + hold, commands });
+        let hold = if load == Load::Done && commands.is_empty() { hold_ms(context, m) } else { 0 };
+        m.held = Some(Held { request_id, until: context.clock.now() + hold, commands });
         if let Some(old) = stale {
-            shared.busy(old.req, "a newer report is known");
+            context.respond_unavailable(old.request_id, "a newer report is known");
         }
         if hold == 0 {
-            self.answer_held(shared, ix);
+            self.answer_held(context, ix);
         }
     }
 
     /// Answers the report that a machine waits with. What is ordered is
     /// decided now, on what is known now.
-    fn answer_held(&mut self, shared: &mut Shared, ix: u32) {
+    fn answer_held(&mut self, context: &mut NodeContext, ix: u32) {
         let Some(m) = self.machines.get_mut(ix) else { return };
         let Some(held) = m.held.take() else { return };
         let shard =
             self.shards[m.shard as usize].as_ref().filter(|h| h.fencing_token == m.fencing_token);
-        let Some(shard) = shard.filter(|_| shared.has_control_lease()) else {
-            return shared.busy(held.req, "no proof of authority");
+        let Some(shard) = shard.filter(|_| context.has_control_lease()) else {
+            return context.respond_unavailable(held.request_id, "no proof of authority");
         };
         let mut commands = held.commands;
         if shard.load == Load::Done {
-            add_orders(shared, m, &mut commands);
+            add_orders(context, m, &mut commands);
         }
-        m.worker.note_response(shared.now);
-        shared.answer_json(
-            held.req,
+        m.worker.note_response(context.clock.now());
+        context.respond_json(
+            held.request_id,
             200,
             &HeartbeatResponse { fencing_token: m.fencing_token, commands },
         );
@@ -105,14 +111,14 @@
 
     /// Held reports are answered at the moment that work appears for their
     /// machine, or when their time is over.
-    pub(super) fn answer_due(&mut self, shared: &mut Shared) {
+    pub(super) fn answer_due(&mut self, context: &mut NodeContext) {
         let due = |m: &Machine| {
             let Some(held) = &m.held else { return false };
-            shared.now >= held.until || m.attempts.iter().any(|a| has_news(shared, a))
+            context.clock.now() >= held.until || m.attempts.iter().any(|a| has_news(context, a))
         };
         let due: Vec<u32> = self.machines.iter().filter(|(_, m)| due(m)).map(|(ix, _)| ix).collect();
         for ix in due {
-            self.answer_held(shared, ix);
+            self.answer_held(context, ix);
         }
     }
 }
@@ -120,11 +126,13 @@
 /// How long a report may wait for work. A machine with room gets new work the
 /// sooner; one with tasks also has their ends to tell, so it waits less. The
 /// worker gives up after 4 s.
-fn hold_ms(shared: &Shared, m: &Machine) -> Ms {
-    if !m.takes_tasks(shared) {
+fn hold_ms(context: &NodeContext, m: &Machine) -> Ms {
+    if !m.takes_tasks(context) {
         return 0;
     }
-    let Some(t) = shared.machine_type_index(&m.type_name).map(|t| &shared.types[t]) else { return 0 };
+    let Some(t) = context.machine_types.index_of(&m.type_name).map(|t| &context.machine_types[t]) else {
+        return 0;
+    };
     let ready = m.attempts.iter().any(Attempt::is_ready);
     let ended = m.attempts.iter().any(|a| a.phase.has_ended() && !a.wanted);
     if ready || ended {
@@ -132,8 +140,8 @@
     }
     if m.attempts.is_empty() {
         HOLD_IDLE_MS
-    } else if m.used().dominant_share(&t.room) < 0.95 {
-        let share = shared.cfg.cluster.workers.report_s * 1000.0 * HOLD_BUSY_SHARE;
+    } else if m.used().dominant_share(&t.capacity) < 0.95 {
+        let share = context.platform.cluster.workers.report_s * 1000.0 * HOLD_BUSY_SHARE;
         (share as Ms).clamp(*HOLD_BUSY_MS.start(), *HOLD_BUSY_MS.end())
     } else {
         0
@@ -141,41 +149,41 @@
 }
 
 /// Whether a report that waits is to be answered at once for this attempt.
-fn has_news(shared: &Shared, a: &Attempt) -> bool {
+fn has_news(context: &NodeContext, a: &Attempt) -> bool {
     match a.phase {
-        AttemptPhase::Bound => a.is_ready() && a.run_sent.is_none() && !shared.must_stop(a.job),
-        AttemptPhase::Fetching | AttemptPhase::Running => !a.wanted || shared.must_stop(a.job),
+        AttemptPhase::Bound => a.is_ready() && a.run_sent.is_none() && !context.must_stop(a.job),
+        AttemptPhase::Fetching | AttemptPhase::Running => !a.wanted || context.must_stop(a.job),
         _ => false,
     }
 }
 
-fn reject(shared: &mut Shared, req: u64, why: Rejection) {
+fn reject(context: &mut NodeContext, request_id: u64, why: Rejection) {
     let why = match why {
         // The watch will tell who holds the block. Never guess.
         Rejection::NewerHolder => "a newer holder exists",
         Rejection::NotNewer => "a newer report is known",
     };
-    shared.busy(req, why);
+    context.respond_unavailable(request_id, why);
 }
 
-fn redirect(shared: &mut Shared, req: u64, shard: u32) {
-    let shard_owner = shared.shard_records[shard as usize].as_ref().map(|(r, _)| r.node.clone());
+fn redirect(context: &mut NodeContext, request_id: u64, shard: u32) {
+    let shard_owner = context.shards.owner(shard as usize).map(|owner| owner.record.node.clone());
     match shard_owner {
-        Some(node) if node != shared.me => {
-            shared.answer_json(req, 421, &Redirect { report_to: Some(node) });
+        Some(node) if node != context.node => {
+            context.respond_json(request_id, 421, &Redirect { report_to: Some(node) });
         }
-        _ => shared.busy(req, "nobody holds this machine's block yet"),
+        _ => context.respond_unavailable(request_id, "nobody holds this machine's block yet"),
     }
 }
 
 /// What the worker shall do now.
-fn add_orders(shared: &Shared, m: &mut Machine, commands: &mut Vec<Command>) {
+fn add_orders(context: &NodeContext, m: &mut Machine, commands: &mut Vec<Command>) {
     for a in &mut m.attempts {
-        let job = shared.job(a.job);
+        let job = context.job(a.job);
         let spec = job.spec.as_deref();
         let standing = JobEligibility {
             is_live: job.state == JobState::Live,
-            is_cancelled: shared.must_stop(a.job),
+            is_cancelled: context.must_stop(a.job),
             saves: spec.is_some_and(|spec| spec.checkpoint_s > 0.0),
         };
         let starts_allowed = !m.terminating_recorded;
@@ -186,7 +194,7 @@
             None => continue,
             Some(WorkerAction::Run) => {
                 a.run_sent.get_or_insert(worker.newest());
-                log_run(shared, &m.name, a);
+                log_run(context, &m.name, a);
                 (CommandAction::Start, None)
             }
             Some(WorkerAction::Stop { save }) => {
@@ -195,20 +203,20 @@
             }
             Some(WorkerAction::Clear) => (CommandAction::Forget, None),
         };
-        let task = format!("{}/{}", shared.jobs.id(a.job), a.task);
+        let task = format!("{}/{}", context.jobs.id(a.job), a.task);
         commands.push(Command { op, task, attempt: a.id, grace_s });
     }
 }
 
 /// How long it took to record an attempt, and then until its machine was heard.
-fn log_run(shared: &Shared, machine: &str, a: &Attempt) {
+fn log_run(context: &NodeContext, machine: &str, a: &Attempt) {
     tracing::debug!(
         machine,
-        job = shared.jobs.id(a.job),
+        job = context.jobs.id(a.job),
         task = a.task,
         attempt = a.id,
         record_ms = a.written_at.saturating_sub(a.bound_at),
-        wait_ms = shared.now.saturating_sub(a.written_at),
+        wait_ms = context.clock.now().saturating_sub(a.written_at),
         "run sent"
     );
 }
--- a/src/core/user_api.rs
+++ b/src/core/user_api.rs
@@ -13,10 +13,10 @@
 //! before the answer, so that no other node calls it live later.
 
 use super::common::feasibility::can_run;
-use super::common::model::Spec;
-use super::common::shared::{RecordSource, Shared};
 use super::common::watch_cache::job_key;
+use super::common::{context::NodeContext, job_records::RecordSource};
 use super::{StoreCallOwner, StoreRequest, StoreResponse};
+use crate::model::JobSpec;
 use crate::wire::encoded::Encoded;
 use crate::wire::store::{Compare, CompareAndSwap, JobRecord, JobState, Mutation};
 use crate::wire::users::{Invalid, StatusBody, Submission, id_of, parse_job, valid_id};
@@ -29,9 +29,9 @@
 
 #[derive(Debug)]
 pub enum UserApiCall {
-    Submit { req: u64, id: String, state: JobState },
+    Submit { request_id: u64, id: String, state: JobState },
     Read { id: String },
-    Cancel { req: u64, id: String, tries: u32 },
+    Cancel { request_id: u64, id: String, tries: u32 },
     Cascade { id: String },
 }
 
@@ -46,9 +46,9 @@
 /// A submission whose awaited jobs are being looked up.
 #[derive(Debug)]
 struct Check {
-    req: u64,
+    request_id: u64,
     id: String,
-    spec: Spec,
+    spec: JobSpec,
     awaits: Vec<String>,
 }
 
@@ -58,7 +58,7 @@
     /// The job was there already, or may be: answer with what is.
     Resubmit(u64),
     Cancel {
-        req: u64,
+        request_id: u64,
         tries: u32,
     },
     /// Refused, unless it turns out to have been accepted before.
@@ -87,87 +87,88 @@
 }
 
 impl UserApi {
-    pub fn poll(&mut self, shared: &mut Shared) {
-        if shared.now >= self.next_sweep {
-            self.next_sweep = shared.now + 10_000;
-            shared.drop_final_specs();
+    pub fn poll(&mut self, context: &mut NodeContext) {
+        if context.clock.now() >= self.next_sweep {
+            self.next_sweep = context.clock.now() + 10_000;
+            context.drop_final_specs();
         }
     }
 
-    pub fn submit(&mut self, shared: &mut Shared, req: u64, body: &[u8]) {
+    pub fn submit(&mut self, context: &mut NodeContext, request_id: u64, body: &[u8]) {
         let Submission { id, spec, awaits } = match parse_job(body) {
             Ok(x) => x,
             Err(e) => {
                 let why = format!("{} {}", e.field, e.why);
                 // An accepted job stays so, whatever is said of it later.
                 let Some(id) = id_of(body) else {
-                    return shared.refuse(req, 400, &why, Some(e.field));
+                    return context.refuse(request_id, 400, &why, Some(e.field));
                 };
-                if !shared.synced {
-                    return shared.busy(req, "not yet in touch with the state service");
+                if !context.is_synced {
+                    return context
+                        .respond_unavailable(request_id, "not yet in touch with the state service");
                 }
-                if let Some(state) = own_job(shared, &id).map(|ix| shared.job(ix).state)
+                if let Some(state) = own_job(context, &id).map(|ix| context.job(ix).state)
                     && state != JobState::Live
                 {
-                    return answer_state(shared, req, 200, &id, state);
+                    return answer_state(context, request_id, 200, &id, state);
                 }
                 let no = Refusal { status: 400, why, field: Some(e.field) };
-                return self.read(shared, id, Then::Refuse(req, no));
+                return self.read(context, id, Then::Refuse(request_id, no));
             }
         };
-        if is_hosted(shared, &id) {
-            return refuse_taken(shared, req);
+        if is_hosted(context, &id) {
+            return refuse_taken(context, request_id);
         }
         // An accepted job stays accepted, whatever a later body says and
         // whatever has become of the limits.
-        if let Some(ix) = shared.job_index(&id) {
-            let state = shared.job(ix).state;
+        if let Some(ix) = context.job_index(&id) {
+            let state = context.job(ix).state;
             if state != JobState::Live {
-                return answer_state(shared, req, 200, &id, state);
+                return answer_state(context, request_id, 200, &id, state);
             }
-            return self.read(shared, id, Then::Resubmit(req));
+            return self.read(context, id, Then::Resubmit(request_id));
         }
-        if !shared.synced {
-            return shared.busy(req, "not yet in touch with the state service");
+        if !context.is_synced {
+            return context.respond_unavailable(request_id, "not yet in touch with the state service");
         }
-        if shared.types.is_empty() {
-            return shared.busy(req, "machine types are not known yet");
+        if context.machine_types.is_empty() {
+            return context.respond_unavailable(request_id, "machine types are not known yet");
         }
-        let awaits = match check_new(shared, &id, &spec, awaits) {
+        let awaits = match check_new(context, &id, &spec, awaits) {
             Ok(awaits) => awaits,
             // It may have been accepted elsewhere a moment ago; only the state
             // service knows.
-            Err(no) => return self.read(shared, id, Then::Refuse(req, no)),
+            Err(no) => return self.read(context, id, Then::Refuse(request_id, no)),
         };
-        if !awaits.is_empty() && !shared.has_control_lease() {
-            return shared.busy(req, "not in touch with the state service");
+        if !awaits.is_empty() && !context.has_control_lease() {
+            return context.respond_unavailable(request_id, "not in touch with the state service");
         }
-        self.check_awaited(shared, Check { req, id, spec, awaits });
+        self.check_awaited(context, Check { request_id, id, spec, awaits });
     }
 
     /// Looks up the next awaited job that is not known yet. That one is unknown
     /// is said only on a read begun after the request: the watch lags.
-    fn check_awaited(&mut self, shared: &mut Shared, check: Check) {
-        match check.awaits.iter().find(|id| own_job(shared, id).is_none()).cloned() {
-            None => self.create(shared, check),
+    fn check_awaited(&mut self, context: &mut NodeContext, check: Check) {
+        match check.awaits.iter().find(|id| own_job(context, id).is_none()).cloned() {
+            None => self.create(context, check),
             Some(unknown) => {
                 self.next_check += 1;
                 self.checks.insert(self.next_check, check);
-                self.read(shared, unknown, Then::Awaited(self.next_check));
+                self.read(context, unknown, Then::Awaited(self.next_check));
             }
         }
     }
 
-    fn create(&mut self, shared: &mut Shared, check: Check) {
-        let Check { req, id, mut spec, awaits } = check;
+    fn create(&mut self, context: &mut NodeContext, check: Check) {
+        let Check { request_id, id, mut spec, awaits } = check;
         if self.waiting >= MAX_WAITING {
-            return shared.busy(req, "too many requests at once");
+            return context.respond_unavailable(request_id, "too many requests at once");
         }
-        spec.at_ms = shared.wall;
+        spec.accepted_at_ms = context.clock.wall();
         // Accepted all the same, but called live by no one at any time: its
         // user may have been told of that cancellation long ago.
-        let withdrawn = awaits.iter().filter_map(|a| shared.job_index(a)).any(|ix| {
-            let job = shared.job(ix);
+        let withdrawn = awaits.iter().filter_map(|a| context.job_index(a)).any(|ix| {
+            let job = context.job(ix);
             job.state == JobState::Cancelled || job.links.has_cancelled_dependency
         });
         let rec =
@@ -177,84 +178,93 @@
         let value = Encoded::new(&rec);
         let txn = CompareAndSwap {
             compares: vec![Compare { key: key.clone(), version: 0 }],
-            changes: vec![Mutation::Put { key, value, lease: None }],
+            mutations: vec![Mutation::Put { key, value, lease: None }],
         };
         self.waiting += 1;
-        shared.send_store_request(
-            StoreCallOwner::UserApi(UserApiCall::Submit { req, id, state }),
+        context.send_store_request(
+            StoreCallOwner::UserApi(UserApiCall::Submit { request_id, id, state }),
             StoreRequest::CompareAndSwap(txn),
         );
     }
 
-    pub fn status(&mut self, shared: &mut Shared, req: u64, id: &str) {
-        if !valid_id(id) || is_hosted(shared, id) {
-            return shared.refuse(req, 404, "no such job", None);
+    pub fn status(&mut self, context: &mut NodeContext, request_id: u64, id: &str) {
+        if !valid_id(id) || is_hosted(context, id) {
+            return context.refuse(request_id, 404, "no such job", None);
         }
-        if let Some(ix) = shared.job_index(id) {
-            let state = shared.job(ix).state;
+        if let Some(ix) = context.job_index(id) {
+            let state = context.job(ix).state;
             if state != JobState::Live {
-                return answer_state(shared, req, 200, id, state);
+                return answer_state(context, request_id, 200, id, state);
             }
         }
-        self.read(shared, id.to_string(), Then::Status(req));
+        self.read(context, id.to_string(), Then::Status(request_id));
     }
 
-    pub fn cancel(&mut self, shared: &mut Shared, req: u64, id: &str) {
-        if !valid_id(id) || is_hosted(shared, id) {
-            return shared.refuse(req, 404, "no such job", None);
+    pub fn cancel(&mut self, context: &mut NodeContext, request_id: u64, id: &str) {
+        if !valid_id(id) || is_hosted(context, id) {
+            return context.refuse(request_id, 404, "no such job", None);
         }
-        if let Some(ix) = shared.job_index(id) {
-            let (state, version) = (shared.job(ix).state, shared.job(ix).version);
+        if let Some(ix) = context.job_index(id) {
+            let (state, version) = (context.job(ix).state, context.job(ix).version);
             if state != JobState::Live {
-                return answer_state(shared, req, 200, id, state);
+                return answer_state(context, request_id, 200, id, state);
             }
-            return self.write_cancel(shared, req, id.to_string(), version, 0);
+            return self.write_cancel(context, request_id, id.to_string(), version, 0);
         }
-        self.read(shared, id.to_string(), Then::Cancel { req, tries: 0 });
+        self.read(context, id.to_string(), Then::Cancel { request_id, tries: 0 });
     }
 
-    fn write_cancel(&mut self, shared: &mut Shared, req: u64, id: String, version: u64, tries: u32) {
+    fn write_cancel(
+        &mut self,
+        context: &mut NodeContext,
+        request_id: u64,
+        id: String,
+        version: u64,
+        tries: u32,
+    ) {
         if tries >= CANCEL_TRIES || self.waiting >= MAX_WAITING {
-            return shared.busy(req, "cancellation not settled yet");
+            return context.respond_unavailable(request_id, "cancellation not settled yet");
         }
         let key = job_key(&id);
-        let tasks = shared.job_index(&id).map_or(0, |ix| shared.job(ix).tasks);
+        let tasks = context.job_index(&id).map_or(0, |ix| context.job(ix).tasks);
         let txn = CompareAndSwap {
             compares: vec![Compare { key: key.clone(), version }],
-            changes: vec![Mutation::Put {
+            mutations: vec![Mutation::Put {
                 key,
                 value: Encoded::new(&JobRecord::cancelled(tasks)),
                 lease: None,
             }],
         };
         self.waiting += 1;
-        shared.send_store_request(
-            StoreCallOwner::UserApi(UserApiCall::Cancel { req, id, tries }),
+        context.send_store_request(
+            StoreCallOwner::UserApi(UserApiCall::Cancel { request_id, id, tries }),
             StoreRequest::CompareAndSwap(txn),
         );
     }
 
     /// Answers for a job read as live, unless it has to be withdrawn first.
-    fn answer_live(&mut self, shared: &mut Shared, req: u64, id: &str) {
-        let Some(ix) = shared.job_index(id) else { return shared.busy(req, "not known yet") };
+    fn answer_live(&mut self, context: &mut NodeContext, request_id: u64, id: &str) {
+        let Some(ix) = context.job_index(id) else {
+            return context.respond_unavailable(request_id, "not known yet");
+        };
         let (links, version, tasks) =
-            (&shared.job(ix).links, shared.job(ix).version, shared.job(ix).tasks);
-        if links.open > 0 && !shared.has_control_lease() {
-            return shared.busy(req, "not in touch with the state service");
+            (&context.job(ix).links, context.job(ix).version, context.job(ix).tasks);
+        if links.unfinished_dependencies > 0 && !context.has_control_lease() {
+            return context.respond_unavailable(request_id, "not in touch with the state service");
         }
         // One before it may have been withdrawn long ago and not be in memory.
-        if links.open > 0 && !shared.jobs.unread().is_empty() {
-            return shared.busy(req, "what it awaits is not known yet");
+        if links.unfinished_dependencies > 0 && !context.jobs.unread().is_empty() {
+            return context.respond_unavailable(request_id, "what it awaits is not known yet");
         }
         if !links.has_cancelled_dependency {
-            return answer_state(shared, req, 200, id, JobState::Live);
+            return answer_state(context, request_id, 200, id, JobState::Live);
         }
         if self.waiting >= MAX_WAITING {
-            return shared.busy(req, "too many requests at once");
+            return context.respond_unavailable(request_id, "too many requests at once");
         }
         self.waiting += 1;
         let waiters = self.withdrawals.entry(id.to_string()).or_default();
-        waiters.push(req);
+        waiters.push(request_id);
         if waiters.len() > 1 {
             return;
         }
@@ -262,49 +272,51 @@
         let value = Encoded::new(&JobRecord::cancelled(tasks));
         let txn = CompareAndSwap {
             compares: vec![Compare { key: key.clone(), version }],
-            changes: vec![Mutation::Put { key, value, lease: None }],
+            mutations: vec![Mutation::Put { key, value, lease: None }],
         };
         let call = UserApiCall::Cascade { id: id.to_string() };
-        shared.send_store_request(StoreCallOwner::UserApi(call), StoreRequest::CompareAndSwap(txn));
+        context.send_store_request(StoreCallOwner::UserApi(call), StoreRequest::CompareAndSwap(txn));
     }
 
-    fn on_cascaded(&mut self, shared: &mut Shared, id: String, result: StoreResponse) {
+    fn on_cascaded(&mut self, context: &mut NodeContext, id: String, result: StoreResponse) {
         let waiters = self.withdrawals.remove(&id).unwrap_or_default();
         self.waiting = self.waiting.saturating_sub(waiters.len());
         if let StoreResponse::Committed { revision } = result {
-            shared.apply_job_record(&id, JobRecord::cancelled(0), revision, RecordSource::Single);
-            shared.cancellations_to_announce.push(id.clone());
+            context.apply_job_record(&id, JobRecord::cancelled(0), revision, RecordSource::Single);
+            context.cancellations_to_announce.push(id.clone());
         }
-        for req in waiters {
+        for request_id in waiters {
             match result {
                 StoreResponse::Committed { .. } => {
-                    answer_state(shared, req, 200, &id, JobState::Cancelled)
+                    answer_state(context, request_id, 200, &id, JobState::Cancelled)
                 }
                 StoreResponse::Conflict(_) | StoreResponse::OutcomeUnknown => {
-                    self.read(shared, id.clone(), Then::Status(req));
+                    self.read(context, id.clone(), Then::Status(request_id));
                 }
-                _ => shared.busy(req, "the state service does not take it now"),
+                _ => context.respond_unavailable(request_id, "the state service does not take it now"),
             }
         }
     }
 
-    fn read(&mut self, shared: &mut Shared, id: String, then: Then) {
+    fn read(&mut self, context: &mut NodeContext, id: String, then: Then) {
         if self.waiting >= MAX_WAITING {
-            let req = match then {
-                Then::Status(req) | Then::Resubmit(req) | Then::Refuse(req, _) => req,
-                Then::Cancel { req, .. } => req,
+            let request_id = match then {
+                Then::Status(request_id) | Then::Resubmit(request_id) | Then::Refuse(request_id, _) => {
+                    request_id
+                }
+                Then::Cancel { request_id, .. } => request_id,
                 Then::Awaited(n) => match self.checks.remove(&n) {
-                    Some(check) => check.req,
+                    Some(check) => check.request_id,
                     None => return,
                 },
             };
-            return shared.busy(req, "too many requests at once");
+            return context.respond_unavailable(request_id, "too many requests at once");
         }
         self.waiting += 1;
         let read = self.reads.entry(id.clone()).or_default();
         if read.in_flight.is_empty() {
             read.in_flight.push(then);
-            shared.send_store_request(
+            context.send_store_request(
                 StoreCallOwner::UserApi(UserApiCall::Read { id: id.clone() }),
                 StoreRequest::Get(job_key(&id)),
             );
@@ -313,43 +325,49 @@
         }
     }
 
-    pub fn on_result(&mut self, shared: &mut Shared, call: UserApiCall, result: StoreResponse) {
+    pub fn on_result(&mut self, context: &mut NodeContext, call: UserApiCall, result: StoreResponse) {
         match call {
-            UserApiCall::Cascade { id } => self.on_cascaded(shared, id, result),
-            UserApiCall::Submit { req, id, state } => {
+            UserApiCall::Cascade { id } => self.on_cascaded(context, id, result),
+            UserApiCall::Submit { request_id, id, state } => {
                 self.waiting -= 1;
                 match result {
-                    StoreResponse::Committed { .. } => answer_state(shared, req, 201, &id, state),
+                    StoreResponse::Committed { .. } => {
+                        answer_state(context, request_id, 201, &id, state)
+                    }
                     StoreResponse::Conflict(_) | StoreResponse::OutcomeUnknown => {
-                        self.read(shared, id, Then::Resubmit(req));
+                        self.read(context, id, Then::Resubmit(request_id));
+                    }
+                    _ => {
+                        context.respond_unavailable(request_id, "the state service does not take it now")
                     }
-                    _ => shared.busy(req, "the state service does not take it now"),
                 }
             }
-            UserApiCall::Cancel { req, id, tries } => {
+            UserApiCall::Cancel { request_id, id, tries } => {
                 self.waiting -= 1;
                 match result {
                     StoreResponse::Committed { revision } => {
-                        shared.apply_job_record(
+                        context.apply_job_record(
                             &id,
                             JobRecord::cancelled(0),
                             revision,
                             RecordSource::Single,
                         );
-                        shared.cancellations_to_announce.push(id.clone());
-                        answer_state(shared, req, 200, &id, JobState::Cancelled);
+                        context.cancellations_to_announce.push(id.clone());
+                        answer_state(context, request_id, 200, &id, JobState::Cancelled);
                     }
                     StoreResponse::Conflict(_) | StoreResponse::OutcomeUnknown => {
-                        self.read(shared, id, Then::Cancel { req, tries: tries + 1 });
+                        self.read(context, id, Then::Cancel { request_id, tries: tries + 1 });
+                    }
+                    _ => {
+                        context.respond_unavailable(request_id, "the state service does not take it now")
                     }
-                    _ => shared.busy(req, "the state service does not take it now"),
                 }
             }
-            UserApiCall::Read { id } => self.on_read(shared, id, result),
+            UserApiCall::Read { id } => self.on_read(context, id, result),
         }
     }
 
-    fn on_read(&mut self, shared: &mut Shared, id: String, result: StoreResponse) {
+    fn on_read(&mut self, context: &mut NodeContext, id: String, result: StoreResponse) {
         let Some(mut read) = self.reads.remove(&id) else { return };
         let waiters = std::mem::take(&mut read.in_flight);
         self.waiting = self.waiting.saturating_sub(waiters.len());
@@ -361,10 +379,10 @@
         };
         // A record that is out of date by now is no answer; the user asks again.
         let found = found.and_then(|(state, version, rec)| {
-            shared.apply_job_record(&id, rec, version, RecordSource::Single).then_some((state, version))
+            context.apply_job_record(&id, rec, version, RecordSource::Single).then_some((state, version))
         });
         // To the users of this cell, the job of another is none.
-        let (found, result) = match is_hosted(shared, &id) {
+        let (found, result) = match is_hosted(context, &id) {
             true => (None, StoreResponse::NotFound),
             false => (found, result),
         };
@@ -372,7 +390,7 @@
         let next = std::mem::take(&mut read.next);
         if !next.is_empty() {
             read.in_flight = next;
-            shared.send_store_request(
+            context.send_store_request(
                 StoreCallOwner::UserApi(UserApiCall::Read { id: id.clone() }),
                 StoreRequest::Get(job_key(&id)),
             );
@@ -380,37 +398,51 @@
         }
         for w in waiters {
             match (w, found, &result) {
-                (Then::Status(req) | Then::Resubmit(req) | Then::Refuse(req, _), Some(f), _) => {
+                (
+                    Then::Status(request_id) | Then::Resubmit(request_id) | Then::Refuse(request_id, _),
+                    Some(f),
+                    _,
+                ) => {
                     if f.0 == JobState::Live {
-                        self.answer_live(shared, req, &id);
+                        self.answer_live(context, request_id, &id);
                     } else {
-                        answer_state(shared, req, 200, &id, f.0);
+                        answer_state(context, request_id, 200, &id, f.0);
                     }
                 }
-                (Then::Cancel { req, tries }, Some((JobState::Live, version)), _) => {
-                    self.write_cancel(shared, req, id.clone(), version, tries);
+                (Then::Cancel { request_id, tries }, Some((JobState::Live, version)), _) => {
+                    self.write_cancel(context, request_id, id.clone(), version, tries);
                 }
-                (Then::Cancel { req, .. }, Some((state, _)), _) => {
-                    answer_state(shared, req, 200, &id, state);
+                (Then::Cancel { request_id, .. }, Some((state, _)), _) => {
+                    answer_state(context, request_id, 200, &id, state);
                 }
                 (Then::Awaited(n), found, _) => {
                     let Some(check) = self.checks.remove(&n) else { continue };
-                    self.on_awaited(shared, check, &id, found.is_some(), &result);
+                    self.on_awaited(context, check, &id, found.is_some(), &result);
                 }
-                (Then::Resubmit(req), None, StoreResponse::NotFound) if is_hosted(shared, &id) => {
-                    refuse_taken(shared, req);
+                (Then::Resubmit(request_id), None, StoreResponse::NotFound)
+                    if is_hosted(context, &id) =>
+                {
+                    refuse_taken(context, request_id);
                 }
-                (Then::Refuse(req, no), None, StoreResponse::NotFound) => {
+                (Then::Refuse(request_id, no), None, StoreResponse::NotFound) => {
                     tracing::debug!(id, why = no.why, "submission refused");
-                    shared.refuse(req, no.status, &no.why, no.field);
+                    context.refuse(request_id, no.status, &no.why, no.field);
                 }
-                (Then::Status(req) | Then::Cancel { req, .. }, None, StoreResponse::NotFound) => {
-                    shared.refuse(req, 404, "no such job", None);
+                (
+                    Then::Status(request_id) | Then::Cancel { request_id, .. },
+                    None,
+                    StoreResponse::NotFound,
+                ) => {
+                    context.refuse(request_id, 404, "no such job", None);
                 }
                 // A submission whose write got lost is best tried again.
-                (Then::Status(req) | Then::Resubmit(req) | Then::Refuse(req, _), None, _)
-                | (Then::Cancel { req, .. }, None, _) => {
-                    shared.busy(req, "the state service does not answer now");
+                (
+                    Then::Status(request_id) | Then::Resubmit(request_id) | Then::Refuse(request_id, _),
+                    None,
+                    _,
+                )
+                | (Then::Cancel { request_id, .. }, None, _) => {
+                    context.respond_unavailable(request_id, "the state service does not answer now");
                 }
             }
         }
@@ -418,45 +450,46 @@
 
     fn on_awaited(
         &mut self,
-        shared: &mut Shared,
+        context: &mut NodeContext,
         check: Check,
         awaited: &str,
         found: bool,
         result: &StoreResponse,
     ) {
         match result {
-            _ if found => self.check_awaited(shared, check),
+            _ if found => self.check_awaited(context, check),
             StoreResponse::NotFound => {
                 let why = format!("awaits {awaited}, which was never accepted");
                 let no = Refusal { status: 422, why, field: Some("awaits") };
-                self.read(shared, check.id, Then::Refuse(check.req, no));
+                self.read(context, check.id, Then::Refuse(check.request_id, no));
             }
-            _ => shared.busy(check.req, "the state service does not answer now"),
+            _ => context.respond_unavailable(check.request_id, "the state service does not answer now"),
         }
     }
 }
 
 /// Whether another cell's job, or what is left of it, has this id here.
-fn is_hosted(shared: &Shared, id: &str) -> bool {
-    shared.job_index(id).is_some_and(|ix| shared.job(ix).origin().is_some())
+fn is_hosted(context: &NodeContext, id: &str) -> bool {
+    context.job_index(id).is_some_and(|ix| context.job(ix).origin().is_some())
 }
 
 /// A job of this cell's users that is in memory.
-fn own_job(shared: &Shared, id: &str) -> Option<u32> {
-    shared.job_index(id).filter(|ix| shared.job(*ix).origin().is_none())
+fn own_job(context: &NodeContext, id: &str) -> Option<u32> {
+    context.job_index(id).filter(|ix| context.job(*ix).origin().is_none())
 }
 
 /// Cells that share load share one space of ids; a job of another cell is not accepted
 /// here as well.
-fn refuse_taken(shared: &mut Shared, req: u64) {
-    shared.refuse(req, 422, "the id belongs to a job of another cell", Some("name_id"));
+fn refuse_taken(context: &mut NodeContext, request_id: u64) {
+    context.refuse(request_id, 422, "the id belongs to a job of another cell", Some("name_id"));
 }
 
-fn answer_state(shared: &mut Shared, req: u64, status: u16, id: &str, state: JobState) {
-    let (done, running) = shared.counts.get(id).copied().unwrap_or((0, 0));
-    let tasks = shared.job_index(id).map(|ix| shared.job(ix).tasks);
+fn answer_state(context: &mut NodeContext, request_id: u64, status: u16, id: &str, state: JobState) {
+    let count = context.task_counts.get(id);
+    let (done, running) = count.map_or((0, 0), |count| (count.done, count.running));
+    let tasks = context.job_index(id).map(|ix| context.job(ix).tasks);
     // Its end may have become known while the answer was under way.
-    let state = match shared.job_index(id).map(|ix| shared.job(ix).state) {
+    let state = match context.job_index(id).map(|ix| context.job(ix).state) {
         Some(known) if state == JobState::Live => known,
         _ => state,
     };
@@ -466,15 +499,15 @@
         JobState::Done => ("done", tasks, Some(0)),
         JobState::Cancelled => ("withdrawn", Some(done), Some(0)),
     };
-    shared.answer_json(req, status, &StatusBody { id, state, done, running });
+    context.respond_json(request_id, status, &StatusBody { id, state, done, running });
 }
 
 /// Whether a submission that is not known can be accepted: what it awaits, or
 /// why not.
 fn check_new(
-    shared: &Shared,
+    context: &NodeContext,
     id: &str,
-    spec: &Spec,
+    spec: &JobSpec,
     awaits: Result<Vec<String>, Invalid>,
 ) -> Result<Vec<String>, Refusal> {
     let no = |status, why: String, field| Err(Refusal { status, why, field });
@@ -487,7 +520,7 @@
         // The time of acceptance is yet to come.
         value.len() + 16
     };
-    let most = shared.cfg.cluster.state.value_bytes();
+    let most = context.platform.cluster.state.value_bytes();
     if size(&awaits) > most {
         let body = size(&[]) > most;
         let field = if body { "body" } else { "awaits" };
@@ -496,7 +529,7 @@
     if awaits.iter().any(|a| a == id) {
         return no(422, "awaits the job itself".into(), Some("awaits"));
     }
-    if let Err(why) = can_run(shared, spec) {
+    if let Err(why) = can_run(context, spec) {
         return no(422, why, None);
     }
     Ok(awaits)
--- a/src/io/driver.rs
+++ b/src/io/driver.rs
@@ -58,13 +58,13 @@
 
     let (in_tx, mut in_rx) = unbounded_channel::<Input>();
     let (frame_tx, mut frame_rx) = channel(frames::RECEIVED);
-    let mut cell_rx = listen_to_cells(&cfg, &core.shared.op.cells).await?;
+    let mut cell_rx = listen_to_cells(&cfg, &core.context.operator.cells).await?;
     let (http_tx, http_rx) = channel::<server::Asked>(WAITING_REQUESTS);
     tokio::task::spawn_local(frames::listen(peer_listener, frame_tx, MOST_PEER_CONNECTIONS));
     // Our own calls and the other nodes must find a socket whatever users do.
     let limit = cfg.cluster.limits.max_connections;
     let users = limit - (limit / 6).clamp(16, 160);
-    let overload = &core.shared.op.overload;
+    let overload = &core.context.operator.overload;
     let pressure = overload.enabled.then(|| Pressure::new(overload, cfg.cluster.limits.cpu));
     let mut requests = serve(&cfg, overload.queue, users, pressure.clone(), (http_tx, http_rx)).await?;
 
@@ -75,13 +75,13 @@
         store: Client::new(cfg.endpoints.state, 8, most),
         cloud: Client::new(cfg.endpoints.cloud, 2, 8),
         links,
-        cells: cell_links(&core.shared.op.cells),
+        cells: cell_links(&core.context.operator.cells),
         tx: in_tx,
         direct: Rc::new(()),
         most_direct: (limit / 32).clamp(8, 64),
     };
     let mut answers: HashMap<u64, oneshot::Sender<Answer>> = HashMap::new();
-    let mut next_req = 1u64;
+    let mut next_request_id = 1u64;
     let small = cfg.cluster.limits.cpu < SMALL_SHARE;
     let pause = if small { TICK * 2 } else { TICK };
     let mut tick = std::pin::pin!(tokio::time::sleep(pause));
@@ -101,11 +101,11 @@
             Some(i) = in_rx.recv() => i,
             Some(frame) = frame_rx.recv() => Input::Frame(frame),
             Some(message) = cell_rx.recv() => Input::Cell(Box::new(message)),
-            Some((call, tx)) = requests.next() => {
-                let req = next_req;
-                next_req += 1;
-                answers.insert(req, tx);
-                Input::Http { req, call }
+            Some((request, tx)) = requests.next() => {
+                let request_id = next_request_id;
+                next_request_id += 1;
+                answers.insert(request_id, tx);
+                Input::Http { request_id, request }
             }
             _ = &mut tick => Input::Tick,
         };
@@ -114,8 +114,8 @@
         }
         for out in core.step(now(), wall_ms(), input) {
             match out {
-                Output::Answer { req, answer } => {
-                    if let Some(tx) = answers.remove(&req) {
+                Output::Answer { request_id, answer } => {
+                    if let Some(tx) = answers.remove(&request_id) {
                         let _ = tx.send(answer);
                     }
                 }
@@ -210,18 +210,18 @@
 
     fn carry_out(&self, out: Output) {
         match out {
-            Output::Store { call, op } => {
+            Output::Store { call, request } => {
                 let (client, tx) = (self.store.clone(), self.tx.clone());
                 tokio::task::spawn_local(async move {
-                    let result = store::call(&client, op).await;
-                    let _ = tx.send(Input::Store { call, result });
+                    let response = store::call(&client, request).await;
+                    let _ = tx.send(Input::Store { call, response });
                 });
             }
-            Output::Cloud { call, op } => {
+            Output::Cloud { call, request } => {
                 let (client, tx) = (self.cloud.clone(), self.tx.clone());
                 tokio::task::spawn_local(async move {
-                    let result = cloud::call(&client, op).await;
-                    let _ = tx.send(Input::Cloud { call, result });
+                    let response = cloud::call(&client, request).await;
+                    let _ = tx.send(Input::Cloud { call, response });
                 });
             }
             Output::Send { to, frame } => {
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -6,4 +6,5 @@
 pub mod config;
 pub mod core;
 pub mod io;
+pub mod model;
 pub mod wire;
--- /dev/null
+++ b/src/model/mod.rs
@@ -0,0 +1,19 @@
+//! The words that all other modules share: jobs, resources, machine types, shards and sets
+//! of tasks. Nothing here knows of the core, of wires or of input and output.
+
+mod job_order;
+mod job_spec;
+mod machine_type;
+mod resources;
+mod shard;
+mod task_set;
+
+pub use job_order::JobOrder;
+pub use job_spec::{JobSpec, Priority};
+pub use machine_type::{MachineType, merge_types};
+pub use resources::Resources;
+pub use shard::{Shard, shard_of, shards_of};
+pub use task_set::{TaskSet, split_task};
+
+/// Milliseconds, of the steady clock unless something else is said.
+pub type Ms = u64;
--- a/src/wire/cloud.rs
+++ b/src/wire/cloud.rs
@@ -1,5 +1,6 @@
 //! The cloud's interface.
 
+use crate::model::{self, Resources};
 use serde::{Deserialize, Serialize};
 
 /// Answer to a request for the catalog.
@@ -43,6 +44,21 @@
     pub zones: Vec<String>,
 }
 
+impl From<MachineType> for model::MachineType {
+    fn from(t: MachineType) -> Self {
+        model::MachineType {
+            capacity: Resources { cpus: t.cpus, gpus: t.gpus, mem: t.memory_gb },
+            name: t.name,
+            cache_gb: t.cache_gb,
+            fetch_gb_per_s: t.fetch_gb_per_s.max(0.01),
+            price: t.price,
+            spot_price: t.spot_price,
+            boot_s: t.boot_s,
+            zones: t.zones,
+        }
+    }
+}
+
 fn one() -> f64 {
     1.0
 }
--- a/src/wire/peer.rs
+++ b/src/wire/peer.rs
@@ -17,31 +17,60 @@
     /// Process of the sender.
     pub incarnation: u64,
     /// What it says.
-    pub body: PeerMessage,
+    pub message: PeerMessage,
 }
 
 /// What a frame says.
 #[derive(Debug, Clone, Encode, Decode, PartialEq)]
 pub enum PeerMessage {
     /// A sign of life.
-    PeerHeartbeat(PeerHeartbeat),
+    Heartbeat(PeerHeartbeat),
     /// From the leader to a holder.
     DesiredState(DesiredState),
     /// From a holder to the leader.
     ReportedState(ReportedState),
 }
 
-/// A sign of life, and whether the state service answers this node.
+/// Before the id of a job whose cancellation a heartbeat tells of, among the names of
+/// silent nodes.
+const CANCELLED_PREFIX: &str = "cancelled ";
+
+/// A sign of life, and whether the store answers this node.
 #[derive(Debug, Clone, Encode, Decode, PartialEq)]
 pub struct PeerHeartbeat {
-    /// Time since the state service last answered the sender.
+    /// Time since the store last answered the sender.
     pub store_silence_ms: u64,
-    /// Nodes whose frames no longer arrive here; and, as `cancelled run-...`, jobs
-    /// whose cancellation the sender has just confirmed. The version in production
-    /// looks for its own name here and for nothing else.
-    pub silent_peers: Vec<String>,
-    /// Tasks per live job, from the leader only, for the users' eyes.
-    pub counts: Vec<(String, u32, u32)>,
+    /// Names of silent nodes and, with a prefix, ids of cancelled jobs. The version in
+    /// production looks for its own name here and passes over all else, while a new kind
+    /// of message would close the connection.
+    names: Vec<String>,
+    /// Tasks (done, running) by live job, from the leader only, for users' questions.
+    pub task_counts: Vec<(String, u32, u32)>,
+}
+
+impl PeerHeartbeat {
+    /// A heartbeat that names the nodes whose frames no longer arrive and the jobs whose
+    /// cancellation the sender has just confirmed.
+    pub fn new(
+        store_silence_ms: u64,
+        silent_peers: Vec<String>,
+        cancelled_jobs: &[String],
+        task_counts: Vec<(String, u32, u32)>,
+    ) -> PeerHeartbeat {
+        let mut names = silent_peers;
+        names.extend(cancelled_jobs.iter().map(|id| format!("{CANCELLED_PREFIX}{id}")));
+        PeerHeartbeat { store_silence_ms, names, task_counts }
+    }
+
+    /// Whether the sender no longer receives the frames of this node.
+    pub fn names_as_silent(&self, node: &str) -> bool {
+        self.names.iter().any(|name| name == node)
+    }
+
+    /// Ids of the jobs whose cancellation the sender has confirmed.
+    pub fn cancelled_jobs(&self) -> impl Iterator<Item = &str> {
+        self.names.iter().filter_map(|name| name.strip_prefix(CANCELLED_PREFIX))
+    }
 }
 
 /// From the leader: everything that shall be in one block.
--- a/src/wire/store.rs
+++ b/src/wire/store.rs
@@ -2,7 +2,7 @@
 
 use super::encoded::Encoded;
 use super::users::ID_PREFIX;
-use crate::core::common::model::Spec;
+use crate::model::JobSpec;
 use serde::{Deserialize, Serialize};
 use woadlever_cells::record::{Forwarding, Origin};
 
@@ -77,7 +77,7 @@
     pub compares: Vec<Compare>,
     /// What is changed then.
     #[serde(rename = "apply")]
-    pub changes: Vec<Mutation>,
+    pub mutations: Vec<Mutation>,
 }
 
 /// Answer to a transaction that was carried out.
@@ -167,13 +167,13 @@
     #[serde(rename = "s")]
     pub state: JobState,
     #[serde(rename = "j", default, skip_serializing_if = "Option::is_none")]
-    spec: Option<Spec>,
+    spec: Option<JobSpec>,
     /// Number of tasks, kept for the answers about a final job.
     #[serde(rename = "n", default)]
     pub tasks: u32,
     /// The description of a job that awaits others.
     #[serde(rename = "p", default, skip_serializing_if = "Option::is_none")]
-    staged: Option<Spec>,
+    staged: Option<JobSpec>,
     /// What it awaits: the digits of the ids, apart by spaces.
     #[serde(rename = "w", default, skip_serializing_if = "String::is_empty")]
     awaits: String,
@@ -187,7 +187,7 @@
     /// The description of a job that another cell hosts: in a field of its own, so that
     /// a controller that knows nothing of cells finds nothing to start.
     #[serde(rename = "q", default, skip_serializing_if = "Option::is_none")]
-    away: Option<Spec>,
+    away: Option<JobSpec>,
     /// The cell that a hosted job belongs to.
     #[serde(rename = "o", default, skip_serializing_if = "Option::is_none")]
     pub origin: Option<Origin>,
@@ -199,7 +199,7 @@
 
 impl JobRecord {
     /// The record of a job that has just been accepted.
-    pub fn live(spec: Spec, awaits: &[String]) -> JobRecord {
+    pub fn live(spec: JobSpec, awaits: &[String]) -> JobRecord {
         let tasks = spec.tasks;
         let digits: Vec<&str> = awaits.iter().filter_map(|id| id.strip_prefix(ID_PREFIX)).collect();
         let (spec, staged) = if awaits.is_empty() { (Some(spec), None) } else { (None, Some(spec)) };
@@ -207,7 +207,7 @@
     }
 
     /// The record of a live job that is, or was, forwarded to another cell.
-    pub fn forwarded(spec: Spec, awaits: &[String], forwarding: Forwarding) -> JobRecord {
+    pub fn forwarded(spec: JobSpec, awaits: &[String], forwarding: Forwarding) -> JobRecord {
         let mut record = JobRecord::live(spec, awaits);
         if forwarding.is_away() {
             record.away = record.spec.take().or(record.staged.take());
@@ -217,7 +217,7 @@
     }
 
     /// The record, in its host cell, of a live job of another cell.
-    pub fn hosted(spec: Spec, origin: Origin) -> JobRecord {
+    pub fn hosted(spec: JobSpec, origin: Origin) -> JobRecord {
         JobRecord::live(spec, &[]).with_origin(Some(origin))
     }
 
@@ -256,7 +256,7 @@
     }
 
     /// The description, if the job is live, and the ids of what it awaits.
-    pub fn into_parts(self) -> (Option<Spec>, Vec<String>) {
+    pub fn into_parts(self) -> (Option<JobSpec>, Vec<String>) {
         let ids = self.awaits.split_ascii_whitespace().map(|d| format!("{ID_PREFIX}{d}")).collect();
         (self.spec.or(self.staged).or(self.away), ids)
     }
--- a/src/wire/users.rs
+++ b/src/wire/users.rs
@@ -1,7 +1,7 @@
 //! Submissions of users: read field by field, so that an error names the
 //! field, and the answers to them.
 
-use crate::core::common::model::{Priority, Spec};
+use crate::model::{JobSpec, Priority};
 use serde::Serialize;
 use serde_json::{Map, Value};
 use std::collections::HashSet;
@@ -105,7 +105,7 @@
     /// Id of the job.
     pub id: String,
     /// Description of the job.
-    pub spec: Spec,
+    pub spec: JobSpec,
     /// Each job once, in the order named. What is wrong with the list counts
     /// only once the job is known to be new: a repeated submission of an
     /// accepted job gets its state, whatever else it says.
@@ -202,7 +202,7 @@
         None => None,
         Some(_) => Some(f.number("due_s", 0.0)?),
     };
-    let spec = Spec {
+    let spec = JobSpec {
         class: f.text("jobclass")?.to_string(),
         team: f.text("crew")?.to_string(),
         priority,
@@ -221,7 +221,7 @@
         checkpoint_s: f.number("bookmark_s", 0.0)?,
         save_s: f.number("stow_s", 0.0)?,
         deadline_s: due_s,
-        at_ms: 0,
+        accepted_at_ms: 0,
     };
     Ok(Submission { id: id.to_string(), spec, awaits: awaited(f.get("awaits")) })
 }
--- a/tests/combined_faults.rs
+++ b/tests/combined_faults.rs
@@ -126,7 +126,7 @@
 fn nothing_but_an_answered_read_moves_the_proof() {
     let mut w = busy(504, 4);
     let node = w.leader().unwrap();
-    let proof = |w: &World| w.nodes[node].as_ref().unwrap().0.shared.control_lease_renewed_at;
+    let proof = |w: &World| w.nodes[node].as_ref().unwrap().0.context.control_lease.renewed_at();
     w.run(1_000);
     w.state.refuses.insert(node);
     w.run(100);
@@ -149,7 +149,7 @@
     while proof(&w) == before {
         w.run(25);
     }
-    let age = w.nodes[node].as_ref().unwrap().0.shared.now - proof(&w).unwrap();
+    let age = w.nodes[node].as_ref().unwrap().0.context.clock.now() - proof(&w).unwrap();
     assert!(age >= 20_000, "{age}");
     w.slow_watch.clear();
     w.run(25_000);
--- a/tests/final_jobs.rs
+++ b/tests/final_jobs.rs
@@ -11,7 +11,7 @@
 use woadlever::config::Operator;
 use woadlever::core::HttpRequest;
 use woadlever::core::common::job_table::{FINAL_JOBS_BATCH, MAX_FINAL_JOBS};
-use woadlever::core::common::shared::{RecordSource, Shared};
+use woadlever::core::common::{context::NodeContext, job_records::RecordSource};
 use woadlever::wire::store::{JobRecord, JobState};
 use woadlever::wire::workers::{HeartbeatTask, TaskState};
 use woadlever_cells::record::Origin;
@@ -37,7 +37,7 @@
 }
 
 fn jobs_in_memory(world: &World, node: usize) -> usize {
-    world.nodes[node].as_ref().map_or(0, |(core, _)| core.shared.jobs.len())
+    world.nodes[node].as_ref().map_or(0, |(core, _)| core.context.jobs.len())
 }
 
 fn crash_all(world: &mut World, back_ms: u64) {
@@ -320,8 +320,8 @@
     world.fair();
 }
 
-fn shared() -> Shared {
-    Shared::new(Arc::new(platform(0, 3)), Operator::default(), 1, 1, 1_000)
+fn context() -> NodeContext {
+    NodeContext::new(Arc::new(platform(0, 3)), Operator::default(), 1, 1, 1_000)
 }
 
 /// As accepted, with a description.
@@ -331,103 +331,103 @@
     JobRecord::live(submission.spec, &[])
 }
 
-fn end_jobs(shared: &mut Shared, first: u32, count: usize, version: u64) {
+fn end_jobs(context: &mut NodeContext, first: u32, count: usize, version: u64) {
     for number in first..first + count as u32 {
-        shared.apply_job_record(&id(number), JobRecord::done(2, 1), version, RecordSource::Watch);
+        context.apply_job_record(&id(number), JobRecord::done(2, 1), version, RecordSource::Watch);
     }
-    shared.jobs_changed.clear();
-    shared.newly_cancelled.clear();
+    context.jobs.clear_changed();
+    context.jobs.take_newly_cancelled();
 }
 
 #[test]
 fn a_dropped_job_is_not_revived_by_an_older_record() {
-    let mut shared = shared();
-    shared.watched_revision = Some(10);
-    assert!(shared.apply_job_record(&id(1), live_record(), 10, RecordSource::Watch));
-    assert!(shared.apply_job_record(&id(1), JobRecord::done(2, 1), 20, RecordSource::Watch));
-    end_jobs(&mut shared, 1_000, MAX_FINAL_JOBS + FINAL_JOBS_BATCH, 30);
-    shared.watched_revision = Some(100);
-    shared.drop_final_jobs(|_| {});
-    assert_eq!(shared.job_index(&id(1)), None, "the oldest is dropped");
-    assert_eq!(shared.jobs.len(), MAX_FINAL_JOBS);
+    let mut context = context();
+    context.jobs.set_watched_revision(Some(10));
+    assert!(context.apply_job_record(&id(1), live_record(), 10, RecordSource::Watch));
+    assert!(context.apply_job_record(&id(1), JobRecord::done(2, 1), 20, RecordSource::Watch));
+    end_jobs(&mut context, 1_000, MAX_FINAL_JOBS + FINAL_JOBS_BATCH, 30);
+    context.jobs.set_watched_revision(Some(100));
+    context.drop_final_jobs(|_| {});
+    assert_eq!(context.job_index(&id(1)), None, "the oldest is dropped");
+    assert_eq!(context.jobs.len(), MAX_FINAL_JOBS);
     // A read that was under way for long, and a page of a full read.
-    assert!(!shared.apply_job_record(&id(1), live_record(), 10, RecordSource::Single));
-    shared.watched_revision = None;
-    assert!(!shared.apply_job_record(&id(1), live_record(), 10, RecordSource::Single));
+    assert!(!context.apply_job_record(&id(1), live_record(), 10, RecordSource::Single));
+    context.jobs.set_watched_revision(None);
+    assert!(!context.apply_job_record(&id(1), live_record(), 10, RecordSource::Single));
     let page = RecordSource::Page { first_revision: 100 };
-    assert!(shared.apply_job_record(&id(1), JobRecord::done(2, 1), 20, page));
-    assert_eq!(shared.job_index(&id(1)), None);
+    assert!(context.apply_job_record(&id(1), JobRecord::done(2, 1), 20, page));
+    assert_eq!(context.job_index(&id(1)), None);
     // One that has just been accepted is newer than what the watch has told.
-    shared.watched_revision = Some(100);
-    assert!(shared.apply_job_record(&id(2), live_record(), 101, RecordSource::Single));
-    assert!(shared.job_index(&id(2)).is_some());
+    context.jobs.set_watched_revision(Some(100));
+    assert!(context.apply_job_record(&id(2), live_record(), 101, RecordSource::Single));
+    assert!(context.job_index(&id(2)).is_some());
 }
 
 /// The watch has still to tell that the job was live: dropped before, it would be
 /// taken for a new one.
 #[test]
 fn a_final_job_newer_than_the_watch_is_kept() {
-    let mut shared = shared();
-    shared.watched_revision = Some(100);
-    assert!(shared.apply_job_record(&id(1), JobRecord::done(2, 1), 150, RecordSource::Single));
-    end_jobs(&mut shared, 1_000, MAX_FINAL_JOBS + FINAL_JOBS_BATCH, 30);
-    shared.drop_final_jobs(|_| {});
-    assert!(shared.apply_job_record(&id(1), live_record(), 140, RecordSource::Watch));
-    let index = shared.job_index(&id(1)).expect("still there");
-    assert_eq!(shared.job(index).state, JobState::Done);
+    let mut context = context();
+    context.jobs.set_watched_revision(Some(100));
+    assert!(context.apply_job_record(&id(1), JobRecord::done(2, 1), 150, RecordSource::Single));
+    end_jobs(&mut context, 1_000, MAX_FINAL_JOBS + FINAL_JOBS_BATCH, 30);
+    context.drop_final_jobs(|_| {});
+    assert!(context.apply_job_record(&id(1), live_record(), 140, RecordSource::Watch));
+    let index = context.job_index(&id(1)).expect("still there");
+    assert_eq!(context.job(index).state, JobState::Done);
 }
 
 #[test]
 fn jobs_in_use_are_kept_and_an_index_is_never_used_again() {
-    let mut shared = shared();
-    shared.watched_revision = Some(100);
-    end_jobs(&mut shared, 1, 2, 20);
-    let (in_use, other) = (shared.job_index(&id(1)).unwrap(), shared.job_index(&id(2)).unwrap());
-    end_jobs(&mut shared, 1_000, MAX_FINAL_JOBS + FINAL_JOBS_BATCH, 30);
-    shared.drop_final_jobs(|indices| {
+    let mut context = context();
+    context.jobs.set_watched_revision(Some(100));
+    end_jobs(&mut context, 1, 2, 20);
+    let (in_use, other) = (context.job_index(&id(1)).unwrap(), context.job_index(&id(2)).unwrap());
+    end_jobs(&mut context, 1_000, MAX_FINAL_JOBS + FINAL_JOBS_BATCH, 30);
+    context.drop_final_jobs(|indices| {
         indices.insert(in_use);
     });
-    assert_eq!(shared.job_index(&id(1)), Some(in_use));
-    assert_eq!(shared.job_index(&id(2)), None);
-    assert!(shared.must_stop(other), "who kept the index starts nothing");
-    assert!(shared.apply_job_record(&id(2), JobRecord::done(2, 1), 20, RecordSource::Single));
-    assert_ne!(shared.job_index(&id(2)), Some(other));
+    assert_eq!(context.job_index(&id(1)), Some(in_use));
+    assert_eq!(context.job_index(&id(2)), None);
+    assert!(context.must_stop(other), "who kept the index starts nothing");
+    assert!(context.apply_job_record(&id(2), JobRecord::done(2, 1), 20, RecordSource::Single));
+    assert_ne!(context.job_index(&id(2)), Some(other));
 }
 
 /// The tombstone of another cell's job is the one final state that another can follow, and
 /// only if its cell offers it anew.
 #[test]
 fn a_job_that_another_cell_offers_again_is_live_and_stays_in_memory() {
-    let mut shared = shared();
-    shared.watched_revision = Some(100);
+    let mut context = context();
+    context.jobs.set_watched_revision(Some(100));
     let origin = |epoch| Origin { cell: "a".into(), epoch, done: String::new() };
     let (spec, _) = live_record().into_parts();
     let hosted = |epoch| JobRecord::hosted(spec.clone().unwrap(), origin(epoch));
-    assert!(shared.apply_job_record(
+    assert!(context.apply_job_record(
         &id(1),
         JobRecord::tombstone(0, origin(5)),
         20,
         RecordSource::Single
     ));
-    let index = shared.job_index(&id(1)).unwrap();
-    assert!(shared.apply_job_record(&id(1), hosted(5), 30, RecordSource::Watch));
-    assert_eq!(shared.job(index).state, JobState::Cancelled, "the same offer, late");
-    assert!(shared.apply_job_record(&id(1), hosted(7), 40, RecordSource::Watch));
-    let job = shared.job(index);
+    let index = context.job_index(&id(1)).unwrap();
+    assert!(context.apply_job_record(&id(1), hosted(5), 30, RecordSource::Watch));
+    assert_eq!(context.job(index).state, JobState::Cancelled, "the same offer, late");
+    assert!(context.apply_job_record(&id(1), hosted(7), 40, RecordSource::Watch));
+    let job = context.job(index);
     assert_eq!((job.state, job.tasks, job.origin()), (JobState::Live, 2, Some(&origin(7))));
-    end_jobs(&mut shared, 1_000, MAX_FINAL_JOBS + FINAL_JOBS_BATCH, 50);
-    shared.drop_final_jobs(|_| {});
-    shared.now += 1_000_000;
-    shared.drop_final_specs();
-    assert_eq!(shared.job_index(&id(1)), Some(index));
-    assert!(shared.job(index).spec.is_some());
+    end_jobs(&mut context, 1_000, MAX_FINAL_JOBS + FINAL_JOBS_BATCH, 50);
+    context.drop_final_jobs(|_| {});
+    context.clock.advance(context.clock.now() + 1_000_000, 0);
+    context.drop_final_specs();
+    assert_eq!(context.job_index(&id(1)), Some(index));
+    assert!(context.job(index).spec.is_some());
     let done = JobRecord::done(2, 1).with_origin(Some(origin(5)));
-    assert!(shared.apply_job_record(&id(3), done, 60, RecordSource::Single));
-    assert!(shared.apply_job_record(&id(3), hosted(7), 70, RecordSource::Watch));
-    let ended = shared.job_index(&id(3)).unwrap();
-    assert_eq!(shared.job(ended).state, JobState::Done, "what is done stays done");
-    assert!(shared.apply_job_record(&id(2), JobRecord::cancelled(2), 60, RecordSource::Single));
-    assert!(shared.apply_job_record(&id(2), live_record(), 70, RecordSource::Watch));
-    let own = shared.job_index(&id(2)).unwrap();
-    assert_eq!(shared.job(own).state, JobState::Cancelled, "a job of this cell stays cancelled");
+    assert!(context.apply_job_record(&id(3), done, 60, RecordSource::Single));
+    assert!(context.apply_job_record(&id(3), hosted(7), 70, RecordSource::Watch));
+    let ended = context.job_index(&id(3)).unwrap();
+    assert_eq!(context.job(ended).state, JobState::Done, "what is done stays done");
+    assert!(context.apply_job_record(&id(2), JobRecord::cancelled(2), 60, RecordSource::Single));
+    assert!(context.apply_job_record(&id(2), live_record(), 70, RecordSource::Watch));
+    let own = context.job_index(&id(2)).unwrap();
+    assert_eq!(context.job(own).state, JobState::Cancelled, "a job of this cell stays cancelled");
 }
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -376,19 +376,19 @@
         }
         for out in outputs {
             match out {
-                Output::Answer { req, answer } => {
-                    if let Some((worker, id)) = self.worker_reqs.remove(&(node, req)) {
+                Output::Answer { request_id, answer } => {
+                    if let Some((worker, id)) = self.worker_reqs.remove(&(node, request_id)) {
                         let d = 1 + self.rng.random_range(0..3);
                         if !self.lose_replies.contains(&worker) {
                             self.push(d, Ev::Reply { worker, node, id, answer });
                         }
                     } else {
-                        self.push(1, Ev::User { req, answer });
+                        self.push(1, Ev::User { req: request_id, answer });
                     }
                 }
-                Output::Store { call, op } => {
-                    if let Some(fate) = self.fate_of(node, &op) {
-                        let StoreRequest::CompareAndSwap(t) = op else { continue };
+                Output::Store { call, request } => {
+                    if let Some(fate) = self.fate_of(node, &request) {
+                        let StoreRequest::CompareAndSwap(t) = request else { continue };
                         if fate == Fate::Late {
                             self.under_way.push(t);
                         } else if !self.state.down {
@@ -399,11 +399,11 @@
                         continue;
                     }
                     let silent = self.lossy > 0.0
-                        && matches!(op, StoreRequest::CompareAndSwap(_))
+                        && matches!(request, StoreRequest::CompareAndSwap(_))
                         && self.rng.random_range(0.0..1.0) < self.lossy;
                     // A lost call may still run, seconds later.
                     let mut slow = self.slow.get(&node).copied().unwrap_or(0);
-                    if matches!(op, StoreRequest::CompareAndSwap(_)) {
+                    if matches!(request, StoreRequest::CompareAndSwap(_)) {
                         slow += self.slow_txn.get(&node).copied().unwrap_or(0);
                     }
                     let late = slow > 0;
@@ -414,9 +414,11 @@
                             Ev::StateRes { node, inc, call, result: StoreResponse::OutcomeUnknown },
                         );
                     }
-                    self.push(d, Ev::StateReq { node, inc, call, op, silent, late });
+                    self.push(d, Ev::StateReq { node, inc, call, op: request, silent, late });
+                }
+                Output::Cloud { call, request } => {
+                    self.push(50, Ev::CloudReq { node, inc, call, op: request })
                 }
-                Output::Cloud { call, op } => self.push(50, Ev::CloudReq { node, inc, call, op }),
                 Output::Send { to, frame } => {
                     let to: usize = to[1..].parse().unwrap();
                     if !self.cut(node, to)
@@ -449,7 +451,7 @@
         let touches = |c: &Mutation| match c {
             Mutation::Put { key, .. } | Mutation::Delete { key } => key.starts_with(prefix.as_str()),
         };
-        let found = (*at == node && t.changes.iter().any(touches)).then_some(*fate);
+        let found = (*at == node && t.mutations.iter().any(touches)).then_some(*fate);
         self.picked += usize::from(found.is_some());
         found
     }
@@ -470,9 +472,9 @@
         let mut nodes: Vec<(String, String)> =
             cfg.peers.iter().map(|p| (p.node.clone(), p.zone.clone())).collect();
         nodes.push((cfg.node.clone(), cfg.zone.clone()));
-        let shards = woadlever::core::common::model::shards_of(&cfg.cluster.zones, &nodes);
+        let shards = woadlever::model::shards_of(&cfg.cluster.zones, &nodes);
         let w = &self.workers[worker];
-        let b = woadlever::core::common::model::shard_of(&shards, &w.zone, &w.name).unwrap();
+        let b = woadlever::model::shard_of(&shards, &w.zone, &w.name).unwrap();
         let rec = &self.state.keys[&format!("w/block/{}", shards[b as usize].name)].0;
         rec["node"].as_str().unwrap()[1..].parse().unwrap()
     }
@@ -549,7 +551,7 @@
             }
             Ev::StateRes { node, inc, call, result } => {
                 if self.nodes[node].as_ref().is_some_and(|n| n.1 == inc) {
-                    self.step(node, Input::Store { call, result });
+                    self.step(node, Input::Store { call, response: result });
                 }
             }
             Ev::CloudReq { node, inc, call, op } => {
@@ -558,7 +560,7 @@
             }
             Ev::CloudRes { node, inc, call, result } => {
                 if self.nodes[node].as_ref().is_some_and(|n| n.1 == inc) {
-                    self.step(node, Input::Cloud { call, result });
+                    self.step(node, Input::Cloud { call, response: result });
                 }
             }
             Ev::Frame { to, inc, frame } => {
@@ -573,7 +575,10 @@
                 let req = self.next_req;
                 self.next_req += 1;
                 self.worker_reqs.insert((node, req), (worker, id));
-                self.step(node, Input::Http { req, call: HttpRequest::WorkerHeartbeat(heartbeat) });
+                self.step(
+                    node,
+                    Input::Http { request_id: req, request: HttpRequest::WorkerHeartbeat(heartbeat) },
+                );
             }
             Ev::Reply { worker, id, node, answer } => {
                 let wait = self.workers[worker].hung_until.saturating_sub(self.now);
--- a/tests/support/recorder.rs
+++ b/tests/support/recorder.rs
@@ -61,8 +61,8 @@
         Output::Answer { answer, .. } => {
             ("answer", json(&(answer.status, &answer.body, answer.retry_after_s)))
         }
-        Output::Store { op, .. } => encode_store_request(op),
-        Output::Cloud { op, .. } => encode_cloud_request(op),
+        Output::Store { request, .. } => encode_store_request(request),
+        Output::Cloud { request, .. } => encode_cloud_request(request),
         Output::Send { to, frame } => ("frame", with_recipient(to, bitcode::encode(frame))),
         Output::DirectCommands { addr, commands } => ("direct", with_recipient(addr, json(commands))),
         Output::SendCell { cell, message } => {
--- a/tests/support/state_service.rs
+++ b/tests/support/state_service.rs
@@ -45,7 +45,7 @@
         self.tokens.0 = (self.tokens.0 + rps * passed).min(rps);
         self.tokens.1 = (self.tokens.1 + writes * passed).min(writes);
         self.tokens.2 = now;
-        let n = if let StoreRequest::CompareAndSwap(t) = op { t.changes.len() as f64 } else { 0.0 };
+        let n = if let StoreRequest::CompareAndSwap(t) = op { t.mutations.len() as f64 } else { 0.0 };
         if self.tokens.0 < 1.0 || self.tokens.1 < n {
             self.refused += 1;
             return true;
@@ -109,7 +109,7 @@
             .filter(|c| self.keys.get(&c.key).map_or(0, |v| v.1) != c.version)
             .map(|c| c.key.clone())
             .collect();
-        for c in &t.changes {
+        for c in &t.mutations {
             if let Mutation::Put { lease: Some(l), .. } = c
                 && !self.leases.contains_key(l)
             {
@@ -126,19 +126,19 @@
                 Mutation::Put { value, .. } => value.len() as f64 > kb * 1024.0,
                 Mutation::Delete { .. } => false,
             };
-            if let Some(Mutation::Put { key, .. }) = t.changes.iter().find(too_long) {
+            if let Some(Mutation::Put { key, .. }) = t.mutations.iter().find(too_long) {
                 self.rejected.push(key.clone());
                 return StoreResponse::Malformed;
             }
             assert!(
-                t.changes.len() <= ops && t.compares.len() <= 4 * ops,
+                t.mutations.len() <= ops && t.compares.len() <= 4 * ops,
                 "transaction over its limits"
             );
         }
-        assert!(t.changes.len() <= 12 && t.compares.len() <= 48, "transaction over its limits");
+        assert!(t.mutations.len() <= 12 && t.compares.len() <= 48, "transaction over its limits");
         self.revision += 1;
-        self.writes += t.changes.len() as u64;
-        for c in &t.changes {
+        self.writes += t.mutations.len() as u64;
+        for c in &t.mutations {
             match c {
                 Mutation::Put { key, value, lease } => {
                     assert!(value.len() <= 8 << 10, "value over its limit: {key}");
--- a/tests/support/users.rs
+++ b/tests/support/users.rs
@@ -11,7 +11,7 @@
         let req = self.next_req;
         self.next_req += 1;
         self.reqs.insert(req, (self.now, node));
-        self.step(node, Input::Http { req, call });
+        self.step(node, Input::Http { request_id: req, request: call });
         req
     }
 
@@ -70,6 +70,9 @@
     pub fn late_report(&mut self, node: usize, heartbeat: WorkerHeartbeat) {
         let req = self.next_req;
         self.next_req += 1;
-        self.step(node, Input::Http { req, call: HttpRequest::WorkerHeartbeat(Box::new(heartbeat)) });
+        self.step(
+            node,
+            Input::Http { request_id: req, request: HttpRequest::WorkerHeartbeat(Box::new(heartbeat)) },
+        );
     }
 }
--- a/tests/units.rs
+++ b/tests/units.rs
@@ -5,10 +5,10 @@
 use serde_json::json;
 use std::collections::BTreeMap;
 use woadlever::config::{Operator, Platform};
-use woadlever::core::common::model::{Resources, TaskSet, shard_of, shards_of, split_task};
 use woadlever::core::common::window::{Booking, project, remaining_s};
 use woadlever::core::forecast::History;
 use woadlever::io::frames::Payload;
+use woadlever::model::{Resources, TaskSet, shard_of, shards_of, split_task};
 use woadlever::wire::encoded::Encoded;
 use woadlever::wire::peer::{Frame, PeerHeartbeat, PeerMessage};
 use woadlever::wire::store::{
@@ -206,11 +206,12 @@
     let f = Frame {
         from: "n1".into(),
         incarnation: 9,
-        body: PeerMessage::PeerHeartbeat(PeerHeartbeat {
-            store_silence_ms: 12,
-            silent_peers: Vec::new(),
-            counts: vec![("run-000001".into(), 1, 2)],
-        }),
+        message: PeerMessage::Heartbeat(PeerHeartbeat::new(
+            12,
+            Vec::new(),
+            &[],
+            vec![("run-000001".into(), 1, 2)],
+        )),
     };
     let bytes = bitcode::encode(&f);
     assert_eq!(bitcode::decode::<Frame>(&bytes).unwrap(), f);
@@ -230,7 +231,7 @@
 }
 
 fn booking(ran: u64, expected: u64) -> Booking {
-    Booking { need: Resources { cpus: 4.0, gpus: 0.0, mem: 1.0 }, ran_ms: ran, expected_ms: expected }
+    Booking { demand: Resources { cpus: 4.0, gpus: 0.0, mem: 1.0 }, ran_ms: ran, expected_ms: expected }
 }
 
 #[test]
@@ -240,16 +241,16 @@
     // Past its estimate: extended by a fifth of it, again and again.
     assert!((remaining_s(&op, &booking(10_500, 10_000)) - 1.5).abs() < 1e-9);
     assert!((remaining_s(&op, &booking(12_500, 10_000)) - 1.5).abs() < 1e-9);
-    let room = Resources { cpus: 8.0, gpus: 0.0, mem: 64.0 };
+    let capacity = Resources { cpus: 8.0, gpus: 0.0, mem: 64.0 };
     let none = Resources::default();
     let full = [booking(0, 9_000), booking(0, 9_000)];
-    let p = project(&op, &room, &full, &none);
+    let p = project(&op, &capacity, &full, &none);
     assert_eq!((p.peak, p.overloaded), (1.0, false), "9 of 100 steps are no overload");
     let longer = [booking(0, 11_000), booking(0, 11_000)];
-    assert!(project(&op, &room, &longer, &none).overloaded);
+    assert!(project(&op, &capacity, &longer, &none).overloaded);
     let waiting = Resources { cpus: 4.0, gpus: 0.0, mem: 1.0 };
-    assert!(project(&op, &room, &[booking(0, 50_000)], &waiting).overloaded);
-    assert!(!project(&op, &room, &[], &waiting).overloaded);
+    assert!(project(&op, &capacity, &[booking(0, 50_000)], &waiting).overloaded);
+    assert!(!project(&op, &capacity, &[], &waiting).overloaded);
 }
 
 /// A rise at the start of a day is no season: it must not come back as a
@@ -303,7 +304,7 @@
     assert_eq!(watch.events[1].delete.as_deref(), Some("c/d"));
     let txn = CompareAndSwap {
         compares: vec![Compare { key: "a/b".into(), version: 3 }],
-        changes: vec![
+        mutations: vec![
             Mutation::Put { key: "a/b".into(), value: Encoded::new(&json!({"x": 1})), lease: Some(7) },
             Mutation::Put { key: "a/c".into(), value: Encoded::new("text"), lease: None },
             Mutation::Delete { key: "c/d".into() },
