--- a/crates/recovery/src/ledger.rs
+++ b/crates/recovery/src/ledger.rs
@@ -38,8 +38,8 @@
 /// Of several attempts at each task only the newest can still matter: it was granted
 /// after the others were proven gone. The rows are (job, task, attempt) in ascending
 /// order; the result names the attempts that are superseded.
-pub fn superseded(rows: &[(u32, u32, u64)]) -> Vec<u64> {
-    let same_task = |a: &(u32, u32, u64), b: &(u32, u32, u64)| (a.0, a.1) == (b.0, b.1);
+pub fn superseded<Job: PartialEq>(rows: &[(Job, u32, u64)]) -> Vec<u64> {
+    let same_task = |a: &(Job, u32, u64), b: &(Job, u32, u64)| a.0 == b.0 && a.1 == b.1;
     rows.windows(2)
         .filter_map(|pair| match pair {
             [older, newer] if same_task(older, newer) => Some(older.2),
--- a/src/core/common/context.rs
+++ b/src/core/common/context.rs
@@ -18,7 +18,7 @@
 use super::task_counts::{TaskCount, TaskCounts};
 use crate::config::{Operator, Platform};
 use crate::core::{Answer, CloudRequest, Output, StoreCallOwner, StoreRequest, StoreResponse};
-use crate::model::{Ms, shards_of};
+use crate::model::{JobIndex, Ms, shards_of};
 use crate::wire::peer::{Frame, PeerHeartbeat, PeerMessage};
 use crate::wire::store::{JobRecord, JobState};
 use crate::wire::users::ErrorBody;
@@ -318,18 +318,18 @@
     // ---- jobs ----
 
     /// The job with this index; one that has been dropped looks cancelled.
-    pub fn job(&self, index: u32) -> &Job {
+    pub fn job(&self, index: JobIndex) -> &Job {
         self.jobs.get(index)
     }
 
     /// The job's index, if its record has been read and is kept.
-    pub fn job_index(&self, id: &str) -> Option<u32> {
+    pub fn job_index(&self, id: &str) -> Option<JobIndex> {
         self.jobs.index_of(id)
     }
 
     /// The index of a job that a record or a frame names. If it is not in memory,
     /// its own record is read by itself.
-    pub(crate) fn job_index_or_lookup(&mut self, id: &str) -> u32 {
+    pub(crate) fn job_index_or_lookup(&mut self, id: &str) -> JobIndex {
         self.jobs.index_or_lookup(id, self.clock.now())
     }
 
@@ -348,7 +348,7 @@
     /// Whether no task of the job may be told to run or to go on: its cancellation is
     /// confirmed, as far as is known here, or it belongs to another cell, whose lease has
     /// ended.
-    pub fn must_stop(&self, index: u32) -> bool {
+    pub fn must_stop(&self, index: JobIndex) -> bool {
         let job = self.job(index);
         let is_cancelled = job.state == JobState::Cancelled || job.cancellation_noticed;
         let is_paused = |origin: &Origin| !self.cell_leases.is_valid(&origin.cell, self.clock.wall());
@@ -357,7 +357,7 @@
 
     /// Drops the oldest final jobs if there are too many. `in_use` adds the jobs that a
     /// role refers to.
-    pub fn drop_final_jobs(&mut self, in_use: impl FnOnce(&mut FxHashSet<u32>)) {
+    pub fn drop_final_jobs(&mut self, in_use: impl FnOnce(&mut FxHashSet<JobIndex>)) {
         self.jobs.drop_final_jobs(self.clock.now(), in_use);
     }
 
--- a/src/core/common/dependencies.rs
+++ b/src/core/common/dependencies.rs
@@ -2,16 +2,16 @@
 //! along its edges with each record, never by a look at all jobs.
 
 use super::job_table::JobTable;
-use crate::model::Ms;
+use crate::model::{JobIndex, Ms};
 use crate::wire::store::JobState;
 
 /// A job's place in the dependency graph.
 #[derive(Debug, Default)]
 pub struct DependencyLinks {
     /// Jobs that have to be done before it.
-    pub dependencies: Vec<u32>,
+    pub dependencies: Vec<JobIndex>,
     /// Live jobs that depend on it.
-    pub dependents: Vec<u32>,
+    pub dependents: Vec<JobIndex>,
     /// Dependencies that are not on record as done.
     pub unfinished_dependencies: u32,
     /// One before it is cancelled, directly or through others, and so will it be.
@@ -22,7 +22,7 @@
 
 impl JobTable {
     /// Links a live job, seen for the first time, to its dependencies.
-    pub(crate) fn link_dependencies(&mut self, index: u32, dependencies: &[String], now: Ms) {
+    pub(crate) fn link_dependencies(&mut self, index: JobIndex, dependencies: &[String], now: Ms) {
         let mut has_cancelled_dependency = false;
         for id in dependencies {
             let dependency_index = self.index_or_lookup(id, now);
@@ -43,7 +43,7 @@
     }
 
     /// Passes a job's end on to those that depend on it.
-    pub(crate) fn propagate_end(&mut self, index: u32) {
+    pub(crate) fn propagate_end(&mut self, index: JobIndex) {
         let Some(job) = self.get_mut(index) else { return };
         if job.state == JobState::Live {
             return;
@@ -60,7 +60,7 @@
         }
     }
 
-    fn count_finished_dependency(&mut self, index: u32) {
+    fn count_finished_dependency(&mut self, index: JobIndex) {
         let Some(job) = self.get_mut(index) else { return };
         job.links.unfinished_dependencies = job.links.unfinished_dependencies.saturating_sub(1);
         if job.links.unfinished_dependencies == 0 {
@@ -68,7 +68,7 @@
         }
     }
 
-    fn propagate_cancellation(&mut self, first: u32) {
+    fn propagate_cancellation(&mut self, first: JobIndex) {
         let mut pending = vec![first];
         while let Some(index) = pending.pop() {
             let Some(job) = self.get_mut(index) else { continue };
@@ -83,7 +83,7 @@
     /// Time of day since when the job could have been started: its acceptance, or the end
     /// of its last dependency. All from records, so that every leader counts from the same
     /// moment.
-    pub fn ready_at_ms(&self, index: u32) -> u64 {
+    pub fn ready_at_ms(&self, index: JobIndex) -> u64 {
         let job = self.get(index);
         let accepted_at = job.spec.as_ref().map_or(0, |spec| spec.accepted_at_ms);
         let ends =
--- a/src/core/common/job_records.rs
+++ b/src/core/common/job_records.rs
@@ -2,7 +2,7 @@
 //! the jobs in memory.
 
 use super::job_table::{CellLink, JobTable};
-use crate::model::Ms;
+use crate::model::{JobIndex, Ms};
 use crate::wire::store::{JobRecord, JobState};
 use crate::wire::users::valid_id;
 use rustc_hash::FxHashSet;
@@ -133,12 +133,12 @@
 
     /// Drops the oldest final jobs if there are too many. `in_use` adds the jobs
     /// that a role refers to.
-    pub(crate) fn drop_final_jobs(&mut self, now: Ms, in_use: impl FnOnce(&mut FxHashSet<u32>)) {
+    pub(crate) fn drop_final_jobs(&mut self, now: Ms, in_use: impl FnOnce(&mut FxHashSet<JobIndex>)) {
         let Some(watched_revision) = self.watched_revision() else { return };
         if !self.is_over_limit() || !self.take_drop_due(now, DROP_GAP_MS) {
             return;
         }
-        let mut indices: FxHashSet<u32> = FxHashSet::default();
+        let mut indices: FxHashSet<JobIndex> = FxHashSet::default();
         in_use(&mut indices);
         self.add_referenced(&mut indices);
         self.drop_final(&indices, watched_revision);
--- a/src/core/common/job_table.rs
+++ b/src/core/common/job_table.rs
@@ -10,7 +10,7 @@
 //! nothing is ever started.
 
 use super::dependencies::DependencyLinks;
-use crate::model::{JobSpec, Ms};
+use crate::model::{JobIndex, JobSpec, Ms};
 use crate::wire::store::{JobRecord, JobState};
 use rustc_hash::{FxHashMap, FxHashSet};
 use std::collections::{BTreeSet, HashMap, VecDeque};
@@ -124,22 +124,22 @@
 #[derive(Debug)]
 pub struct JobTable {
     /// Ids are chosen by users, so this map keeps the hasher that resists collisions.
-    indices: HashMap<Arc<str>, u32>,
-    entries: FxHashMap<u32, Entry>,
+    indices: HashMap<Arc<str>, JobIndex>,
+    entries: FxHashMap<JobIndex, Entry>,
     next_index: u32,
     /// Jobs in a final state, the one that has been so for longest first.
-    final_jobs: VecDeque<u32>,
+    final_jobs: VecDeque<JobIndex>,
     /// Jobs that a record refers to and whose own record has yet to be read.
-    unread: BTreeSet<u32>,
+    unread: BTreeSet<JobIndex>,
     /// Stands for every job that has been dropped.
     dropped: Job,
     /// Every change up to this revision has been taken in; none while all records
     /// are read for the first time, or again.
     watched_revision: Option<u64>,
     /// Jobs whose state has changed, for the leader.
-    changed: Vec<u32>,
+    changed: Vec<JobIndex>,
     /// Jobs whose cancellation has just become known, for the shard owner.
-    newly_cancelled: Vec<u32>,
+    newly_cancelled: Vec<JobIndex>,
     drop_due_at: Ms,
 }
 
@@ -162,7 +162,7 @@
 
 impl JobTable {
     /// The index of a job whose record has been read.
-    pub fn index_of(&self, id: &str) -> Option<u32> {
+    pub fn index_of(&self, id: &str) -> Option<JobIndex> {
         self.indices.get(id).copied().filter(|index| self.get(*index).is_read())
     }
 
@@ -173,11 +173,11 @@
 
     /// The index of a job that is referred to. If it is not in memory its record
     /// is to be read (see [`JobTable::unread`]).
-    pub fn index_or_lookup(&mut self, id: &str, now: Ms) -> u32 {
+    pub fn index_or_lookup(&mut self, id: &str, now: Ms) -> JobIndex {
         if let Some(index) = self.indices.get(id) {
             return *index;
         }
-        let index = self.next_index;
+        let index = JobIndex::new(self.next_index);
         self.next_index += 1;
         let id: Arc<str> = id.into();
         self.indices.insert(id.clone(), index);
@@ -187,23 +187,23 @@
     }
 
     /// The job, or a stand-in for one that has been dropped.
-    pub fn get(&self, index: u32) -> &Job {
+    pub fn get(&self, index: JobIndex) -> &Job {
         self.entries.get(&index).map_or(&self.dropped, |entry| &entry.job)
     }
 
     /// The job, unless it has been dropped.
-    pub fn get_mut(&mut self, index: u32) -> Option<&mut Job> {
+    pub fn get_mut(&mut self, index: JobIndex) -> Option<&mut Job> {
         self.entries.get_mut(&index).map(|entry| &mut entry.job)
     }
 
     /// The id of a job; empty if it has been dropped.
-    pub fn id(&self, index: u32) -> &str {
+    pub fn id(&self, index: JobIndex) -> &str {
         self.entries.get(&index).map_or("", |entry| &entry.id)
     }
 
     /// All indices in use, in the order in which the jobs became known.
-    pub fn indices(&self) -> Vec<u32> {
-        let mut indices: Vec<u32> = self.entries.keys().copied().collect();
+    pub fn indices(&self) -> Vec<JobIndex> {
+        let mut indices: Vec<JobIndex> = self.entries.keys().copied().collect();
         indices.sort_unstable();
         indices
     }
@@ -224,17 +224,17 @@
     }
 
     /// Notes that the record of a job has been read, or that there is none.
-    pub(crate) fn set_read(&mut self, index: u32) {
+    pub(crate) fn set_read(&mut self, index: JobIndex) {
         self.unread.remove(&index);
     }
 
     /// Jobs that are referred to and whose own record has yet to be read.
-    pub fn unread(&self) -> &BTreeSet<u32> {
+    pub fn unread(&self) -> &BTreeSet<JobIndex> {
         &self.unread
     }
 
     /// Notes that a job has become final.
-    pub(crate) fn set_final(&mut self, index: u32) {
+    pub(crate) fn set_final(&mut self, index: JobIndex) {
         self.final_jobs.push_back(index);
     }
 
@@ -262,12 +262,12 @@
     }
 
     /// Notes that the leader has to look at a job again.
-    pub(crate) fn mark_changed(&mut self, index: u32) {
+    pub(crate) fn mark_changed(&mut self, index: JobIndex) {
         self.changed.push(index);
     }
 
     /// Takes the jobs that have changed, in the order of their changes.
-    pub fn take_changed(&mut self) -> Vec<u32> {
+    pub fn take_changed(&mut self) -> Vec<JobIndex> {
         std::mem::take(&mut self.changed)
     }
 
@@ -277,12 +277,12 @@
     }
 
     /// Notes that the shard owner has to stop a job's tasks.
-    pub(crate) fn mark_newly_cancelled(&mut self, index: u32) {
+    pub(crate) fn mark_newly_cancelled(&mut self, index: JobIndex) {
         self.newly_cancelled.push(index);
     }
 
     /// Takes the jobs whose cancellation has just become known.
-    pub fn take_newly_cancelled(&mut self) -> Vec<u32> {
+    pub fn take_newly_cancelled(&mut self) -> Vec<JobIndex> {
         std::mem::take(&mut self.newly_cancelled)
     }
 
@@ -296,7 +296,7 @@
     }
 
     /// Adds the jobs that the table itself refers to.
-    pub(crate) fn add_referenced(&self, indices: &mut FxHashSet<u32>) {
+    pub(crate) fn add_referenced(&self, indices: &mut FxHashSet<JobIndex>) {
         indices.extend(&self.changed);
         indices.extend(&self.newly_cancelled);
         let live = self.values().filter(|job| job.state == JobState::Live);
@@ -312,7 +312,7 @@
     ///
     /// A record newer than `watched_revision` stays: the watch has still to tell
     /// the changes before it, and would bring the job back as live.
-    pub(crate) fn drop_final(&mut self, in_use: &FxHashSet<u32>, watched_revision: u64) {
+    pub(crate) fn drop_final(&mut self, in_use: &FxHashSet<JobIndex>, watched_revision: u64) {
         let mut surplus = self.final_jobs.len().saturating_sub(MAX_FINAL_JOBS);
         let mut kept = VecDeque::with_capacity(self.final_jobs.len());
         for index in std::mem::take(&mut self.final_jobs) {
--- a/src/core/common/lookups.rs
+++ b/src/core/common/lookups.rs
@@ -7,7 +7,7 @@
 use super::watch_cache::job_key;
 use super::{context::NodeContext, job_records::RecordSource};
 use crate::core::{StoreCallOwner, StoreRequest, StoreResponse};
-use crate::model::Ms;
+use crate::model::{JobIndex, Ms};
 use crate::wire::store::JobRecord;
 use rustc_hash::FxHashSet;
 
@@ -17,12 +17,12 @@
 
 /// The read of one job's record, by the job's index.
 #[derive(Debug, Clone, Copy)]
-pub struct LookupCall(pub u32);
+pub struct LookupCall(pub JobIndex);
 
 /// Reads of single records on their way.
 #[derive(Debug, Default)]
 pub struct Lookups {
-    in_flight: FxHashSet<u32>,
+    in_flight: FxHashSet<JobIndex>,
     retry_at: Ms,
 }
 
@@ -35,7 +35,8 @@
         }
         let room = MAX_IN_FLIGHT.saturating_sub(self.in_flight.len());
         let unread = context.jobs.unread().iter().copied();
-        let due: Vec<u32> = unread.filter(|index| !self.in_flight.contains(index)).take(room).collect();
+        let due: Vec<JobIndex> =
+            unread.filter(|index| !self.in_flight.contains(index)).take(room).collect();
         for index in due {
             self.in_flight.insert(index);
             let key = job_key(context.jobs.id(index));
--- a/src/core/common/named_table.rs
+++ b/src/core/common/named_table.rs
@@ -16,60 +16,64 @@
 
 /// A table with two keys: a name from outside and an index of our own.
 #[derive(Debug)]
-pub struct NamedTable<T> {
-    indices: HashMap<Arc<str>, u32>,
-    entries: BTreeMap<u32, Entry<T>>,
+pub struct NamedTable<I, T> {
+    indices: HashMap<Arc<str>, I>,
+    entries: BTreeMap<I, Entry<T>>,
     next_index: u32,
 }
 
-impl<T> Default for NamedTable<T> {
+impl<I, T> Default for NamedTable<I, T> {
     fn default() -> Self {
         NamedTable { indices: HashMap::new(), entries: BTreeMap::new(), next_index: 0 }
     }
 }
 
-impl<T> NamedTable<T> {
+impl<I: Copy + Ord + From<u32>, T> NamedTable<I, T> {
     /// The index of what has this name.
-    pub fn index_of(&self, name: &str) -> Option<u32> {
+    pub fn index_of(&self, name: &str) -> Option<I> {
         self.indices.get(name).copied()
     }
 
     /// What has this name, or what `make` makes for it, with its index.
-    pub fn get_or_insert_with(&mut self, name: &str, make: impl FnOnce() -> T) -> (u32, &mut T) {
-        let index = self.indices.get(name).copied().unwrap_or(self.next_index);
-        if index == self.next_index {
-            self.next_index += 1;
-            self.indices.insert(name.into(), index);
-        }
+    pub fn get_or_insert_with(&mut self, name: &str, make: impl FnOnce() -> T) -> (I, &mut T) {
+        let index = match self.indices.get(name) {
+            Some(index) => *index,
+            None => {
+                let index = I::from(self.next_index);
+                self.next_index += 1;
+                self.indices.insert(name.into(), index);
+                index
+            }
+        };
         let entry =
             self.entries.entry(index).or_insert_with(|| Entry { name: name.into(), value: make() });
         (index, &mut entry.value)
     }
 
     /// What has this index.
-    pub fn get(&self, index: u32) -> Option<&T> {
+    pub fn get(&self, index: I) -> Option<&T> {
         self.entries.get(&index).map(|entry| &entry.value)
     }
 
     /// What has this index, to be changed.
-    pub fn get_mut(&mut self, index: u32) -> Option<&mut T> {
+    pub fn get_mut(&mut self, index: I) -> Option<&mut T> {
         self.entries.get_mut(&index).map(|entry| &mut entry.value)
     }
 
     /// Removes what has this index.
-    pub fn remove(&mut self, index: u32) -> Option<T> {
+    pub fn remove(&mut self, index: I) -> Option<T> {
         let entry = self.entries.remove(&index)?;
         self.indices.remove(&entry.name);
         Some(entry.value)
     }
 
     /// Everything with its index, what came first first.
-    pub fn iter(&self) -> impl Iterator<Item = (u32, &T)> {
+    pub fn iter(&self) -> impl Iterator<Item = (I, &T)> {
         self.entries.iter().map(|(index, entry)| (*index, &entry.value))
     }
 
     /// Everything with its index, to be changed.
-    pub fn iter_mut(&mut self) -> impl Iterator<Item = (u32, &mut T)> {
+    pub fn iter_mut(&mut self) -> impl Iterator<Item = (I, &mut T)> {
         self.entries.iter_mut().map(|(index, entry)| (*index, &mut entry.value))
     }
 
@@ -84,7 +88,7 @@
     }
 
     /// All indices, the smallest first.
-    pub fn indices(&self) -> Vec<u32> {
+    pub fn indices(&self) -> Vec<I> {
         self.entries.keys().copied().collect()
     }
 
--- a/src/core/common/shard_map.rs
+++ b/src/core/common/shard_map.rs
@@ -1,6 +1,6 @@
 //! The shards of all machines, and who owns each, as the watched records say.
 
-use crate::model::{Shard, shard_of};
+use crate::model::{Shard, ShardIndex, shard_of};
 use crate::wire::store::ShardRecord;
 use std::ops::Index;
 
@@ -55,7 +55,7 @@
     }
 
     /// The shard of a machine.
-    pub fn shard_of(&self, zone: &str, machine: &str) -> Option<u32> {
+    pub fn shard_of(&self, zone: &str, machine: &str) -> Option<ShardIndex> {
         shard_of(&self.shards, zone, machine)
     }
 
--- a/src/core/leader/attempts.rs
+++ b/src/core/leader/attempts.rs
@@ -2,7 +2,7 @@
 //! told. Thousands are alive at once and a hundred end each second, so those of
 //! one task or job are found without a look at all others.
 
-use crate::model::{Ms, Resources};
+use crate::model::{InstanceIndex, JobIndex, Ms, Resources, ShardIndex};
 use crate::wire::peer::ReportedPhase;
 use rustc_hash::FxHashMap;
 use std::collections::BTreeSet;
@@ -10,11 +10,11 @@
 
 #[derive(Debug)]
 pub struct AttemptView {
-    pub job: u32,
+    pub job: JobIndex,
     pub task: u32,
-    pub shard: u32,
+    pub shard: ShardIndex,
     /// Machine as the holder told, or as this leader guesses.
-    pub machine: Option<u32>,
+    pub machine: Option<InstanceIndex>,
     /// The holder may still choose a machine for it.
     pub bind: bool,
     pub want: bool,
@@ -39,7 +39,7 @@
 pub struct Attempts {
     by_id: FxHashMap<u64, AttemptView>,
     /// (job, task, attempt)
-    by_task: BTreeSet<(u32, u32, u64)>,
+    by_task: BTreeSet<(JobIndex, u32, u64)>,
 }
 
 impl Attempts {
@@ -87,22 +87,22 @@
     }
 
     /// Whether any attempt at the task is known.
-    pub fn has_task(&self, job: u32, task: u32) -> bool {
+    pub fn has_task(&self, job: JobIndex, task: u32) -> bool {
         self.by_task.range((job, task, 0)..=(job, task, u64::MAX)).next().is_some()
     }
 
     /// Whether any attempt at a task of the job is known.
-    pub fn has_job(&self, job: u32) -> bool {
+    pub fn has_job(&self, job: JobIndex) -> bool {
         self.by_task.range((job, 0, 0)..=(job, u32::MAX, u64::MAX)).next().is_some()
     }
 
-    pub fn of_job(&self, job: u32) -> Vec<u64> {
+    pub fn of_job(&self, job: JobIndex) -> Vec<u64> {
         self.by_task.range((job, 0, 0)..=(job, u32::MAX, u64::MAX)).map(|(_, _, id)| *id).collect()
     }
 
     /// Drops attempts at tasks that have a newer one.
     pub fn drop_superseded(&mut self) {
-        let rows: Vec<(u32, u32, u64)> = self.by_task.iter().copied().collect();
+        let rows: Vec<(JobIndex, u32, u64)> = self.by_task.iter().copied().collect();
         for id in ledger::superseded(&rows) {
             self.remove(id);
         }
--- a/src/core/leader/cells/host.rs
+++ b/src/core/leader/cells/host.rs
@@ -9,7 +9,7 @@
 use crate::core::leader::live_jobs::JobLocation;
 use crate::core::leader::{Leader, LeaderCall};
 use crate::core::{StoreCallOwner, StoreRequest, StoreResponse};
-use crate::model::{JobSpec, Ms};
+use crate::model::{JobIndex, JobSpec, Ms};
 use crate::wire::encoded::Encoded;
 use crate::wire::peer::{MAX_FRAME, ReportedPhase};
 use crate::wire::store::{Compare, CompareAndSwap, JobRecord, JobState, Mutation};
@@ -36,7 +36,7 @@
 const ABANDON_MS: u64 = 600_000;
 
 /// The hosted live jobs of one cell, with what its newest message says of them.
-type HostedJobs = Vec<(u32, Listing)>;
+type HostedJobs = Vec<(JobIndex, Listing)>;
 
 impl Cells {
     /// Follows what each other cell has forwarded to this one.
@@ -76,15 +76,16 @@
     /// Withdraws hosted jobs whose cell has not been heard for very long, or is no longer
     /// named in the settings.
     pub(super) fn abandon(&mut self, leader: &mut Leader, context: &mut NodeContext) {
-        let is_abandoned = |index: &u32| {
+        let is_abandoned = |index: &JobIndex| {
             let origin = context.job(*index).origin();
             let lease = origin.map(|origin| context.cell_leases.get(&origin.cell).0);
             lease.is_some_and(|lease| lease.until_ms + ABANDON_MS < context.clock.wall())
         };
         // One accepted a moment ago may have no lease yet.
-        let is_old = |index: &u32| context.job(*index).state_since + ABANDON_MS < context.clock.now();
+        let is_old =
+            |index: &JobIndex| context.job(*index).state_since + ABANDON_MS < context.clock.now();
         let hosted = leader.jobs.iter().filter(|(_, job)| job.is_hosted()).map(|(index, _)| *index);
-        let abandoned: Vec<u32> = hosted.filter(is_abandoned).filter(is_old).collect();
+        let abandoned: Vec<JobIndex> = hosted.filter(is_abandoned).filter(is_old).collect();
         for index in abandoned {
             self.follow_live(leader, context, index, Listing::Absent);
         }
@@ -96,7 +97,7 @@
         &mut self,
         leader: &mut Leader,
         context: &mut NodeContext,
-        index: u32,
+        index: JobIndex,
         listing: Listing,
     ) {
         let is_listed = listing == Listing::Active;
@@ -128,7 +129,7 @@
         cell: &str,
         forwarded: &ForwardedState,
         job: &ForwardedJob,
-        running: &FxHashMap<u32, u32>,
+        running: &FxHashMap<JobIndex, u32>,
     ) -> Option<HostedJob> {
         let listing = if job.is_recalled { Listing::Recalled } else { Listing::Active };
         let record = host_record(leader, context, cell, job, running);
@@ -321,8 +322,8 @@
 }
 
 /// Tasks that run here, by job.
-fn running_by_job(leader: &Leader) -> FxHashMap<u32, u32> {
-    let mut running: FxHashMap<u32, u32> = FxHashMap::default();
+fn running_by_job(leader: &Leader) -> FxHashMap<JobIndex, u32> {
+    let mut running: FxHashMap<JobIndex, u32> = FxHashMap::default();
     for attempt in leader.attempts.values().filter(|a| a.state == ReportedPhase::Running) {
         *running.entry(attempt.job).or_default() += 1;
     }
@@ -366,7 +367,7 @@
     context: &NodeContext,
     cell: &str,
     job: &ForwardedJob,
-    running: &FxHashMap<u32, u32>,
+    running: &FxHashMap<JobIndex, u32>,
 ) -> HostRecord {
     let Some(index) = context.job_index(&job.id) else { return HostRecord::Unknown };
     let known = context.job(index);
--- a/src/core/leader/cells/mod.rs
+++ b/src/core/leader/cells/mod.rs
@@ -15,7 +15,7 @@
 use crate::core::common::token_bucket::TokenBucket;
 use crate::core::common::watch_cache::job_key;
 use crate::core::{StoreCallOwner, StoreRequest, StoreResponse};
-use crate::model::{Ms, Resources};
+use crate::model::{JobIndex, Ms, Resources};
 use crate::wire::encoded::Encoded;
 use crate::wire::store::{Compare, CompareAndSwap, JobRecord, Mutation};
 use rustc_hash::FxHashMap;
@@ -42,9 +42,9 @@
 #[derive(Debug)]
 pub enum CellCall {
     /// A job begins to be forwarded.
-    Forward { job: u32 },
+    Forward { job: JobIndex },
     /// A change of a job's record after that; what it means.
-    Mutation { job: u32, record: Box<JobRecord>, event: MoveEvent },
+    Mutation { job: JobIndex, record: Box<JobRecord>, event: MoveEvent },
     /// The first record of another cell's job: accepted, or a tombstone.
     Create { id: String, record: Box<JobRecord> },
     /// The lease of another cell.
@@ -65,12 +65,12 @@
     send_at: Ms,
     pace: TokenBucket,
     /// Jobs whose forwarding is not settled; none of their tasks may be granted.
-    pending: FxHashMap<u32, origin::PendingForward>,
+    pending: FxHashMap<JobIndex, origin::PendingForward>,
     /// Since when a forwarded job has been as it is.
-    observed: FxHashMap<u32, origin::Observed>,
+    observed: FxHashMap<JobIndex, origin::Observed>,
     /// When the record of a job may be changed again; at the end of time while a change
     /// is on its way.
-    change_after: FxHashMap<u32, Ms>,
+    change_after: FxHashMap<JobIndex, Ms>,
     /// First records of other cells' jobs that are not settled.
     creations: HashMap<String, Creation>,
     /// When the lease of a cell may be written again.
@@ -120,7 +120,7 @@
         &mut self,
         leader: &Leader,
         context: &mut NodeContext,
-        job: u32,
+        job: JobIndex,
         record: JobRecord,
         event: MoveEvent,
     ) {
@@ -140,7 +140,7 @@
     fn on_changed(
         &mut self,
         context: &mut NodeContext,
-        job: u32,
+        job: JobIndex,
         record: JobRecord,
         event: MoveEvent,
         result: StoreResponse,
@@ -214,7 +214,7 @@
 fn record_change(
     leader: &Leader,
     context: &NodeContext,
-    job: u32,
+    job: JobIndex,
     record: &JobRecord,
 ) -> CompareAndSwap {
     let key = job_key(context.jobs.id(job));
--- a/src/core/leader/cells/origin.rs
+++ b/src/core/leader/cells/origin.rs
@@ -6,7 +6,7 @@
 use crate::core::leader::live_jobs::{JobLocation, LiveJob};
 use crate::core::leader::{Leader, LeaderCall};
 use crate::core::{StoreCallOwner, StoreRequest, StoreResponse};
-use crate::model::{JobSpec, Ms};
+use crate::model::{JobIndex, JobSpec, Ms};
 use crate::wire::encoded::Encoded;
 use crate::wire::store::{JobRecord, JobState};
 use std::collections::BTreeMap;
@@ -168,7 +168,7 @@
             }
         }
         let mut to_come = capacity::room_to_come(leader, context, 0);
-        let waiting: Vec<u32> = leader.fleet.waiting.iter().map(|(job, _)| *job).collect();
+        let waiting: Vec<JobIndex> = leader.fleet.waiting.iter().map(|(job, _)| *job).collect();
         for index in waiting {
             let Some(job) = leader.jobs.get(&index) else { continue };
             let shape = shape_of(&job.spec);
@@ -194,7 +194,7 @@
     fn choose_cell(
         &self,
         context: &NodeContext,
-        index: u32,
+        index: JobIndex,
         spec: &JobSpec,
         hosted_by: &BTreeMap<String, usize>,
     ) -> Option<String> {
@@ -219,7 +219,7 @@
         &mut self,
         leader: &mut Leader,
         context: &mut NodeContext,
-        index: u32,
+        index: JobIndex,
         spec: &JobSpec,
         cell: &str,
     ) -> bool {
@@ -242,7 +242,12 @@
         true
     }
 
-    pub(super) fn on_forwarded(&mut self, context: &mut NodeContext, index: u32, result: StoreResponse) {
+    pub(super) fn on_forwarded(
+        &mut self,
+        context: &mut NodeContext,
+        index: JobIndex,
+        result: StoreResponse,
+    ) {
         let Some(pending) = self.pending.get_mut(&index) else { return };
         match result {
             StoreResponse::Committed { revision } => {
@@ -288,7 +293,7 @@
     /// Takes the next step with each job that another cell hosts.
     pub(super) fn follow_forwarded(&mut self, leader: &mut Leader, context: &mut NodeContext) {
         let away = leader.jobs.iter().filter(|(_, job)| job.is_away()).map(|(index, _)| *index);
-        for index in away.collect::<Vec<u32>>() {
+        for index in away.collect::<Vec<JobIndex>>() {
             let Some(forwarding) = context.job(index).forwarding().cloned() else { continue };
             let step = self.next_step(leader, context, index, &forwarding);
             let (forwarding, event) = match step {
@@ -318,7 +323,7 @@
         &mut self,
         leader: &Leader,
         context: &NodeContext,
-        index: u32,
+        index: JobIndex,
         forwarding: &Forwarding,
     ) -> OriginStep {
         let (now, settings) = (context.clock.now(), &context.operator.cells);
@@ -358,7 +363,7 @@
 
 /// Whether a job may be offered to other cells: it has waited for long, nothing of it was
 /// ever granted, and it belongs here.
-fn may_be_forwarded(leader: &Leader, context: &NodeContext, index: u32, job: &LiveJob) -> bool {
+fn may_be_forwarded(leader: &Leader, context: &NodeContext, index: JobIndex, job: &LiveJob) -> bool {
     let waited_ms = context.clock.wall().saturating_sub(job.ready_at_ms);
     job.standing == JobLocation::Local
         && waited_ms >= context.operator.cells.spill_after_ms
@@ -376,7 +381,7 @@
 }
 
 /// What a job awaits; all of it is done, but the record keeps it.
-fn awaited(context: &NodeContext, index: u32) -> Vec<String> {
+fn awaited(context: &NodeContext, index: JobIndex) -> Vec<String> {
     let before = context.job(index).links.dependencies.iter();
     before.map(|before| context.jobs.id(*before).to_string()).collect()
 }
@@ -387,7 +392,7 @@
     serde_json::to_vec(&spec).ok()
 }
 
-fn send_forward(leader: &Leader, context: &mut NodeContext, index: u32, pending: &PendingForward) {
+fn send_forward(leader: &Leader, context: &mut NodeContext, index: JobIndex, pending: &PendingForward) {
     let txn = record_change(leader, context, index, &pending.record);
     let call = CellCall::Forward { job: index };
     context.send_store_request(
--- a/src/core/leader/fleet/cloud_calls.rs
+++ b/src/core/leader/fleet/cloud_calls.rs
@@ -5,7 +5,7 @@
 use crate::core::common::context::{MAX_RETURNS, NodeContext};
 use crate::core::leader::Leader;
 use crate::core::{CloudRequest, CloudResponse};
-use crate::model::Ms;
+use crate::model::{InstanceIndex, Ms};
 use crate::wire::cloud::{ListedMachine, RentRequest, ReturnRequest};
 
 impl Leader {
@@ -78,7 +78,7 @@
                     }
                     let Some(m) = self.fleet.machines.remove(ix) else { continue };
                     self.fleet.gone.insert(&m.name);
-                    if let Some(b) = self.shards.get_mut(m.shard as usize) {
+                    if let Some(b) = self.shards.get_mut(m.shard.place()) {
                         b.gone.push((m.name, context.clock.now()));
                         b.dirty = true;
                     }
@@ -211,13 +211,13 @@
 
     /// Machines that may go back, as many as one call takes. Returns wait this long
     /// for each other, as the look is at every machine.
-    fn ready_to_return(&mut self, now: Ms) -> Option<Vec<u32>> {
+    fn ready_to_return(&mut self, now: Ms) -> Option<Vec<InstanceIndex>> {
         if now < self.returns_at {
             return None;
         }
         self.returns_at = now + RETURNS_EVERY_MS;
         let ready = self.machines.iter().filter(|(_, m)| m.phase == Phase::Ready);
-        let ready: Vec<u32> = ready.map(|(ix, _)| ix).take(MAX_RETURNS).collect();
+        let ready: Vec<InstanceIndex> = ready.map(|(ix, _)| ix).take(MAX_RETURNS).collect();
         (!ready.is_empty()).then_some(ready)
     }
 }
--- a/src/core/leader/fleet/machine.rs
+++ b/src/core/leader/fleet/machine.rs
@@ -1,7 +1,7 @@
 //! A machine of the fleet, as the leader knows it.
 
 use crate::core::common::context::NodeContext;
-use crate::model::Ms;
+use crate::model::{InstanceIndex, JobIndex, Ms, ShardIndex};
 use rustc_hash::FxHashSet;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -21,7 +21,7 @@
     pub kind: usize,
     pub zone: String,
     pub spot: bool,
-    pub shard: u32,
+    pub shard: ShardIndex,
     pub since: Ms,
     pub(super) heard: Option<Ms>,
     pub preemption_notice: bool,
@@ -44,7 +44,7 @@
     /// What has become of the rent that this machine's overload asked for.
     pub(super) ask: Option<Ask>,
     /// Jobs whose tasks failed here since the last success.
-    pub(super) failed: FxHashSet<u32>,
+    pub(super) failed: FxHashSet<JobIndex>,
     pub(super) quarantined_until: Ms,
     pub(super) idle_since: Option<Ms>,
 }
@@ -70,7 +70,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Ask {
     Rent(u64),
-    Boot(u32),
+    Boot(InstanceIndex),
 }
 
 impl PartialOrd for Phase {
--- a/src/core/leader/fleet/mod.rs
+++ b/src/core/leader/fleet/mod.rs
@@ -18,7 +18,7 @@
 use crate::core::common::named_table::NamedTable;
 use crate::core::common::recent_names::RecentNames;
 use crate::core::common::{context::NodeContext, token_bucket::TokenBucket};
-use crate::model::Ms;
+use crate::model::{InstanceIndex, JobIndex, Ms};
 use crate::wire::cloud::MachineType;
 use crate::wire::peer::{Decommission, ReportedMachine};
 use machine::Instance;
@@ -26,7 +26,7 @@
 use std::collections::BTreeMap;
 
 /// The index of a machine that is not part of the fleet.
-const NO_MACHINE: u32 = u32::MAX;
+pub(in crate::core::leader) const NO_INSTANCE: InstanceIndex = InstanceIndex::new(u32::MAX);
 const LIST_EVERY_MS: Ms = 3_000;
 /// Time between two looks at the whole fleet; more where it is large.
 const TICK_MS: Ms = 500;
@@ -68,7 +68,7 @@
     Catalog,
     List,
     Rent(u64),
-    Return(Vec<u32>),
+    Return(Vec<InstanceIndex>),
 }
 
 /// What the leader wants of the machines of a block.
@@ -83,10 +83,10 @@
 }
 
 pub struct Fleet {
-    pub machines: NamedTable<Instance>,
+    pub machines: NamedTable<InstanceIndex, Instance>,
     /// Returned; late lists and reports must not bring them back.
     gone: RecentNames,
-    pub waiting: Vec<(u32, u32)>,
+    pub waiting: Vec<(JobIndex, u32)>,
     history: History,
     pub(in crate::core::leader) booked: BTreeMap<String, (f64, u32)>,
     window_at: Option<Ms>,
@@ -101,7 +101,7 @@
     returns_at: Ms,
     list_at: Ms,
     list_page: Option<String>,
-    list_seen: FxHashSet<u32>,
+    list_seen: FxHashSet<InstanceIndex>,
     listed_once: bool,
     catalog_at: Ms,
     catalog_known: bool,
@@ -177,17 +177,17 @@
         type_name: &str,
         zone: &str,
         spot: bool,
-    ) -> u32 {
+    ) -> InstanceIndex {
         // Nearly always it is known: each state message names every machine.
         if let Some(ix) = self.machines.index_of(name) {
             return ix;
         }
         if self.gone.contains(name) {
-            return NO_MACHINE;
+            return NO_INSTANCE;
         }
         let kind = context.machine_types.index_of(type_name);
         let shard = context.shards.shard_of(zone, name);
-        let (Some(kind), Some(shard)) = (kind, shard) else { return NO_MACHINE };
+        let (Some(kind), Some(shard)) = (kind, shard) else { return NO_INSTANCE };
         let (ix, _) = self.machines.get_or_insert_with(name, || Instance {
             name: name.into(),
             kind,
@@ -222,7 +222,7 @@
         h: &ReportedMachine,
         type_name: &str,
         zone: &str,
-    ) -> u32 {
+    ) -> InstanceIndex {
         let ix = self.put_known(context, &h.machine, type_name, zone, h.spot);
         if let Some(m) = self.machines.get_mut(ix) {
             if h.silent_ms != u64::MAX {
@@ -248,7 +248,7 @@
     pub fn wishes(&self, context: &NodeContext) -> Vec<MachineDirectives> {
         let mut wishes = vec![MachineDirectives::default(); context.shards.len()];
         for m in self.machines.values() {
-            let Some(of_block) = wishes.get_mut(m.shard as usize) else { continue };
+            let Some(of_block) = wishes.get_mut(m.shard.place()) else { continue };
             if m.cordoned {
                 of_block.cordoned.push(m.name.clone());
             }
@@ -271,7 +271,7 @@
         wishes
     }
 
-    pub fn succeeded(&mut self, machine: u32) {
+    pub fn succeeded(&mut self, machine: InstanceIndex) {
         if let Some(m) = self.machines.get_mut(machine) {
             m.failed.clear();
         }
@@ -279,7 +279,7 @@
 
     /// Tasks of several jobs failing in a row, or one failing while others
     /// have nowhere succeeded, speak against the machine.
-    pub fn failed(&mut self, now: Ms, machine: u32, job: u32) {
+    pub fn failed(&mut self, now: Ms, machine: InstanceIndex, job: JobIndex) {
         if let Some(m) = self.machines.get_mut(machine) {
             m.failed.insert(job);
             let long = if m.failed.len() >= 2 { QUARANTINE_LONG_MS } else { QUARANTINE_MS };
--- a/src/core/leader/fleet/overload_rents.rs
+++ b/src/core/leader/fleet/overload_rents.rs
@@ -4,6 +4,7 @@
 use crate::core::common::context::NodeContext;
 use crate::core::leader::Leader;
 use crate::core::leader::plan::Plan;
+use crate::model::InstanceIndex;
 use rustc_hash::{FxHashMap, FxHashSet};
 
 impl Leader {
@@ -32,10 +33,10 @@
     }
 
     /// Overloaded machines whose rent is neither pending nor booting.
-    fn machines_that_ask(&mut self) -> Vec<u32> {
+    fn machines_that_ask(&mut self) -> Vec<InstanceIndex> {
         let pending: FxHashSet<u64> = self.fleet.rents.iter().map(|r| r.number).collect();
-        let is_booting = |(_, m): &(u32, &super::Instance)| m.phase == Phase::Booting;
-        let booting: FxHashSet<u32> =
+        let is_booting = |(_, m): &(InstanceIndex, &super::Instance)| m.phase == Phase::Booting;
+        let booting: FxHashSet<InstanceIndex> =
             self.fleet.machines.iter().filter(is_booting).map(|(ix, _)| ix).collect();
         let mut asking = Vec::new();
         for (ix, m) in self.fleet.machines.iter_mut() {
@@ -55,8 +56,8 @@
     }
 
     /// Isolated machines that are up, by type and kind; the oldest last.
-    fn isolated_by_kind(&self) -> FxHashMap<(usize, bool), Vec<u32>> {
-        let mut found: FxHashMap<(usize, bool), Vec<u32>> = FxHashMap::default();
+    fn isolated_by_kind(&self) -> FxHashMap<(usize, bool), Vec<InstanceIndex>> {
+        let mut found: FxHashMap<(usize, bool), Vec<InstanceIndex>> = FxHashMap::default();
         for (ix, m) in self.fleet.machines.iter().filter(|(_, m)| m.cordoned && m.phase == Phase::Up) {
             found.entry((m.kind, m.spot)).or_default().push(ix);
         }
--- a/src/core/leader/fleet/upkeep.rs
+++ b/src/core/leader/fleet/upkeep.rs
@@ -4,14 +4,14 @@
 use super::machine::Phase;
 use crate::core::common::context::NodeContext;
 use crate::core::leader::Leader;
-use crate::model::Ms;
+use crate::model::{InstanceIndex, Ms};
 use rustc_hash::FxHashSet;
 
 impl Leader {
     /// Machines that won't boot, have vanished or are drained go back.
     pub(super) fn upkeep(&mut self, context: &mut NodeContext) {
         let now = context.clock.now();
-        let busy: FxHashSet<u32> = self.attempts.values().filter_map(|a| a.machine).collect();
+        let busy: FxHashSet<InstanceIndex> = self.attempts.values().filter_map(|a| a.machine).collect();
         let lease = (context.platform.cluster.workers.lease_s * 1000.0) as Ms;
         for (ix, m) in self.fleet.machines.iter_mut() {
             if busy.contains(&ix) {
@@ -51,7 +51,7 @@
             if let Some((_, why)) = reasons.iter().find(|(is, _)| *is) {
                 tracing::info!(machine = m.name, why, "returning machine");
                 m.phase = Phase::Retiring;
-                if let Some(b) = self.shards.get_mut(m.shard as usize) {
+                if let Some(b) = self.shards.get_mut(m.shard.place()) {
                     b.dirty = true;
                 }
             }
@@ -64,7 +64,7 @@
                 && self.jobs.get(&a.job).is_some_and(|j| j.spec.checkpoint_s > 0.0)
             {
                 a.want = false;
-                self.shards[a.shard as usize].dirty = true;
+                self.shards[a.shard.place()].dirty = true;
             }
         }
     }
--- a/src/core/leader/fleet/window_rule.rs
+++ b/src/core/leader/fleet/window_rule.rs
@@ -5,6 +5,7 @@
 use crate::core::common::context::NodeContext;
 use crate::core::leader::plan::Plan;
 use crate::core::leader::{FleetRecord, Leader};
+use crate::model::InstanceIndex;
 use rustc_hash::{FxHashMap, FxHashSet};
 use std::collections::BTreeMap;
 
@@ -21,7 +22,7 @@
             .collect();
         self.fleet.history.record(&booked, context.operator.season);
         let present = self.bookings(context);
-        let busy: FxHashSet<u32> =
+        let busy: FxHashSet<InstanceIndex> =
             self.attempts.values().filter(|a| a.counts()).filter_map(|a| a.machine).collect();
         let mut zones = self.fleet.zone_counts();
         let mut counts = BTreeMap::new();
@@ -68,7 +69,7 @@
         for m in self.fleet.machines.values_mut().filter(cordoned).take(most as usize) {
             m.cordoned = false;
             restored += 1;
-            if let Some(b) = self.shards.get_mut(m.shard as usize) {
+            if let Some(b) = self.shards.get_mut(m.shard.place()) {
                 b.dirty = true;
             }
         }
@@ -82,9 +83,9 @@
         kind: usize,
         spot: bool,
         most: u32,
-        busy: &FxHashSet<u32>,
+        busy: &FxHashSet<InstanceIndex>,
     ) {
-        let idle = |(ix, m): &(u32, &mut Instance)| {
+        let idle = |(ix, m): &(InstanceIndex, &mut Instance)| {
             m.is_usable(kind, spot)
                 && m.phase == Phase::Up
                 && !m.cordoned
@@ -93,7 +94,7 @@
         };
         for (_, m) in self.fleet.machines.iter_mut().filter(idle).take(most as usize) {
             m.cordoned = true;
-            if let Some(b) = self.shards.get_mut(m.shard as usize) {
+            if let Some(b) = self.shards.get_mut(m.shard.place()) {
                 b.dirty = true;
             }
         }
@@ -120,7 +121,7 @@
         if level <= 0.0 || self.fleet.drained || !self.fleet.waiting.is_empty() {
             return;
         }
-        let mut running: Vec<(f64, u32)> = self
+        let mut running: Vec<(f64, InstanceIndex)> = self
             .fleet
             .machines
             .iter()
@@ -138,7 +139,7 @@
                 && context.clock.now() > m.since + MIN_CHARGE_MS - 8_000
             {
                 m.cordoned = true;
-                if let Some(b) = self.shards.get_mut(m.shard as usize) {
+                if let Some(b) = self.shards.get_mut(m.shard.place()) {
                     b.dirty = true;
                 }
             }
--- a/src/core/leader/free_capacity.rs
+++ b/src/core/leader/free_capacity.rs
@@ -4,7 +4,7 @@
 use super::zones::Zones;
 use crate::core::common::context::NodeContext;
 use crate::core::common::window::{allowed, fit_score};
-use crate::model::{JobSpec, Resources};
+use crate::model::{InstanceIndex, JobSpec, Resources, ShardIndex};
 use rustc_hash::FxHashMap;
 
 /// Machines that are alike to a job: same type, zone and kind.
@@ -22,8 +22,8 @@
 /// Free room of one machine, as far as the leader knows.
 #[derive(Debug, Clone)]
 pub struct FreeMachine {
-    pub machine: u32,
-    pub shard: u32,
+    pub machine: InstanceIndex,
+    pub shard: ShardIndex,
     pub class: usize,
     pub free: Resources,
 }
@@ -49,7 +49,7 @@
     }
 
     /// Adds a room (machine, block, free) to its class.
-    pub fn push_to(&mut self, class: usize, capacity: (u32, u32, Resources)) {
+    pub fn push_to(&mut self, class: usize, capacity: (InstanceIndex, ShardIndex, Resources)) {
         let (machine, shard, free) = capacity;
         let c = &mut self.classes[class];
         c.free_capacity.push(self.list.len());
@@ -64,7 +64,7 @@
         zone: &str,
         spot: bool,
         total: Resources,
-        capacity: (u32, u32, Resources),
+        capacity: (InstanceIndex, ShardIndex, Resources),
     ) {
         let class = self.class_of(kind, zone, spot, total);
         self.push_to(class, capacity);
@@ -103,7 +103,7 @@
 impl Leader {
     /// Machines that may get tasks now, with what is free on them.
     pub fn free_capacity(&self, context: &NodeContext) -> FreeCapacity {
-        let mut used: FxHashMap<u32, Resources> = FxHashMap::default();
+        let mut used: FxHashMap<InstanceIndex, Resources> = FxHashMap::default();
         for a in self.attempts.values().filter(|a| a.counts()) {
             if let Some(m) = a.machine {
                 used.entry(m).or_default().add(&a.demand);
@@ -111,7 +111,7 @@
         }
         let mut out = FreeCapacity::default();
         for (ix, m) in self.fleet.machines.iter() {
-            let Some(b) = self.shards.get(m.shard as usize) else { continue };
+            let Some(b) = self.shards.get(m.shard.place()) else { continue };
             if !b.shown || !m.takes_tasks(context) {
                 continue;
             }
--- a/src/core/leader/live_jobs.rs
+++ b/src/core/leader/live_jobs.rs
@@ -5,7 +5,7 @@
 use super::progress::ProgressSegment;
 use crate::core::common::context::NodeContext;
 use crate::core::common::job_table::Job;
-use crate::model::{JobSpec, Ms, Priority, TaskSet};
+use crate::model::{InstanceIndex, JobIndex, JobSpec, Ms, Priority, ShardIndex, TaskSet};
 use crate::wire::peer::ReportedPhase;
 use crate::wire::store::JobState;
 use rustc_hash::FxHashSet;
@@ -44,7 +44,7 @@
     pub retry: Vec<u32>,
     /// Times that tasks failed without any having succeeded since.
     pub fails: u32,
-    pub failed_on: FxHashSet<u32>,
+    pub failed_on: FxHashSet<InstanceIndex>,
     pub hold_until: Ms,
     /// Within its team's guarantee, with the team's earlier jobs.
     pub within: bool,
@@ -192,7 +192,7 @@
         }
     }
 
-    pub(super) fn follow_job(&mut self, context: &mut NodeContext, ix: u32) {
+    pub(super) fn follow_job(&mut self, context: &mut NodeContext, ix: JobIndex) {
         let job = context.job(ix);
         let id = context.jobs.id(ix).to_string();
         if job.state != JobState::Live || job.cancellation_noticed {
@@ -201,7 +201,7 @@
             for id in self.attempts.of_job(ix) {
                 if let Some(a) = self.attempts.get_mut(id) {
                     a.want = false;
-                    self.shards[a.shard as usize].dirty = true;
+                    self.shards[a.shard.place()].dirty = true;
                 }
             }
             // The bits of a final job are of no use to anyone. A job of many
@@ -241,7 +241,7 @@
         spec.estimate_s * self.ratios.get(&spec.class).copied().unwrap_or(1.0)
     }
 
-    pub fn new_attempt(&mut self, job: u32, task: u32, machine: u32, shard: u32) {
+    pub fn new_attempt(&mut self, job: JobIndex, task: u32, machine: InstanceIndex, shard: ShardIndex) {
         let Some(j) = self.jobs.get(&job) else { return };
         let a = AttemptView {
             job,
@@ -258,13 +258,13 @@
         };
         self.attempts.insert(self.next_attempt, a);
         self.next_attempt += 1;
-        self.shards[shard as usize].dirty = true;
+        self.shards[shard.place()].dirty = true;
     }
 
     /// Puts a task back in line once an attempt at it is gone. An older attempt
     /// that was still in a record may go while a newer one runs; the task is
     /// then in good hands, and a third attempt would run it twice.
-    pub(super) fn requeue(&mut self, job: u32, task: u32) {
+    pub(super) fn requeue(&mut self, job: JobIndex, task: u32) {
         self.cycle_due = true;
         if self.attempts.has_task(job, task) {
             return;
--- a/src/core/leader/mod.rs
+++ b/src/core/leader/mod.rs
@@ -26,7 +26,7 @@
 use crate::core::common::watch_cache::LEADER;
 use crate::core::common::{context::NodeContext, job_records::RecordSource};
 use crate::core::{CloudResponse, StoreResponse};
-use crate::model::Ms;
+use crate::model::{JobIndex, Ms, ShardIndex};
 use crate::wire::store::{Compare, JobRecord};
 use attempts::Attempts;
 use cells::{CellCall, Cells};
@@ -47,12 +47,12 @@
     Places,
     Progress,
     Fleet,
-    AssignShard { shard: u32 },
-    Record { items: Vec<(u32, Vec<u32>)>, segments: Vec<(u32, ProgressSegment)> },
-    Reread { job: u32, segment: ProgressSegment },
-    Finish { job: u32, done_ms: u64, dropped: Vec<ProgressSegment> },
+    AssignShard { shard: ShardIndex },
+    Record { items: Vec<(JobIndex, Vec<u32>)>, segments: Vec<(JobIndex, ProgressSegment)> },
+    Reread { job: JobIndex, segment: ProgressSegment },
+    Finish { job: JobIndex, done_ms: u64, dropped: Vec<ProgressSegment> },
     Forget { keys: Vec<String> },
-    Cascade { list: Vec<u32> },
+    Cascade { list: Vec<JobIndex> },
     Cells(CellCall),
     SaveFleet,
     SaveCatalog,
@@ -86,7 +86,7 @@
     pub(super) load_retry: Ms,
     pub active: bool,
     pub active_at: Ms,
-    pub jobs: BTreeMap<u32, LiveJob>,
+    pub jobs: BTreeMap<JobIndex, LiveJob>,
     pub attempts: Attempts,
     pub(super) next_attempt: u64,
     pub shards: Vec<ShardAssignment>,
@@ -204,7 +204,7 @@
             LeaderCall::Fleet => self.on_load(context, 2, result),
             LeaderCall::AssignShard { shard } => {
                 let wait = context.jitter(300);
-                if let Some(b) = self.shards.get_mut(shard as usize) {
+                if let Some(b) = self.shards.get_mut(shard.place()) {
                     b.writing = false;
                     b.retry_at = context.clock.now() + wait;
                 }
--- a/src/core/leader/order.rs
+++ b/src/core/leader/order.rs
@@ -4,7 +4,7 @@
 use super::pipelines::Inherited;
 use crate::config::Objective;
 use crate::core::common::context::NodeContext;
-use crate::model::{JobOrder, JobSpec, Resources};
+use crate::model::{JobIndex, JobOrder, JobSpec, Resources};
 use rustc_hash::FxHashMap;
 
 /// A job that no aim speaks of is to be started this long after its arrival.
@@ -12,14 +12,14 @@
 
 impl Leader {
     /// Jobs with something to run, most pressing first.
-    pub fn order(&mut self, context: &NodeContext) -> Vec<u32> {
+    pub fn order(&mut self, context: &NodeContext) -> Vec<JobIndex> {
         let here = self.jobs.iter().filter(|(_, j)| !j.is_away());
         // Jobs of other cells come after a team's own.
-        let mut by_age: Vec<(bool, u64, u32)> =
+        let mut by_age: Vec<(bool, u64, JobIndex)> =
             here.map(|(ix, j)| (j.is_hosted(), j.ready_at_ms, *ix)).collect();
         by_age.sort_unstable();
         let mut sums = vec![Resources::default(); context.platform.cluster.teams.len()];
-        let mut within: FxHashMap<u32, bool> = FxHashMap::default();
+        let mut within: FxHashMap<JobIndex, bool> = FxHashMap::default();
         for (_, _, ix) in by_age {
             let j = &self.jobs[&ix];
             let t = &context.platform.cluster.teams[j.team];
@@ -33,7 +33,7 @@
         }
         let inherited_urgency = self.inherited_urgency(context);
         let now = context.clock.now();
-        let mut list: Vec<(JobOrder, u32)> = Vec::new();
+        let mut list: Vec<(JobOrder, JobIndex)> = Vec::new();
         let wall = context.clock.wall();
         for (ix, j) in &mut self.jobs {
             let is_paused = j.is_hosted() && context.must_stop(*ix);
@@ -70,7 +70,7 @@
     }
 
     /// What jobs with others behind them inherit from those.
-    fn inherited_urgency(&self, context: &NodeContext) -> FxHashMap<u32, Inherited> {
+    fn inherited_urgency(&self, context: &NodeContext) -> FxHashMap<JobIndex, Inherited> {
         let mut known = FxHashMap::default();
         for ix in self.jobs.keys().filter(|ix| !context.job(**ix).links.dependents.is_empty()) {
             self.inherited(context, *ix, &mut known);
--- a/src/core/leader/pipelines.rs
+++ b/src/core/leader/pipelines.rs
@@ -20,7 +20,7 @@
 use crate::core::common::watch_cache::job_key;
 use crate::core::common::{context::NodeContext, job_records::RecordSource};
 use crate::core::{StoreCallOwner, StoreRequest, StoreResponse};
-use crate::model::{JobSpec, Ms, Priority};
+use crate::model::{JobIndex, JobSpec, Ms, Priority};
 use crate::wire::encoded::Encoded;
 use crate::wire::store::{Compare, CompareAndSwap, JobRecord, JobState, Mutation};
 use rustc_hash::{FxHashMap, FxHashSet};
@@ -34,7 +34,7 @@
 /// Withdrawals that the leader has still to write.
 #[derive(Debug, Default)]
 pub struct Cascade {
-    due: BTreeSet<u32>,
+    due: BTreeSet<JobIndex>,
     busy: bool,
     retry_at: Ms,
 }
@@ -50,7 +50,7 @@
 
 impl Leader {
     /// Notes that a live job is to be withdrawn.
-    pub(super) fn cascade_later(&mut self, ix: u32) {
+    pub(super) fn cascade_later(&mut self, ix: JobIndex) {
         self.cascade.due.insert(ix);
     }
 
@@ -62,7 +62,7 @@
         if c.busy || c.due.is_empty() || context.clock.now() < c.retry_at {
             return;
         }
-        let list: Vec<u32> =
+        let list: Vec<JobIndex> =
             c.due.iter().copied().take(context.platform.cluster.state.txn_ops).collect();
         if !context.can_write(list.len()) {
             return;
@@ -85,7 +85,7 @@
     pub(super) fn on_cascaded(
         &mut self,
         context: &mut NodeContext,
-        list: Vec<u32>,
+        list: Vec<JobIndex>,
         result: StoreResponse,
     ) {
         self.cascade.busy = false;
@@ -114,8 +114,8 @@
     pub(super) fn inherited(
         &self,
         context: &NodeContext,
-        ix: u32,
-        known: &mut FxHashMap<u32, Inherited>,
+        ix: JobIndex,
+        known: &mut FxHashMap<JobIndex, Inherited>,
     ) {
         let mut path = vec![ix];
         // Records of another hand could name each other in a ring.
--- a/src/core/leader/plan.rs
+++ b/src/core/leader/plan.rs
@@ -2,13 +2,13 @@
 //! window rule, and the room that overload rents stay within.
 
 use super::Leader;
-use super::fleet::{Offer, Phase, kind_name};
+use super::fleet::{NO_INSTANCE, Offer, Phase, kind_name};
 use super::free_capacity::{FreeCapacity, may_use};
 use super::quota::quota_tasks;
 use super::zones::Zones;
 use crate::core::common::context::NodeContext;
 use crate::core::common::window::allowed;
-use crate::model::{JobSpec, Resources};
+use crate::model::{JobIndex, JobSpec, Resources, ShardIndex};
 use rustc_hash::{FxHashMap, FxHashSet};
 use std::collections::BTreeMap;
 
@@ -103,7 +103,7 @@
             while n > 0 && left > 0 {
                 let Some(best) = cheapest(&offers, &candidates, n, &zones) else { break };
                 let offer = &mut offers[best];
-                free_capacity.push_to(offer.class, (u32::MAX, 0, offer.capacity));
+                free_capacity.push_to(offer.class, (NO_INSTANCE, ShardIndex::new(0), offer.capacity));
                 offer.planned += 1;
                 left -= 1;
                 let last = free_capacity.list.len() - 1;
@@ -125,7 +125,7 @@
             let Some(t) = context.machine_types.get(r.offer.0) else { continue };
             let class = free_capacity.class_of(r.offer.0, &r.offer.1, r.offer.2, t.capacity);
             for _ in 0..r.count {
-                free_capacity.push_to(class, (u32::MAX, 0, t.capacity));
+                free_capacity.push_to(class, (NO_INSTANCE, ShardIndex::new(0), t.capacity));
             }
         }
         free_capacity
@@ -163,9 +163,9 @@
     /// Waiting jobs with their numbers of tasks. Work with the least choice comes first:
     /// counted onto ordinary machines that are up or coming, work that may use spot ones
     /// would leave the rest without room, and no spot machine would be asked for.
-    fn least_choice_first(&self, context: &NodeContext) -> Vec<(u32, u32)> {
+    fn least_choice_first(&self, context: &NodeContext) -> Vec<(JobIndex, u32)> {
         let waiting = self.fleet.waiting.iter();
-        let mut order: Vec<(bool, usize, u32, u32)> = waiting
+        let mut order: Vec<(bool, usize, JobIndex, u32)> = waiting
             .filter_map(|&(job, n)| {
                 let spec = &self.jobs.get(&job)?.spec;
                 Some((spec.spot, context.machine_types.usable_by(spec).count(), job, n))
--- a/src/core/leader/preemption.rs
+++ b/src/core/leader/preemption.rs
@@ -5,7 +5,7 @@
 use super::live_jobs::LiveJob;
 use super::zones::Zones;
 use crate::core::common::context::NodeContext;
-use crate::model::Resources;
+use crate::model::{InstanceIndex, JobIndex, Resources};
 use rustc_hash::FxHashMap;
 
 /// Tasks stopped to make room in one scheduling cycle.
@@ -22,7 +22,7 @@
         &mut self,
         context: &NodeContext,
         free_capacity: &FreeCapacity,
-        left: &[(u32, u32)],
+        left: &[(JobIndex, u32)],
         mut used: Vec<Resources>,
     ) {
         if context.clock.now() < self.preempt_at || self.attempts.values().any(|a| !a.want && a.counts())
@@ -32,7 +32,7 @@
         let served = self.served();
         let mut budget = MAX_STOPS;
         let age_s = |j: &LiveJob| context.clock.wall().saturating_sub(j.ready_at_ms) as f64 / 1000.0;
-        let old: Vec<u32> = left
+        let old: Vec<JobIndex> = left
             .iter()
             .filter(|(ix, _)| {
                 self.jobs.get(ix).is_some_and(|j| age_s(j) >= context.operator.preempt_after_s)
@@ -42,7 +42,7 @@
         if old.is_empty() {
             return;
         }
-        let mut there: FxHashMap<u32, Vec<u64>> = FxHashMap::default();
+        let mut there: FxHashMap<InstanceIndex, Vec<u64>> = FxHashMap::default();
         for (id, a) in self.attempts.iter().filter(|(_, a)| a.want && !a.bind && a.counts()) {
             if let Some(m) = a.machine {
                 there.entry(m).or_default().push(id);
@@ -105,7 +105,7 @@
             for id in best.map(|(_, l)| l).unwrap_or_default() {
                 let Some(a) = self.attempts.get_mut(id) else { continue };
                 a.want = false;
-                self.shards[a.shard as usize].dirty = true;
+                self.shards[a.shard.place()].dirty = true;
                 if let Some(u) = a.team.and_then(|t| used.get_mut(t)) {
                     u.sub(&a.demand);
                 }
--- a/src/core/leader/progress.rs
+++ b/src/core/leader/progress.rs
@@ -6,7 +6,7 @@
 use crate::core::common::context::NodeContext;
 use crate::core::common::watch_cache::job_key;
 use crate::core::{StoreCallOwner, StoreRequest, StoreResponse};
-use crate::model::Ms;
+use crate::model::{JobIndex, Ms};
 use crate::wire::encoded::Encoded;
 use crate::wire::peer::ReportedPhase;
 use crate::wire::store::{Compare, CompareAndSwap, JobRecord, Mutation};
@@ -119,10 +119,10 @@
         let max_ops = context.platform.cluster.state.txn_ops.min(8);
         let mut txn = CompareAndSwap { compares: vec![self.compare_term()], mutations: Vec::new() };
         let mut items = Vec::new();
-        let mut written: Vec<(u32, ProgressSegment)> = Vec::new();
+        let mut written: Vec<(JobIndex, ProgressSegment)> = Vec::new();
         let open = |j: &LiveJob| !j.unrecorded.is_empty() && !j.recording && j.done.len() < j.spec.tasks;
         // Where a change carries the most first.
-        let mut due: Vec<(usize, u32)> =
+        let mut due: Vec<(usize, JobIndex)> =
             self.jobs.iter().filter(|(_, j)| open(j)).map(|(ix, j)| (j.unrecorded.len(), *ix)).collect();
         due.sort_unstable_by(|a, b| b.cmp(a));
         for (_, ix) in due {
@@ -161,8 +161,8 @@
     pub(super) fn on_recorded(
         &mut self,
         context: &mut NodeContext,
-        items: Vec<(u32, Vec<u32>)>,
-        segments: Vec<(u32, ProgressSegment)>,
+        items: Vec<(JobIndex, Vec<u32>)>,
+        segments: Vec<(JobIndex, ProgressSegment)>,
         result: StoreResponse,
     ) {
         let version = match result {
@@ -202,7 +202,7 @@
     /// Reads back the records whose last write had no answer.
     fn reread(&mut self, context: &mut NodeContext) {
         let doubt = |j: &LiveJob| j.segments.iter().find(|(_, v)| v.is_none()).map(|(c, _)| *c);
-        let due: Vec<(u32, ProgressSegment)> = self
+        let due: Vec<(JobIndex, ProgressSegment)> = self
             .jobs
             .iter()
             .filter(|(_, j)| j.recording && !j.rereading)
@@ -224,7 +224,7 @@
     pub(super) fn on_reread(
         &mut self,
         context: &mut NodeContext,
-        job: u32,
+        job: JobIndex,
         segment: ProgressSegment,
         result: StoreResponse,
     ) {
@@ -246,7 +246,7 @@
         self.release_done(job);
     }
 
-    fn finish(&mut self, context: &mut NodeContext, ix: u32) {
+    fn finish(&mut self, context: &mut NodeContext, ix: JobIndex) {
         let Some(j) = self.jobs.get(&ix) else { return };
         let id = context.jobs.id(ix).to_string();
         let key = job_key(&id);
@@ -302,13 +302,13 @@
     }
 
     /// Attempts whose success is recorded may be cleared from the machines.
-    pub(super) fn release_done(&mut self, job: u32) {
+    pub(super) fn release_done(&mut self, job: JobIndex) {
         let Some(j) = self.jobs.get(&job) else { return };
         for id in self.attempts.of_job(job) {
             let Some(a) = self.attempts.get_mut(id) else { continue };
             if a.want && a.state == ReportedPhase::Done && j.recorded.contains(a.task) {
                 a.want = false;
-                self.shards[a.shard as usize].dirty = true;
+                self.shards[a.shard.place()].dirty = true;
             }
         }
     }
@@ -324,7 +324,7 @@
 
 fn push_chunks(
     context: &NodeContext,
-    ix: u32,
+    ix: JobIndex,
     j: &mut LiveJob,
     segments: &BTreeSet<ProgressSegment>,
     txn: &mut CompareAndSwap,
--- a/src/core/leader/rebuild.rs
+++ b/src/core/leader/rebuild.rs
@@ -6,7 +6,7 @@
 use super::{FleetRecord, Leader, LeaderCall, Loading};
 use crate::core::common::context::NodeContext;
 use crate::core::{StoreCallOwner, StoreRequest, StoreResponse};
-use crate::model::Resources;
+use crate::model::{Resources, ShardIndex};
 use crate::wire::peer::ReportedPhase;
 use crate::wire::store::{PlacementRecord, RecordedMachine};
 use woadlever_recovery::ledger::{self, AttemptDisposition};
@@ -106,7 +106,7 @@
                     AttemptView {
                         job,
                         task,
-                        shard: b as u32,
+                        shard: ShardIndex::at(b),
                         machine: Some(ix),
                         bind: false,
                         want: true,
--- a/src/core/leader/reconciliation.rs
+++ b/src/core/leader/reconciliation.rs
@@ -7,7 +7,7 @@
 use crate::core::common::context::NodeContext;
 use crate::core::common::shard_map::KnownOwner;
 use crate::core::common::task_counts::TaskCount;
-use crate::model::{Ms, Resources};
+use crate::model::{InstanceIndex, JobIndex, Ms, Resources, ShardIndex};
 use crate::wire::peer::{
     DesiredJob, DesiredState, PeerMessage, ReportedJob, ReportedPhase, ReportedState, ReportedTask,
 };
@@ -21,11 +21,11 @@
 const MAX_TASK_COUNTS: usize = 2_000;
 
 /// What a block's state message wants of each job: (task, attempt, bind).
-type DesiredJobs = BTreeMap<u32, Vec<(u32, u64, bool)>>;
+type DesiredJobs = BTreeMap<JobIndex, Vec<(u32, u64, bool)>>;
 
 /// A job of a holder's state message, looked up once for all its tasks.
 pub(super) struct TaskOf {
-    job: u32,
+    job: JobIndex,
     team: Option<usize>,
     demand: Resources,
 }
@@ -42,8 +42,9 @@
 
 impl Leader {
     pub fn on_reported_state(&mut self, context: &mut NodeContext, from: &str, h: ReportedState) {
-        let Some(b) = self.shards.get(h.shard as usize) else { return };
-        let shard_owner = context.shards.owner(h.shard as usize);
+        let shard = ShardIndex::new(h.shard);
+        let Some(b) = self.shards.get(shard.place()) else { return };
+        let shard_owner = context.shards.owner(shard.place());
         if !self.active
             || h.term != self.term
             || h.fencing_token != b.fencing_token
@@ -52,30 +53,30 @@
             return;
         }
         if !b.shown {
-            self.shards[h.shard as usize].shown = true;
+            self.shards[shard.place()].shown = true;
             self.cycle_due = true;
         }
         let mut listed: FxHashSet<u64> = FxHashSet::default();
-        let zone = context.shards[h.shard as usize].zone.clone();
+        let zone = context.shards[shard.place()].zone.clone();
         let jobs: Vec<TaskOf> = h.jobs.iter().map(|j| TaskOf::new(context, j)).collect();
         for m in &h.machines {
             let type_name = h.types.get(m.machine_type as usize).map_or("", String::as_str);
             let ix = self.fleet.heard(context, m, type_name, &zone);
             if let Some(m) = self.fleet.machines.get(ix)
-                && m.shard != h.shard
+                && m.shard != shard
             {
                 continue;
             }
             for t in &m.tasks {
                 let Some(of) = jobs.get(t.job as usize) else { continue };
                 listed.insert(t.attempt);
-                self.take_task(context, h.shard, ix, of, t);
+                self.take_task(context, shard, ix, of, t);
             }
         }
         let gone: Vec<u64> = self
             .attempts
             .iter()
-            .filter(|(_, a)| a.shard == h.shard)
+            .filter(|(_, a)| a.shard == shard)
             .filter(|(id, a)| ledger::is_gone(listed.contains(id), a.named_in, h.echo))
             .map(|(id, _)| id)
             .collect();
@@ -89,8 +90,8 @@
     pub(super) fn take_task(
         &mut self,
         context: &mut NodeContext,
-        shard: u32,
-        machine: u32,
+        shard: ShardIndex,
+        machine: InstanceIndex,
         of: &TaskOf,
         t: &ReportedTask,
     ) {
@@ -123,7 +124,7 @@
                     named_in: None,
                 },
             );
-            self.shards[shard as usize].dirty = true;
+            self.shards[shard.place()].dirty = true;
         }
         let Some(a) = self.attempts.get_mut(t.attempt) else { return };
         if a.machine != Some(machine) || a.bind {
@@ -153,12 +154,12 @@
                     }
                 } else if j.recorded.contains(t.task) {
                     a.want = false;
-                    self.shards[shard as usize].dirty = true;
+                    self.shards[shard.place()].dirty = true;
                 }
             }
             ReportedPhase::Failed => {
                 a.want = false;
-                self.shards[shard as usize].dirty = true;
+                self.shards[shard.place()].dirty = true;
                 if let Some(j) = self.jobs.get_mut(&job) {
                     j.fails += 1;
                     j.failed_on.insert(machine);
@@ -174,7 +175,7 @@
             }
             ReportedPhase::Stopped | ReportedPhase::Refused => {
                 a.want = false;
-                self.shards[shard as usize].dirty = true;
+                self.shards[shard.place()].dirty = true;
             }
             _ => {}
         }
@@ -182,7 +183,7 @@
 
     pub(super) fn send_desired_states(&mut self, context: &mut NodeContext) {
         let now = context.clock.now();
-        let mut due: Vec<u32> = Vec::new();
+        let mut due: Vec<ShardIndex> = Vec::new();
         for (b, lb) in self.shards.iter_mut().enumerate() {
             let gap = context.load_adjusted_gap(DESIRED_GAP_MS, lb.size);
             let at = lb.sent_at + if lb.dirty { gap } else { DESIRED_EVERY_MS.max(gap) };
@@ -191,7 +192,7 @@
                 lb.sent_at = now;
                 lb.serial += 1;
                 lb.gone.retain(|(_, at)| at + 30_000 > now);
-                due.push(b as u32);
+                due.push(ShardIndex::at(b));
             }
         }
         if due.is_empty() {
@@ -199,14 +200,14 @@
         }
         let mut jobs: Vec<DesiredJobs> = vec![BTreeMap::new(); self.shards.len()];
         for (id, a) in self.attempts.iter_mut().filter(|(_, a)| due.contains(&a.shard)) {
-            let b = a.shard as usize;
+            let b = a.shard.place();
             a.named_in.get_or_insert(self.shards[b].serial);
             if a.want {
                 jobs[b].entry(a.job).or_default().push((a.task, id, a.bind));
             }
         }
         let mut wishes = self.fleet.wishes(context);
-        for b in due.into_iter().map(|b| b as usize) {
+        for b in due.into_iter().map(ShardIndex::place) {
             let wishes = std::mem::take(&mut wishes[b]);
             let Some(KnownOwner { record: rec, fencing_token }) = context.shards.owner(b).cloned()
             else {
@@ -250,7 +251,7 @@
             return;
         }
         self.counts_at = context.clock.now();
-        let mut running: FxHashMap<u32, u32> = FxHashMap::default();
+        let mut running: FxHashMap<JobIndex, u32> = FxHashMap::default();
         for a in self.attempts.values().filter(|a| a.state == ReportedPhase::Running) {
             *running.entry(a.job).or_default() += 1;
         }
--- a/src/core/leader/scheduling_cycle.rs
+++ b/src/core/leader/scheduling_cycle.rs
@@ -10,6 +10,7 @@
 use super::quota::quota_tasks;
 use super::zones::Zones;
 use crate::core::common::context::NodeContext;
+use crate::model::{JobIndex, ShardIndex};
 use rustc_hash::FxHashSet;
 use std::collections::BTreeMap;
 
@@ -29,9 +30,9 @@
         let mut free_capacity = self.free_capacity(context);
         let mut used = self.team_use(context);
         let mut granted = 0;
-        let mut left: Vec<(u32, u32)> = Vec::new();
+        let mut left: Vec<(JobIndex, u32)> = Vec::new();
         let starving = self.starving(context, &order);
-        let order: Vec<u32> = starving.iter().chain(order.iter()).copied().collect();
+        let order: Vec<JobIndex> = starving.iter().chain(order.iter()).copied().collect();
         for (place, ix) in order.into_iter().enumerate() {
             let Some(j) = self.jobs.get(&ix) else { continue };
             let spec = j.spec.clone();
@@ -99,11 +100,11 @@
     /// every few scheduling cycles the longest waiting of all. The order by aims puts late
     /// work and low priorities last without end; this brings each job to its
     /// start, and then on, whatever the burst.
-    fn starving(&mut self, context: &NodeContext, order: &[u32]) -> Vec<u32> {
+    fn starving(&mut self, context: &NodeContext, order: &[JobIndex]) -> Vec<JobIndex> {
         self.cycles += 1;
         let age_s = |j: &LiveJob| context.clock.wall().saturating_sub(j.ready_at_ms) as f64 / 1000.0;
         let served = self.served();
-        let mut old: Vec<(u64, u32)> = order
+        let mut old: Vec<(u64, JobIndex)> = order
             .iter()
             .filter_map(|ix| Some((self.jobs.get(ix)?, *ix)))
             .filter(|(j, _)| age_s(j) >= context.operator.starve_after_s)
@@ -112,9 +113,9 @@
         old.sort_unstable();
         let oldest = old.first().map(|(_, ix)| *ix).filter(|_| self.cycles.is_multiple_of(OLDEST_EVERY));
         let unserved =
-            |ix: &u32| !served.contains(ix) && self.jobs.get(ix).is_some_and(|j| j.done.is_empty());
+            |ix: &JobIndex| !served.contains(ix) && self.jobs.get(ix).is_some_and(|j| j.done.is_empty());
         let mut teams: FxHashSet<usize> = FxHashSet::default();
-        let mut out: Vec<u32> = old
+        let mut out: Vec<JobIndex> = old
             .iter()
             .map(|(_, ix)| *ix)
             .filter(unserved)
@@ -125,7 +126,7 @@
     }
 
     /// Jobs with a task that is or may be on a machine.
-    pub(super) fn served(&self) -> FxHashSet<u32> {
+    pub(super) fn served(&self) -> FxHashSet<JobIndex> {
         self.attempts.values().filter(|a| a.counts()).map(|a| a.job).collect()
     }
 
@@ -135,10 +136,10 @@
         &mut self,
         context: &NodeContext,
         free_capacity: &FreeCapacity,
-        left: &[(u32, u32)],
+        left: &[(JobIndex, u32)],
     ) {
-        let mut lists: Vec<Vec<(u32, u32)>> = vec![Vec::new(); self.shards.len()];
-        let mut counts: BTreeMap<(usize, u32), u32> = BTreeMap::new();
+        let mut lists: Vec<Vec<(JobIndex, u32)>> = vec![Vec::new(); self.shards.len()];
+        let mut counts: BTreeMap<(usize, ShardIndex), u32> = BTreeMap::new();
         for r in &free_capacity.list {
             *counts.entry((r.class, r.shard)).or_default() += 1;
         }
@@ -149,7 +150,7 @@
             let mut able = vec![0u32; self.shards.len()];
             for ((class, shard), n) in &counts {
                 if will_do[*class] {
-                    able[*shard as usize] += n;
+                    able[shard.place()] += n;
                 }
             }
             let sum: u32 = able.iter().sum();
--- a/src/core/leader/shards.rs
+++ b/src/core/leader/shards.rs
@@ -6,7 +6,7 @@
 use crate::core::common::shard_map::KnownOwner;
 use crate::core::common::watch_cache::shard_key;
 use crate::core::{StoreCallOwner, StoreRequest};
-use crate::model::Ms;
+use crate::model::{JobIndex, Ms, ShardIndex};
 use crate::wire::encoded::Encoded;
 use crate::wire::store::{Compare, CompareAndSwap, Mutation, ShardRecord};
 
@@ -30,7 +30,7 @@
     /// The present holder has shown its whole state message.
     pub shown: bool,
     pub gone: Vec<(String, Ms)>,
-    pub waiting: Vec<(u32, u32)>,
+    pub waiting: Vec<(JobIndex, u32)>,
     pub(super) writing: bool,
     pub(super) retry_at: Ms,
 }
@@ -64,7 +64,7 @@
                 self.shards[b].fencing_token = fencing_token;
                 self.shards[b].shown = false;
                 self.shards[b].dirty = true;
-                for a in self.attempts.values_mut().filter(|a| a.shard == b as u32) {
+                for a in self.attempts.values_mut().filter(|a| a.shard.place() == b) {
                     // The new holder knows only what is in the records.
                     a.bind = false;
                     a.named_in = None;
@@ -116,7 +116,7 @@
             };
             self.shards[b].writing = true;
             context.send_store_request(
-                StoreCallOwner::Leader(LeaderCall::AssignShard { shard: b as u32 }),
+                StoreCallOwner::Leader(LeaderCall::AssignShard { shard: ShardIndex::at(b) }),
                 StoreRequest::CompareAndSwap(txn),
             );
         }
--- a/src/core/leader/zones.rs
+++ b/src/core/leader/zones.rs
@@ -2,7 +2,7 @@
 
 use super::Leader;
 use crate::core::common::context::NodeContext;
-use crate::model::JobSpec;
+use crate::model::{JobIndex, JobSpec};
 use crate::wire::peer::ReportedPhase;
 use rustc_hash::FxHashMap;
 
@@ -14,7 +14,7 @@
 }
 
 impl Zones {
-    pub fn of(context: &NodeContext, l: &Leader, ix: u32, spec: &JobSpec) -> Zones {
+    pub fn of(context: &NodeContext, l: &Leader, ix: JobIndex, spec: &JobSpec) -> Zones {
         let mut z = Zones {
             one: spec.one_zone,
             most: spec.spread.then(|| spec.tasks.div_ceil(2)),
@@ -24,7 +24,7 @@
             // By block, which lies in one zone: the machine itself may be unknown
             // to a leader that has just begun.
             for a in l.attempts.values().filter(|a| a.job == ix && a.state != ReportedPhase::Done) {
-                if let Some(b) = context.shards.get(a.shard as usize) {
+                if let Some(b) = context.shards.get(a.shard.place()) {
                     z.add(&b.zone);
                 }
             }
--- a/src/core/shard_owner/binding.rs
+++ b/src/core/shard_owner/binding.rs
@@ -5,7 +5,7 @@
 use super::placement_records;
 use crate::core::common::context::NodeContext;
 use crate::core::common::window;
-use crate::model::{Ms, Resources};
+use crate::model::{JobIndex, MachineIndex, Ms, Resources, ShardIndex};
 use crate::wire::store::JobState;
 use woadlever_recovery::attempt::AttemptPhase;
 
@@ -14,7 +14,7 @@
 
 /// A machine that may take tasks, with what is free on it.
 pub(super) struct BindCandidate {
-    index: u32,
+    index: MachineIndex,
     kind: usize,
     capacity: Resources,
 }
@@ -22,7 +22,7 @@
 /// A task that the leader allows to bind.
 pub(super) struct Granted {
     pub(super) id: u64,
-    pub(super) job: u32,
+    pub(super) job: JobIndex,
     pub(super) task: u32,
     /// Expected run time.
     pub(super) expected: Ms,
@@ -30,7 +30,7 @@
 
 impl ShardOwner {
     /// Machines of a block that may take tasks now, with what is free on them.
-    pub(super) fn free_machines(&self, context: &NodeContext, shard: u32) -> Vec<BindCandidate> {
+    pub(super) fn free_machines(&self, context: &NodeContext, shard: ShardIndex) -> Vec<BindCandidate> {
         let able = |m: &Machine| m.shard == shard && m.takes_tasks(context);
         let mut free = Vec::new();
         for (index, m) in self.machines.iter().filter(|(_, m)| able(m)) {
@@ -47,7 +47,7 @@
     pub(super) fn bind(
         &mut self,
         context: &NodeContext,
-        shard: u32,
+        shard: ShardIndex,
         granted: &Granted,
         free: &mut [BindCandidate],
     ) -> bool {
@@ -58,7 +58,7 @@
             return false;
         };
         let demand = spec.demand();
-        let Some(h) = &mut self.shards[shard as usize] else { return false };
+        let Some(h) = &mut self.shards[shard.place()] else { return false };
         let mut best: Option<(f64, usize)> = None;
         for (place, candidate) in free.iter().enumerate() {
             if !demand.fits_within(&candidate.capacity) {
--- a/src/core/shard_owner/desired_state.rs
+++ b/src/core/shard_owner/desired_state.rs
@@ -4,7 +4,7 @@
 use super::machine::{Attempt, Machine};
 use super::{Load, ShardOwner, placement_records};
 use crate::core::common::context::NodeContext;
-use crate::model::Ms;
+use crate::model::{JobIndex, Ms, ShardIndex};
 use crate::wire::peer::DesiredState;
 use rustc_hash::{FxHashMap, FxHashSet};
 use woadlever_recovery::attempt;
@@ -29,7 +29,8 @@
     }
 
     pub(super) fn take_desired_state(&mut self, context: &mut NodeContext, w: DesiredState) {
-        let b = w.shard as usize;
+        let shard = ShardIndex::new(w.shard);
+        let b = shard.place();
         let Some(h) = &mut self.shards[b] else { return };
         if h.fencing_token != w.fencing_token {
             return;
@@ -37,7 +38,7 @@
         h.term = w.term;
         h.echo = w.serial;
         h.dirty = true;
-        let mut wanted: FxHashMap<u64, (u32, u32, bool, Ms)> = FxHashMap::default();
+        let mut wanted: FxHashMap<u64, (JobIndex, u32, bool, Ms)> = FxHashMap::default();
         // The leader takes what our next state message leaves out for never bound and
         // puts it elsewhere. So a task whose job is yet unknown here is refused
         // for good: bound with a later state message, it would run twice.
@@ -56,7 +57,7 @@
         h.waiting =
             w.waiting.iter().filter_map(|x| Some((context.job_index(&x.job)?, x.count))).collect();
         for name in &w.gone {
-            self.forget_machine(context, name, w.shard);
+            self.forget_machine(context, name, shard);
         }
         let cordoned: FxHashSet<&str> = w.cordoned.iter().map(String::as_str).collect();
         let decommission: FxHashSet<&str> = w.decommission.iter().map(|r| r.machine.as_str()).collect();
@@ -67,7 +68,7 @@
             }
             let fencing_token = w.fencing_token;
             let (_, m) = self.machines.get_or_insert_with(&r.machine, || {
-                let mut m = Machine::blank(&r.machine, w.shard, fencing_token);
+                let mut m = Machine::blank(&r.machine, shard, fencing_token);
                 m.type_name = r.machine_type.clone();
                 m.zone = r.zone.clone();
                 m.spot = r.spot;
@@ -76,7 +77,7 @@
             m.decommission = true;
         }
         let mut known: FxHashSet<u64> = FxHashSet::default();
-        for m in self.machines.values_mut().filter(|m| m.shard == w.shard) {
+        for m in self.machines.values_mut().filter(|m| m.shard == shard) {
             m.cordoned = cordoned.contains(m.name.as_str());
             m.decommission = m.terminating_recorded || decommission.contains(m.name.as_str());
             m.quarantined = quarantined.contains(m.name.as_str());
@@ -106,24 +107,24 @@
             .collect();
         granted.sort_unstable_by_key(|granted| granted.id);
         if !granted.is_empty() {
-            self.bind_all(context, w.shard, &granted);
+            self.bind_all(context, shard, &granted);
         }
     }
 
-    fn bind_all(&mut self, context: &NodeContext, shard: u32, granted: &[Granted]) {
+    fn bind_all(&mut self, context: &NodeContext, shard: ShardIndex, granted: &[Granted]) {
         let mut free = self.free_machines(context, shard);
         for task in granted {
-            let rejected = self.shards[shard as usize].as_ref().map(|h| h.rejected.contains(&task.id));
+            let rejected = self.shards[shard.place()].as_ref().map(|h| h.rejected.contains(&task.id));
             if rejected != Some(false) || self.bind(context, shard, task, &mut free) {
                 continue;
             }
-            if let Some(h) = &mut self.shards[shard as usize] {
+            if let Some(h) = &mut self.shards[shard.place()] {
                 h.rejected.insert(task.id);
             }
         }
     }
 
-    fn forget_machine(&mut self, context: &mut NodeContext, name: &str, shard: u32) {
+    fn forget_machine(&mut self, context: &mut NodeContext, name: &str, shard: ShardIndex) {
         if !self.gone.insert(name) {
             return;
         }
@@ -132,7 +133,7 @@
         if let Some(held) = &m.held {
             context.respond_unavailable(held.request_id, "this machine has been returned");
         }
-        if let Some(h) = &mut self.shards[shard as usize] {
+        if let Some(h) = &mut self.shards[shard.place()] {
             h.note_gone_attempts(m.attempts.iter().map(|a| (a.id, a.record)), context.clock.now());
             placement_records::mark_stale(h, m.record, context.clock.now());
         }
--- a/src/core/shard_owner/direct_commands.rs
+++ b/src/core/shard_owner/direct_commands.rs
@@ -4,7 +4,7 @@
 use super::machine::{Attempt, Machine};
 use crate::core::Output;
 use crate::core::common::context::NodeContext;
-use crate::model::Ms;
+use crate::model::{JobIndex, Ms};
 use crate::wire::workers::{Command, CommandAction, DirectCommands};
 use rustc_hash::FxHashSet;
 use woadlever_recovery::attempt;
@@ -19,7 +19,7 @@
     /// report waits for an answer: one that still waits for its image would start
     /// before the next report, and machines whose reports reach nobody would go on.
     pub(super) fn stop_cancelled(&mut self, context: &mut NodeContext) {
-        let jobs: FxHashSet<u32> = context.jobs.take_newly_cancelled().into_iter().collect();
+        let jobs: FxHashSet<JobIndex> = context.jobs.take_newly_cancelled().into_iter().collect();
         if jobs.is_empty() {
             return;
         }
--- a/src/core/shard_owner/loading.rs
+++ b/src/core/shard_owner/loading.rs
@@ -5,7 +5,7 @@
 use super::{Load, ShardOwner, ShardOwnerCall, place_prefix, reconciliation};
 use crate::core::common::context::NodeContext;
 use crate::core::{StoreCallOwner, StoreRequest, StoreResponse};
-use crate::model::Resources;
+use crate::model::{Resources, ShardIndex};
 use crate::wire::store::{KeyValue, PlacementRecord, RecordedMachine};
 use woadlever_recovery::attempt::AttemptPhase;
 
@@ -14,7 +14,7 @@
     fn load_record(
         &mut self,
         context: &mut NodeContext,
-        shard: u32,
+        shard: ShardIndex,
         fencing_token: u64,
         item: KeyValue,
     ) {
@@ -25,7 +25,7 @@
             tracing::error!(key = item.key, "unreadable record");
             return;
         };
-        if let Some(h) = &mut self.shards[shard as usize] {
+        if let Some(h) = &mut self.shards[shard.place()] {
             while h.records.len() <= number as usize {
                 h.records.push(HeldRecord::new(0, 0));
             }
@@ -39,7 +39,7 @@
                 *m = Machine::blank(&row.0, shard, fencing_token);
             }
             m.type_name = rec.types.get(row.1 as usize).cloned().unwrap_or_default();
-            m.zone = context.shards[shard as usize].zone.clone();
+            m.zone = context.shards[shard.place()].zone.clone();
             m.spot = row.is(RecordedMachine::SPOT);
             m.terminating_recorded |= row.is(RecordedMachine::TERMINATING);
             m.decommission |= m.terminating_recorded;
@@ -57,7 +57,7 @@
                     m.attempts.push(new);
                     continue;
                 };
-                if let Some(h) = &mut self.shards[shard as usize] {
+                if let Some(h) = &mut self.shards[shard.place()] {
                     placement_records::mark_stale(h, [old.record], context.clock.now());
                 }
                 (old.record, old.moving) = (number, None);
@@ -68,11 +68,11 @@
     pub(super) fn on_load(
         &mut self,
         context: &mut NodeContext,
-        shard: u32,
+        shard: ShardIndex,
         fencing_token: u64,
         result: StoreResponse,
     ) {
-        let Some(h) = self.shards[shard as usize].as_mut().filter(|h| h.fencing_token == fencing_token)
+        let Some(h) = self.shards[shard.place()].as_mut().filter(|h| h.fencing_token == fencing_token)
         else {
             return;
         };
@@ -86,20 +86,20 @@
             self.load_record(context, shard, fencing_token, i);
         }
         if p.more && last.is_some() {
-            let prefix = place_prefix(&context.shards[shard as usize].name);
+            let prefix = place_prefix(&context.shards[shard.place()].name);
             context.send_store_request(
                 StoreCallOwner::ShardOwner(ShardOwnerCall::Load { shard, fencing_token }),
                 StoreRequest::List { prefix, since: last, most: 1000 },
             );
             return;
         }
-        if let Some(h) = self.shards[shard as usize].as_mut() {
+        if let Some(h) = self.shards[shard.place()].as_mut() {
             let of_block = self.machines.values().filter(|m| m.shard == shard);
             let recorded: usize = of_block.map(Machine::unreconciled_attempts).sum();
             h.load = Load::Done;
             h.recovery.records_read(revision, recorded as u32);
             h.dirty = true;
-            reconciliation::log_phase(context, shard as usize, h.fencing_token, &h.recovery);
+            reconciliation::log_phase(context, shard.place(), h.fencing_token, &h.recovery);
         }
     }
 }
--- a/src/core/shard_owner/machine.rs
+++ b/src/core/shard_owner/machine.rs
@@ -2,18 +2,18 @@
 
 use crate::core::common::context::NodeContext;
 use crate::core::common::named_table::NamedTable;
-use crate::model::{Ms, Resources};
+use crate::model::{JobIndex, MachineIndex, Ms, Resources, ShardIndex};
 use crate::wire::workers::Command;
 use woadlever_recovery::attempt::{AttemptPhase, AttemptState};
 use woadlever_recovery::worker::{HeartbeatVersion, WorkerLiveness};
 
 /// Machines of the blocks held here.
-pub type Machines = NamedTable<Machine>;
+pub type Machines = NamedTable<MachineIndex, Machine>;
 
 /// An attempt at a task that may be on a machine.
 #[derive(Debug)]
 pub struct Attempt {
-    pub job: u32,
+    pub job: JobIndex,
     pub task: u32,
     pub id: u64,
     pub demand: Resources,
@@ -62,7 +62,7 @@
     pub type_name: String,
     pub(super) zone: String,
     pub spot: bool,
-    pub shard: u32,
+    pub shard: ShardIndex,
     pub fencing_token: u64,
     /// What its reports and our answers prove.
     pub(super) worker: WorkerLiveness,
@@ -97,7 +97,7 @@
 
 impl Machine {
     /// A machine of which nothing is known yet.
-    pub(super) fn blank(name: &str, shard: u32, fencing_token: u64) -> Machine {
+    pub(super) fn blank(name: &str, shard: ShardIndex, fencing_token: u64) -> Machine {
         Machine {
             name: name.into(),
             addr: String::new(),
--- a/src/core/shard_owner/mod.rs
+++ b/src/core/shard_owner/mod.rs
@@ -23,7 +23,7 @@
 use crate::core::common::context::NodeContext;
 use crate::core::common::recent_names::RecentNames;
 use crate::core::{StoreCallOwner, StoreRequest, StoreResponse};
-use crate::model::Ms;
+use crate::model::{JobIndex, Ms, ShardIndex};
 use crate::wire::peer::DesiredState;
 use desired_state::knows_jobs;
 use machine::Machines;
@@ -45,9 +45,9 @@
 
 #[derive(Debug)]
 pub enum ShardOwnerCall {
-    Load { shard: u32, fencing_token: u64 },
+    Load { shard: ShardIndex, fencing_token: u64 },
     Write(Written),
-    Reread { shard: u32, record: u32, fencing_token: u64 },
+    Reread { shard: ShardIndex, record: u32, fencing_token: u64 },
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -69,7 +69,7 @@
     pub(super) rejected: FxHashSet<u64>,
     /// A state message that speaks of jobs yet unknown here.
     pub(super) parked: Option<(DesiredState, Ms)>,
-    pub(super) waiting: Vec<(u32, u32)>,
+    pub(super) waiting: Vec<(JobIndex, u32)>,
     pub dirty: bool,
     pub(super) sent_at: Ms,
     /// Machines and tasks in the last state message.
@@ -127,7 +127,7 @@
                 continue;
             }
             for ix in self.machines.indices() {
-                if self.machines.get(ix).is_some_and(|m| m.shard == b as u32)
+                if self.machines.get(ix).is_some_and(|m| m.shard.place() == b)
                     && let Some(held) = self.machines.remove(ix).and_then(|m| m.held)
                 {
                     context.respond_unavailable(held.request_id, "the block went to another holder");
@@ -167,7 +167,8 @@
                 && now >= at
             {
                 h.load = Load::Reading;
-                let call = ShardOwnerCall::Load { shard: b as u32, fencing_token: h.fencing_token };
+                let call =
+                    ShardOwnerCall::Load { shard: ShardIndex::at(b), fencing_token: h.fencing_token };
                 let prefix = place_prefix(&context.shards[b].name);
                 context.send_store_request(
                     StoreCallOwner::ShardOwner(call),
@@ -205,7 +206,7 @@
     }
 
     /// Jobs with an attempt on a machine held here.
-    pub(super) fn jobs_in_use(&self) -> impl Iterator<Item = u32> {
+    pub(super) fn jobs_in_use(&self) -> impl Iterator<Item = JobIndex> {
         self.machines.values().flat_map(|m| m.attempts.iter().map(|a| a.job))
     }
 
@@ -215,13 +216,12 @@
                 self.on_load(context, shard, fencing_token, result)
             }
             ShardOwnerCall::Write(w) => {
-                if let Some(h) = &mut self.shards[w.shard as usize] {
+                if let Some(h) = &mut self.shards[w.shard.place()] {
                     placement_records::on_written(context, h, &mut self.machines, w, result);
                 }
             }
             ShardOwnerCall::Reread { shard, record, fencing_token } => {
-                let h =
-                    self.shards[shard as usize].as_mut().filter(|h| h.fencing_token == fencing_token);
+                let h = self.shards[shard.place()].as_mut().filter(|h| h.fencing_token == fencing_token);
                 if let Some(h) = h {
                     placement_records::on_reread(
                         context,
--- a/src/core/shard_owner/placement_records.rs
+++ b/src/core/shard_owner/placement_records.rs
@@ -22,7 +22,7 @@
 use crate::core::common::context::NodeContext;
 use crate::core::common::watch_cache::{LEADER, shard_key};
 use crate::core::{StoreCallOwner, StoreRequest, StoreResponse};
-use crate::model::{Ms, Resources};
+use crate::model::{JobIndex, MachineIndex, Ms, Resources, ShardIndex};
 use crate::wire::encoded::Encoded;
 use crate::wire::store::{
     Compare, CompareAndSwap, JobState, Mutation, PlacementRecord, RecordedMachine,
@@ -61,7 +61,7 @@
     pub stale: Option<Ms>,
     /// At most so many bytes long, with all that waits to be written.
     bytes: usize,
-    jobs: FxHashSet<u32>,
+    jobs: FxHashSet<JobIndex>,
     /// Its record was read, and is longer than a write may be.
     long: bool,
 }
@@ -89,7 +89,7 @@
 /// One write under way.
 #[derive(Debug)]
 pub struct Written {
-    pub shard: u32,
+    pub shard: ShardIndex,
     pub record: u32,
     fencing_token: u64,
     /// Attempts whose `run` may go out once this is on record.
@@ -97,7 +97,7 @@
     /// Copied from longer records.
     pub(super) moved: FxHashSet<u64>,
     /// What the record says of machines whose own state is on it.
-    pub(super) flags: FxHashMap<u32, u8>,
+    pub(super) flags: FxHashMap<MachineIndex, u8>,
 }
 
 pub(super) fn limit(context: &NodeContext) -> usize {
@@ -133,7 +133,7 @@
 /// Makes sure that the record which takes what is new has room for one more
 /// attempt. A record whose record lists much that is gone has the room of that,
 /// as its next write leaves it out.
-pub fn open_record(context: &NodeContext, h: &mut OwnedShard, machines: &Machines, shard: u32) {
+pub fn open_record(context: &NodeContext, h: &mut OwnedShard, machines: &Machines, shard: ShardIndex) {
     let most = limit(context);
     let spare = ATTEMPT_BYTES + 2 * MOST_HEADER;
     if h.records.get(h.open as usize).is_some_and(|s| !s.long && s.bytes + spare <= most) {
@@ -141,7 +141,7 @@
     }
     // What each record will hold once it is written anew.
     let mut live = vec![HEAD_BYTES + RECORD_SLACK; h.records.len()];
-    let mut jobs: FxHashSet<(u32, u32)> = FxHashSet::default();
+    let mut jobs: FxHashSet<(u32, JobIndex)> = FxHashSet::default();
     for m in machines.values().filter(|m| m.shard == shard) {
         let mut add = |s: u32, n: usize| {
             if let Some(b) = live.get_mut(s as usize) {
@@ -184,7 +184,13 @@
 
 /// A record that surely has room for one more attempt on this machine: the open
 /// one, or any other that has.
-pub fn reserve(context: &NodeContext, h: &mut OwnedShard, m: &mut Machine, job: u32, team: &str) -> u32 {
+pub fn reserve(
+    context: &NodeContext,
+    h: &mut OwnedShard,
+    m: &mut Machine,
+    job: JobIndex,
+    team: &str,
+) -> u32 {
     let header = job_bytes(context.jobs.id(job), team);
     let row = ATTEMPT_BYTES + machine_bytes(&m.name);
     let most = limit(context);
@@ -237,18 +243,18 @@
     context: &NodeContext,
     h: &mut OwnedShard,
     machines: &mut Machines,
-    shard: u32,
+    shard: ShardIndex,
     record: u32,
 ) {
     let most = limit(context) * 9 / 10;
     let mut bytes = HEAD_BYTES;
-    let mut jobs: FxHashSet<u32> = FxHashSet::default();
+    let mut jobs: FxHashSet<JobIndex> = FxHashSet::default();
     for m in machines.values_mut().filter(|m| m.shard == shard) {
         let row = m.record == Some(record) && (m.cordoned || m.terminating_recorded);
         let here = |a: &&mut Attempt| a.record == record && a.moving.is_none();
         let mut more = machine_bytes(&m.name);
         let mut any = row;
-        let mut new: FxHashSet<u32> = FxHashSet::default();
+        let mut new: FxHashSet<JobIndex> = FxHashSet::default();
         for a in m.attempts.iter_mut().filter(here) {
             any = true;
             more += ATTEMPT_BYTES;
@@ -267,7 +273,7 @@
         if row {
             home(context, h, m);
         }
-        let ids: Vec<(usize, u32, String)> = m
+        let ids: Vec<(usize, JobIndex, String)> = m
             .attempts
             .iter()
             .enumerate()
@@ -283,7 +289,7 @@
 
 /// Whether a long record can't be written yet: it still holds too much, or what
 /// is to leave it does not stand elsewhere.
-fn held_back(context: &NodeContext, machines: &Machines, shard: u32, record: u32) -> bool {
+fn held_back(context: &NodeContext, machines: &Machines, shard: ShardIndex, record: u32) -> bool {
     let ours = || machines.values().filter(|m| m.shard == shard);
     let leaves = |m: &Machine| {
         m.row_from == Some(record) || m.attempts.iter().any(|a| a.record == record && a.moving.is_some())
@@ -298,8 +304,8 @@
 
 /// What a record holds in any case: rows that it may have already, and those
 /// of machines with a state of their own.
-fn due_bytes(machines: &Machines, shard: u32, record: u32, base: u64) -> usize {
-    let mut jobs: FxHashSet<u32> = FxHashSet::default();
+fn due_bytes(machines: &Machines, shard: ShardIndex, record: u32, base: u64) -> usize {
+    let mut jobs: FxHashSet<JobIndex> = FxHashSet::default();
     let mut bytes = HEAD_BYTES;
     for m in machines.values().filter(|m| m.shard == shard) {
         let mut row =
@@ -346,16 +352,16 @@
             continue;
         }
         for s in 0..h.records.len() as u32 {
-            if h.records[s as usize].long && held_back(context, machines, b as u32, s) {
-                spread_out(context, h, machines, b as u32, s);
+            if h.records[s as usize].long && held_back(context, machines, ShardIndex::at(b), s) {
+                spread_out(context, h, machines, ShardIndex::at(b), s);
                 h.records[s as usize].next_at = now + MIN_GAP_MS;
             }
         }
     }
     // What waits, record by record; false: not pressing.
-    let mut needs: FxHashMap<(u32, u32), bool> = FxHashMap::default();
+    let mut needs: FxHashMap<(ShardIndex, u32), bool> = FxHashMap::default();
     for m in machines.values_mut() {
-        let Some(h) = shards[m.shard as usize].as_mut() else { continue };
+        let Some(h) = shards[m.shard.place()].as_mut() else { continue };
         if h.load != Load::Done || h.fencing_token != m.fencing_token {
             continue;
         }
@@ -382,7 +388,7 @@
     for (b, h) in shards.iter_mut().enumerate() {
         let Some(h) = h.as_mut().filter(|h| h.load == Load::Done) else { continue };
         for s in 0..h.records.len() {
-            let key = (b as u32, s as u32);
+            let key = (ShardIndex::at(b), s as u32);
             let record = &mut h.records[s];
             if now < record.retry_at {
                 continue;
@@ -433,10 +439,10 @@
     context: &mut NodeContext,
     h: &mut OwnedShard,
     machines: &mut Machines,
-    (shard, record): (u32, u32),
+    (shard, record): (ShardIndex, u32),
     term: u64,
 ) {
-    let block_name = context.shards[shard as usize].name.clone();
+    let block_name = context.shards[shard.place()].name.clone();
     let key = record_key(&block_name, record);
     let compares = vec![
         Compare { key: LEADER.into(), version: term },
@@ -483,7 +489,7 @@
 fn unwritten_bytes(
     context: &NodeContext,
     machines: &Machines,
-    shard: u32,
+    shard: ShardIndex,
     record: u32,
     done: &Written,
 ) -> usize {
@@ -564,7 +570,7 @@
         }
         StoreResponse::Conflict(keys) => {
             untried(machines, &w);
-            let key = record_key(&context.shards[w.shard as usize].name, w.record);
+            let key = record_key(&context.shards[w.shard.place()].name, w.record);
             record.write = if keys.contains(&key) { Write::OutcomeUnknown } else { Write::Idle };
             record.stale.get_or_insert(context.clock.now());
             record.retry_at = context.clock.now() + context.jitter(80);
@@ -572,7 +578,7 @@
         StoreResponse::Malformed => {
             // Longer than the service takes, whatever the settings say: never
             // again as it is.
-            let key = record_key(&context.shards[w.shard as usize].name, w.record);
+            let key = record_key(&context.shards[w.shard.place()].name, w.record);
             tracing::error!(key, "record rejected; what it holds goes to others");
             record.write = Write::OutcomeUnknown;
             record.long = true;
@@ -590,7 +596,7 @@
     context: &mut NodeContext,
     h: &mut OwnedShard,
     machines: &mut Machines,
-    (shard, record): (u32, u32),
+    (shard, record): (ShardIndex, u32),
     result: StoreResponse,
 ) {
     let Some(state) = h.records.get_mut(record as usize) else { return };
--- a/src/core/shard_owner/reconciliation.rs
+++ b/src/core/shard_owner/reconciliation.rs
@@ -15,7 +15,7 @@
     pub(super) fn check_leases(&mut self, context: &mut NodeContext) {
         let timing = context.timing();
         for m in self.machines.values_mut() {
-            let Some(h) = &mut self.shards[m.shard as usize] else { continue };
+            let Some(h) = &mut self.shards[m.shard.place()] else { continue };
             // A report that waits for its answer is no silence: the first one
             // of a new machine would pass for the end of a lease that never
             // began, and its tasks would be granted again while it got them.
@@ -41,7 +41,7 @@
     pub(super) fn follow_recovery(&mut self, context: &NodeContext) {
         for (b, held) in self.shards.iter_mut().enumerate() {
             let Some(h) = held.as_mut().filter(|h| h.recovery.is_reconciling()) else { continue };
-            let of_block = self.machines.values().filter(|m| m.shard as usize == b);
+            let of_block = self.machines.values().filter(|m| m.shard.place() == b);
             let unreconciled_attempts = of_block.map(Machine::unreconciled_attempts).sum();
             if h.recovery.settle(unreconciled_attempts) {
                 log_phase(context, b, h.fencing_token, &h.recovery);
--- a/src/core/shard_owner/record_draft.rs
+++ b/src/core/shard_owner/record_draft.rs
@@ -5,6 +5,7 @@
 use super::placement_records::{Written, digits, limit, machine_bytes};
 use crate::core::common::context::NodeContext;
 use crate::core::common::watch_cache::job_key;
+use crate::model::{JobIndex, MachineIndex};
 use crate::wire::store::{Compare, PlacementRecord, RecordedJob, RecordedMachine};
 use rustc_hash::{FxHashMap, FxHashSet};
 
@@ -17,11 +18,11 @@
 pub(super) struct RecordDraft {
     pub(super) record: PlacementRecord,
     /// Rows of the record's jobs.
-    pub(super) job_rows: FxHashMap<u32, u32>,
+    pub(super) job_rows: FxHashMap<JobIndex, u32>,
     pub(super) written: Written,
     pub(super) compares: Vec<Compare>,
     /// Jobs with a condition of their own.
-    checked_jobs: FxHashSet<u32>,
+    checked_jobs: FxHashSet<JobIndex>,
     /// Length of the record with all that it holds in any case and what was added.
     bytes: usize,
     /// Whether attempts that are not on record yet may be added.
@@ -48,7 +49,12 @@
     }
 
     /// Adds the machine's own state and its attempts, as far as they belong here.
-    pub(super) fn add_machine(&mut self, context: &NodeContext, index: u32, machine: &mut Machine) {
+    pub(super) fn add_machine(
+        &mut self,
+        context: &NodeContext,
+        index: MachineIndex,
+        machine: &mut Machine,
+    ) {
         let record = self.written.record;
         let own = machine.record == Some(record);
         let flags = if own { state_flags(machine) } else { 0 };
@@ -103,7 +109,7 @@
 
     /// Makes the write depend on the job's record. False: there are more jobs than
     /// a transaction has conditions, and the rest goes with the next.
-    fn check_job(&mut self, context: &NodeContext, job: u32) -> bool {
+    fn check_job(&mut self, context: &NodeContext, job: JobIndex) -> bool {
         if self.checked_jobs.contains(&job) {
             return true;
         }
--- a/src/core/shard_owner/reported_state.rs
+++ b/src/core/shard_owner/reported_state.rs
@@ -6,7 +6,7 @@
 use crate::core::common::context::NodeContext;
 use crate::core::common::leadership::KnownLeader;
 use crate::core::common::window::{self, Booking};
-use crate::model::{MachineType, Ms, Resources};
+use crate::model::{JobIndex, MachineIndex, MachineType, Ms, Resources};
 use crate::wire::peer::{
     PeerMessage, ReportedJob, ReportedMachine, ReportedPhase, ReportedState, ReportedTask,
 };
@@ -24,13 +24,13 @@
 impl ShardOwner {
     /// Each waiting task counts once, on its best-fit machine: the one with the
     /// most room left when earlier ones are counted.
-    fn waiting_on(&self, context: &NodeContext, shard: usize) -> FxHashMap<u32, Resources> {
-        let mut extra: FxHashMap<u32, Resources> = FxHashMap::default();
+    fn waiting_on(&self, context: &NodeContext, shard: usize) -> FxHashMap<MachineIndex, Resources> {
+        let mut extra: FxHashMap<MachineIndex, Resources> = FxHashMap::default();
         let Some(h) = self.shards[shard].as_ref().filter(|h| !h.waiting.is_empty()) else {
             return extra;
         };
-        let mut able: Vec<(u32, &Machine, &MachineType, Resources)> = Vec::new();
-        let ours = |m: &Machine| m.shard as usize == shard && m.takes_tasks(context);
+        let mut able: Vec<(MachineIndex, &Machine, &MachineType, Resources)> = Vec::new();
+        let ours = |m: &Machine| m.shard.place() == shard && m.takes_tasks(context);
         for (ix, m) in self.machines.iter().filter(|(_, m)| ours(m)) {
             if let Some(t) = context.machine_types.index_of(&m.type_name) {
                 able.push((ix, m, &context.machine_types[t], m.used()));
@@ -78,7 +78,7 @@
             }
             let extra = self.waiting_on(context, b);
             let mut changed = false;
-            for (ix, m) in self.machines.iter_mut().filter(|(_, m)| m.shard as usize == b) {
+            for (ix, m) in self.machines.iter_mut().filter(|(_, m)| m.shard.place() == b) {
                 let Some(t) =
                     context.machine_types.index_of(&m.type_name).map(|t| &context.machine_types[t])
                 else {
@@ -133,8 +133,8 @@
                 jobs: Vec::new(),
                 machines: Vec::new(),
             };
-            let mut rows: FxHashMap<u32, u32> = FxHashMap::default();
-            for m in self.machines.values().filter(|m| m.shard as usize == b) {
+            let mut rows: FxHashMap<JobIndex, u32> = FxHashMap::default();
+            for m in self.machines.values().filter(|m| m.shard.place() == b) {
                 let m = reported_machine(context, m, &mut have, &mut rows);
                 have.machines.push(m);
             }
@@ -149,7 +149,7 @@
     context: &NodeContext,
     m: &Machine,
     have: &mut ReportedState,
-    rows: &mut FxHashMap<u32, u32>,
+    rows: &mut FxHashMap<JobIndex, u32>,
 ) -> ReportedMachine {
     let known = have.types.iter().position(|t| *t == m.type_name);
     let machine_type = known.unwrap_or_else(|| {
--- a/src/core/shard_owner/worker_heartbeats.rs
+++ b/src/core/shard_owner/worker_heartbeats.rs
@@ -5,7 +5,7 @@
 use super::reconciliation::reconcile_heartbeat;
 use super::{Load, ShardOwner};
 use crate::core::common::context::NodeContext;
-use crate::model::Ms;
+use crate::model::{MachineIndex, Ms, ShardIndex};
 use crate::wire::store::JobState;
 use crate::wire::workers::{Command, CommandAction, HeartbeatResponse, Redirect, WorkerHeartbeat};
 use woadlever_recovery::attempt::{self, AttemptPhase, JobEligibility, WorkerAction};
@@ -32,7 +32,7 @@
         if !context.is_synced {
             return context.respond_unavailable(request_id, "not yet in touch with the state service");
         }
-        let holds = self.shards[b as usize].as_ref().map(|h| (h.fencing_token, h.load));
+        let holds = self.shards[b.place()].as_ref().map(|h| (h.fencing_token, h.load));
         let Some((fencing_token, load)) = holds else { return redirect(context, request_id, b) };
         if !context.has_control_lease() {
             return context.respond_unavailable(request_id, "no proof of authority");
@@ -67,7 +67,7 @@
         // The worker has given the earlier report up.
         let stale = m.held.take();
         let mut commands = Vec::new();
-        if let Some(h) = &mut self.shards[b as usize] {
+        if let Some(h) = &mut self.shards[b.place()] {
             h.dirty = true;
             // Before the records have been read the report is answered all the same,
             // so that the worker's lease goes on, but without any order.
@@ -89,11 +89,10 @@
 
     /// Answers the report that a machine waits with. What is ordered is
     /// decided now, on what is known now.
-    fn answer_held(&mut self, context: &mut NodeContext, ix: u32) {
+    fn answer_held(&mut self, context: &mut NodeContext, ix: MachineIndex) {
         let Some(m) = self.machines.get_mut(ix) else { return };
         let Some(held) = m.held.take() else { return };
-        let shard =
-            self.shards[m.shard as usize].as_ref().filter(|h| h.fencing_token == m.fencing_token);
+        let shard = self.shards[m.shard.place()].as_ref().filter(|h| h.fencing_token == m.fencing_token);
         let Some(shard) = shard.filter(|_| context.has_control_lease()) else {
             return context.respond_unavailable(held.request_id, "no proof of authority");
         };
@@ -116,7 +115,8 @@
             let Some(held) = &m.held else { return false };
             context.clock.now() >= held.until || m.attempts.iter().any(|a| has_news(context, a))
         };
-        let due: Vec<u32> = self.machines.iter().filter(|(_, m)| due(m)).map(|(ix, _)| ix).collect();
+        let due: Vec<MachineIndex> =
+            self.machines.iter().filter(|(_, m)| due(m)).map(|(ix, _)| ix).collect();
         for ix in due {
             self.answer_held(context, ix);
         }
@@ -166,8 +166,8 @@
     context.respond_unavailable(request_id, why);
 }
 
-fn redirect(context: &mut NodeContext, request_id: u64, shard: u32) {
-    let shard_owner = context.shards.owner(shard as usize).map(|owner| owner.record.node.clone());
+fn redirect(context: &mut NodeContext, request_id: u64, shard: ShardIndex) {
+    let shard_owner = context.shards.owner(shard.place()).map(|owner| owner.record.node.clone());
     match shard_owner {
         Some(node) if node != context.node => {
             context.respond_json(request_id, 421, &Redirect { report_to: Some(node) });
--- a/src/core/user_api.rs
+++ b/src/core/user_api.rs
@@ -16,7 +16,7 @@
 use super::common::watch_cache::job_key;
 use super::common::{context::NodeContext, job_records::RecordSource};
 use super::{StoreCallOwner, StoreRequest, StoreResponse};
-use crate::model::JobSpec;
+use crate::model::{JobIndex, JobSpec};
 use crate::wire::encoded::Encoded;
 use crate::wire::store::{Compare, CompareAndSwap, JobRecord, JobState, Mutation};
 use crate::wire::users::{Invalid, StatusBody, Submission, id_of, parse_job, valid_id};
@@ -474,7 +474,7 @@
 }
 
 /// A job of this cell's users that is in memory.
-fn own_job(context: &NodeContext, id: &str) -> Option<u32> {
+fn own_job(context: &NodeContext, id: &str) -> Option<JobIndex> {
     context.job_index(id).filter(|ix| context.job(*ix).origin().is_none())
 }
 
--- a/src/model/mod.rs
+++ b/src/model/mod.rs
@@ -1,6 +1,7 @@
 //! The words that all other modules share: jobs, resources, machine types, shards and sets
 //! of tasks. Nothing here knows of the core, of wires or of input and output.
 
+mod index;
 mod job_order;
 mod job_spec;
 mod machine_type;
@@ -8,6 +9,7 @@
 mod shard;
 mod task_set;
 
+pub use index::{InstanceIndex, JobIndex, MachineIndex, ShardIndex};
 pub use job_order::JobOrder;
 pub use job_spec::{JobSpec, Priority};
 pub use machine_type::{MachineType, merge_types};
--- a/src/model/shard.rs
+++ b/src/model/shard.rs
@@ -1,5 +1,7 @@
 //! Shards: fixed parts of the machines of one zone.
 
+use super::ShardIndex;
+
 /// One block of machines: a part of one zone.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Shard {
@@ -41,9 +43,9 @@
 }
 
 /// Machine names end in digits that count up, which spreads them evenly.
-pub fn shard_of(shards: &[Shard], zone: &str, machine: &str) -> Option<u32> {
+pub fn shard_of(shards: &[Shard], zone: &str, machine: &str) -> Option<ShardIndex> {
     let digits: String = machine.chars().filter(char::is_ascii_digit).collect();
     let tail = &digits[digits.len().saturating_sub(9)..];
     let number: u32 = tail.parse().unwrap_or(0);
-    shards.iter().position(|b| b.zone == zone && number % b.parts == b.part).map(|ix| ix as u32)
+    shards.iter().position(|b| b.zone == zone && number % b.parts == b.part).map(ShardIndex::at)
 }
--- a/tests/resource_bounds.rs
+++ b/tests/resource_bounds.rs
@@ -8,6 +8,7 @@
 use support::{World, job};
 use woadlever::core::common::named_table::NamedTable;
 use woadlever::core::common::recent_names::RecentNames;
+use woadlever::model::MachineIndex;
 
 #[test]
 fn machines_that_were_returned_leave_nothing_behind() {
@@ -28,7 +29,7 @@
 
 #[test]
 fn a_table_keeps_no_trace_of_what_was_removed_and_uses_no_index_twice() {
-    let mut table: NamedTable<u32> = NamedTable::default();
+    let mut table: NamedTable<MachineIndex, u32> = NamedTable::default();
     let (first, _) = table.get_or_insert_with("a", || 1);
     assert_eq!(table.get_or_insert_with("a", || 2), (first, &mut 1));
     assert_eq!(table.remove(first), Some(1));
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -475,7 +475,7 @@
         let shards = woadlever::model::shards_of(&cfg.cluster.zones, &nodes);
         let w = &self.workers[worker];
         let b = woadlever::model::shard_of(&shards, &w.zone, &w.name).unwrap();
-        let rec = &self.state.keys[&format!("w/block/{}", shards[b as usize].name)].0;
+        let rec = &self.state.keys[&format!("w/block/{}", shards[b.place()].name)].0;
         rec["node"].as_str().unwrap()[1..].parse().unwrap()
     }
 
--- a/tests/units.rs
+++ b/tests/units.rs
@@ -192,7 +192,7 @@
         [("n0", "a"), ("n1", "a"), ("n2", "b")].map(|(n, z)| (n.into(), z.into())).to_vec();
     let shards = shards_of(&zones, &nodes);
     assert_eq!(shards.len(), 4);
-    let in_a: Vec<u32> =
+    let in_a: Vec<_> =
         (0..4).map(|i| shard_of(&shards, "a", &format!("host-{i:06}")).unwrap()).collect();
     assert!(in_a[0] != in_a[1] && in_a[0] == in_a[2]);
     assert!(shard_of(&shards, "c", "host-000001").is_some());
