--- a/src/core/leader/attempts.rs
+++ b/src/core/leader/attempts.rs
@@ -16,20 +16,20 @@
     /// Machine as the holder told, or as this leader guesses.
     pub machine: Option<InstanceIndex>,
     /// The holder may still choose a machine for it.
-    pub bind: bool,
-    pub want: bool,
+    pub may_bind: bool,
+    pub is_wanted: bool,
     pub state: ReportedPhase,
     pub demand: Resources,
     pub team: Option<usize>,
     pub ran_ms: Ms,
     /// Serial of the first message to the holder that named it, under the present
     /// grant.
-    pub named_in: Option<u64>,
+    pub first_named_in: Option<u64>,
 }
 
 impl AttemptView {
     /// Whether it takes, or may take, room and quota.
-    pub fn counts(&self) -> bool {
+    pub fn occupies_capacity(&self) -> bool {
         use ReportedPhase::*;
         matches!(self.state, Bound | Fetching | Running | Saving)
     }
--- a/src/core/leader/cells/capacity.rs
+++ b/src/core/leader/cells/capacity.rs
@@ -3,7 +3,8 @@
 use super::Cells;
 use crate::core::common::context::NodeContext;
 use crate::core::leader::Leader;
-use crate::core::leader::free_capacity::{Class, FreeCapacity};
+use crate::core::leader::fleet::InstanceOffer;
+use crate::core::leader::free_capacity::{FreeCapacity, MachineClass};
 use crate::core::leader::quota::quota_tasks;
 use crate::model::{JobSpec, Ms, Resources};
 use woadlever_cells::routing::{Amount, ClassCapacity, JobShape};
@@ -43,7 +44,7 @@
             return;
         }
         let machines = MIN_RENTABLE.max(leader.fleet.machines.len() as u32);
-        self.capacity = room_to_come(leader, context, machines);
+        self.capacity = upcoming_class_capacity(leader, context, machines);
         for (job, tasks) in &leader.fleet.waiting {
             let Some(job) = leader.jobs.get(job) else { continue };
             let waiting = JobShape { tasks: *tasks, ..shape_of(&job.spec) };
@@ -63,17 +64,25 @@
 
 /// Room by class that is free, or on machines that boot or are asked for, and so many
 /// machines to be rented beside them where the cloud has not refused some a moment ago.
-pub(super) fn room_to_come(leader: &Leader, context: &NodeContext, rentable: u32) -> Vec<ClassCapacity> {
-    let mut capacity = rentable_room(leader, context, rentable);
-    add_rooms(context, &leader.rooms_to_come(context), &mut capacity);
+pub(super) fn upcoming_class_capacity(
+    leader: &Leader,
+    context: &NodeContext,
+    rentable: u32,
+) -> Vec<ClassCapacity> {
+    let mut capacity = rentable_capacity(leader, context, rentable);
+    add_free_capacity(context, &leader.upcoming_capacity(context), &mut capacity);
     capacity
 }
 
-fn add_rooms(context: &NodeContext, free_capacity: &FreeCapacity, capacity: &mut [ClassCapacity]) {
-    let place_of = |class: &Class| {
-        let name = &context.machine_types[class.kind].name;
+fn add_free_capacity(
+    context: &NodeContext,
+    free_capacity: &FreeCapacity,
+    capacity: &mut [ClassCapacity],
+) {
+    let place_of = |class: &MachineClass| {
+        let name = &context.machine_types[class.machine_type].name;
         let is_it = |known: &ClassCapacity| {
-            known.is_spot == class.spot && known.zone == class.zone && known.machine_type == *name
+            known.is_spot == class.is_spot && known.zone == class.zone && known.machine_type == *name
         };
         capacity.iter().position(is_it)
     };
@@ -93,18 +102,22 @@
 }
 
 /// Machines that the cloud may have, by class.
-fn rentable_room(leader: &Leader, context: &NodeContext, rentable: u32) -> Vec<ClassCapacity> {
+fn rentable_capacity(leader: &Leader, context: &NodeContext, rentable: u32) -> Vec<ClassCapacity> {
     let mut capacity = Vec::new();
-    for (kind, machine_type) in context.machine_types.iter().enumerate() {
-        for zone in &machine_type.zones {
+    for (machine_type, known_type) in context.machine_types.iter().enumerate() {
+        for zone in &known_type.zones {
             for is_spot in [false, true] {
-                let refused = leader.fleet.refused.get(&(kind, zone.clone(), is_spot));
+                let refused = leader.fleet.refused.get(&InstanceOffer {
+                    machine_type,
+                    zone: zone.clone(),
+                    is_spot,
+                });
                 let is_refused = refused.is_some_and(|(until, _)| *until > context.clock.now());
                 capacity.push(ClassCapacity {
-                    machine_type: machine_type.name.clone(),
+                    machine_type: known_type.name.clone(),
                     zone: zone.clone(),
                     is_spot,
-                    machine: amount(&machine_type.capacity),
+                    machine: amount(&known_type.capacity),
                     free: Amount::default(),
                     largest: Amount::default(),
                     rentable: if is_refused { 0 } else { rentable },
--- a/src/core/leader/cells/host.rs
+++ b/src/core/leader/cells/host.rs
@@ -102,8 +102,8 @@
     ) {
         let is_listed = listing == Listing::Active;
         let Some(job) = leader.jobs.get_mut(&index) else { return };
-        if (job.standing != JobLocation::Hosted { is_listed }) {
-            job.standing = JobLocation::Hosted { is_listed };
+        if (job.location != JobLocation::Hosted { is_listed }) {
+            job.location = JobLocation::Hosted { is_listed };
             leader.cycle_due = true;
         }
         if is_listed {
@@ -342,7 +342,7 @@
         forwarded.jobs.iter().map(|job| (job.id.as_str(), job)).collect();
     let mut hosted = Vec::new();
     for (index, job) in &leader.jobs {
-        if !matches!(job.standing, JobLocation::Hosted { .. }) {
+        if !matches!(job.location, JobLocation::Hosted { .. }) {
             continue;
         }
         let Some(origin) = context.job(*index).origin().filter(|o| o.cell == cell) else {
--- a/src/core/leader/cells/mod.rs
+++ b/src/core/leader/cells/mod.rs
@@ -246,7 +246,7 @@
     /// Takes in the message of another cell.
     pub fn on_cell_message(&mut self, context: &mut NodeContext, message: CellMessage) {
         // Its own jobs are not known yet; the next message comes soon.
-        if !self.active {
+        if !self.is_active {
             return;
         }
         let Some(mut cells) = self.cells.take() else { return };
--- a/src/core/leader/cells/origin.rs
+++ b/src/core/leader/cells/origin.rs
@@ -105,7 +105,7 @@
             HostedPhase::Live { running, .. } => running_now = running,
             HostedPhase::Refused { .. } | HostedPhase::Released => {}
         }
-        job.standing = JobLocation::Away { running: running_now };
+        job.location = JobLocation::Away { running: running_now };
         if running_now == 0 {
             return;
         }
@@ -167,7 +167,7 @@
                 *hosted_by.entry(forwarding.cell.clone()).or_default() += 1;
             }
         }
-        let mut to_come = capacity::room_to_come(leader, context, 0);
+        let mut to_come = capacity::upcoming_class_capacity(leader, context, 0);
         let waiting: Vec<JobIndex> = leader.fleet.waiting.iter().map(|(job, _)| *job).collect();
         for index in waiting {
             let Some(job) = leader.jobs.get(&index) else { continue };
@@ -233,7 +233,7 @@
             shape_of(spec).reserve(neighbor.capacity_mut());
         }
         if let Some(live) = leader.jobs.get_mut(&index) {
-            live.hold_until = Ms::MAX;
+            live.backoff_until = Ms::MAX;
         }
         let state = ForwardWrite::InFlight;
         let pending = PendingForward { version: job.version, record, state, is_uncertain: false };
@@ -285,7 +285,7 @@
         for index in settled {
             self.pending.remove(&index);
             if let Some(job) = leader.jobs.get_mut(&index) {
-                job.hold_until = 0;
+                job.backoff_until = 0;
             }
         }
     }
@@ -340,7 +340,7 @@
         let reported = neighbor.as_ref().and_then(|n| n.phase_of(id, forwarding.epoch));
         // A cell that the settings no longer name is silent from the start of the term.
         let host_silent_ms =
-            neighbor.as_ref().map_or(now - leader.active_at, |neighbor| neighbor.silent_ms(now));
+            neighbor.as_ref().map_or(now - leader.activated_at, |neighbor| neighbor.silent_ms(now));
         let in_phase_ms = now - observed.since;
         let view =
             ForwardView { phase: forwarding.phase, in_phase_ms, reported, host_silent_ms, idle_ms };
@@ -365,9 +365,9 @@
 /// ever granted, and it belongs here.
 fn may_be_forwarded(leader: &Leader, context: &NodeContext, index: JobIndex, job: &LiveJob) -> bool {
     let waited_ms = context.clock.wall().saturating_sub(job.ready_at_ms);
-    job.standing == JobLocation::Local
+    job.location == JobLocation::Local
         && waited_ms >= context.operator.cells.spill_after_ms
-        && job.hold_until <= context.clock.now()
+        && job.backoff_until <= context.clock.now()
         && job.done.is_empty()
         && !leader.attempts.has_job(index)
         && !context.must_stop(index)
--- a/src/core/leader/fleet/cloud_calls.rs
+++ b/src/core/leader/fleet/cloud_calls.rs
@@ -1,7 +1,10 @@
 //! Calls to the cloud, and what their results say.
 
-use super::machine::{Ask, Phase};
-use super::{CATALOG_EVERY_MS, CloudCall, Fleet, LIST_EVERY_MS, RETURNS_EVERY_MS, kind_name};
+use super::machine::{Ask, InstancePhase};
+use super::{
+    CATALOG_EVERY_MS, CloudCall, Fleet, InstanceOffer, LIST_EVERY_MS, RETURNS_EVERY_MS,
+    machine_type_label,
+};
 use crate::core::common::context::{MAX_RETURNS, NodeContext};
 use crate::core::leader::Leader;
 use crate::core::{CloudRequest, CloudResponse};
@@ -25,16 +28,16 @@
         } else if let Some(r) =
             f.rents.iter_mut().find(|r| r.call.is_none() && now >= r.retry_at && r.count > 0)
         {
-            let (k, zone, spot) = &r.offer;
-            let request_id = RentRequest {
+            let InstanceOffer { machine_type, zone, is_spot } = &r.offer;
+            let rent = RentRequest {
                 request: format!("r-{}-{}", self.term, r.number),
-                machine_type: context.machine_types[*k].name.clone(),
+                machine_type: context.machine_types[*machine_type].name.clone(),
                 zone: zone.clone(),
-                spot: *spot,
+                spot: *is_spot,
                 count: r.count,
             };
             r.call = Some(0);
-            (CloudRequest::Rent(request_id), CloudCall::Rent(r.number))
+            (CloudRequest::Rent(rent), CloudCall::Rent(r.number))
         } else if let Some(terminating) = f.ready_to_return(now) {
             let names = terminating
                 .iter()
@@ -43,7 +46,7 @@
                 .collect();
             for ix in &terminating {
                 if let Some(m) = f.machines.get_mut(*ix) {
-                    m.phase = Phase::Returning;
+                    m.phase = InstancePhase::Terminating;
                 }
             }
             (CloudRequest::Return(ReturnRequest { machines: names }), CloudCall::Return(terminating))
@@ -72,7 +75,7 @@
                 for ix in list {
                     if !ok {
                         if let Some(m) = self.fleet.machines.get_mut(ix) {
-                            m.phase = Phase::Ready;
+                            m.phase = InstancePhase::Drained;
                         }
                         continue;
                     }
@@ -147,11 +150,11 @@
                 } else {
                     self.fleet.refused.remove(&r.offer);
                 }
-                let (k, zone, spot) = &r.offer;
-                let name = context.machine_types[*k].name.clone();
+                let InstanceOffer { machine_type, zone, is_spot } = &r.offer;
+                let name = context.machine_types[*machine_type].name.clone();
                 let mut rented = Vec::new();
                 for machine in a.machines {
-                    let ix = self.fleet.put_known(context, &machine, &name, zone, *spot);
+                    let ix = self.fleet.find_or_add(context, &machine, &name, zone, *is_spot);
                     if let Some(m) = self.fleet.machines.get_mut(ix) {
                         m.since = m.since.min(r.at);
                         m.confirmed = true;
@@ -166,8 +169,8 @@
             CloudResponse::NoCapacity | CloudResponse::Malformed => {
                 let r = self.fleet.rents.remove(i);
                 tracing::info!(
-                    kind = kind_name(context, r.offer.0, r.offer.2),
-                    zone = r.offer.1,
+                    machine_type = machine_type_label(context, r.offer.machine_type, r.offer.is_spot),
+                    zone = r.offer.zone,
                     "no capacity"
                 );
                 self.fleet.refuse(context.clock.now(), &r.offer);
@@ -197,15 +200,15 @@
 
 impl Fleet {
     fn take_listed(&mut self, context: &NodeContext, l: &ListedMachine) {
-        let ix = self.put_known(context, &l.name, &l.machine_type, &l.zone, l.spot);
+        let ix = self.find_or_add(context, &l.name, &l.machine_type, &l.zone, l.spot);
         self.list_seen.insert(ix);
         let Some(m) = self.machines.get_mut(ix) else { return };
         m.confirmed = true;
         m.since = m.since.min(context.clock.now().saturating_sub((l.age_s.max(0.0) * 1000.0) as Ms));
         m.starting = l.state == "starting";
-        if l.state == "failed" && m.phase < Phase::Retiring {
+        if l.state == "failed" && m.phase < InstancePhase::Draining {
             tracing::info!(machine = m.name, "machine has failed");
-            m.phase = Phase::Retiring;
+            m.phase = InstancePhase::Draining;
         }
     }
 
@@ -216,7 +219,7 @@
             return None;
         }
         self.returns_at = now + RETURNS_EVERY_MS;
-        let ready = self.machines.iter().filter(|(_, m)| m.phase == Phase::Ready);
+        let ready = self.machines.iter().filter(|(_, m)| m.phase == InstancePhase::Drained);
         let ready: Vec<InstanceIndex> = ready.map(|(ix, _)| ix).take(MAX_RETURNS).collect();
         (!ready.is_empty()).then_some(ready)
     }
--- a/src/core/leader/fleet/machine.rs
+++ b/src/core/leader/fleet/machine.rs
@@ -1,32 +1,33 @@
 //! A machine of the fleet, as the leader knows it.
 
+use super::InstanceOffer;
 use crate::core::common::context::NodeContext;
 use crate::model::{InstanceIndex, JobIndex, Ms, ShardIndex};
 use rustc_hash::FxHashSet;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Phase {
+pub enum InstancePhase {
     Booting,
-    Up,
+    Ready,
     /// The holder has been asked to make it ready for its return.
-    Retiring,
+    Draining,
     /// `returning` is durable; the cloud may be called.
-    Ready,
-    Returning,
+    Drained,
+    Terminating,
 }
 
 #[derive(Debug)]
 pub struct Instance {
     pub name: String,
-    pub kind: usize,
+    pub machine_type: usize,
     pub zone: String,
-    pub spot: bool,
+    pub is_spot: bool,
     pub shard: ShardIndex,
     pub since: Ms,
     pub(super) heard: Option<Ms>,
     pub preemption_notice: bool,
     pub cordoned: bool,
-    pub phase: Phase,
+    pub phase: InstancePhase,
     pub(super) listed: bool,
     /// A record names it, so it was up, and listed, in an earlier term.
     pub recorded: bool,
@@ -51,12 +52,19 @@
 
 impl Instance {
     /// Whether it is of this kind and not on its way back.
-    pub(super) fn is_usable(&self, kind: usize, spot: bool) -> bool {
-        self.kind == kind && self.spot == spot && self.phase < Phase::Retiring
+    pub(super) fn is_usable(&self, machine_type: usize, is_spot: bool) -> bool {
+        self.machine_type == machine_type
+            && self.is_spot == is_spot
+            && self.phase < InstancePhase::Draining
+    }
+
+    /// The offer that it was rented from.
+    pub(super) fn offer(&self) -> InstanceOffer {
+        InstanceOffer { machine_type: self.machine_type, zone: self.zone.clone(), is_spot: self.is_spot }
     }
 
     pub fn takes_tasks(&self, context: &NodeContext) -> bool {
-        self.phase == Phase::Up
+        self.phase == InstancePhase::Ready
             && !self.cordoned
             && !self.preemption_notice
             && self.confirmed
@@ -73,8 +81,8 @@
     Boot(InstanceIndex),
 }
 
-impl PartialOrd for Phase {
-    fn partial_cmp(&self, o: &Phase) -> Option<std::cmp::Ordering> {
+impl PartialOrd for InstancePhase {
+    fn partial_cmp(&self, o: &InstancePhase) -> Option<std::cmp::Ordering> {
         (*self as u8).partial_cmp(&(*o as u8))
     }
 }
--- a/src/core/leader/fleet/mod.rs
+++ b/src/core/leader/fleet/mod.rs
@@ -11,7 +11,7 @@
 mod upkeep;
 mod window_rule;
 
-pub use machine::Phase;
+pub use machine::InstancePhase;
 
 use super::Leader;
 use super::forecast::History;
@@ -48,13 +48,21 @@
 /// Machines are charged for at least a minute, so younger ones stay.
 const MIN_CHARGE_MS: Ms = 60_000;
 
-/// What can be rented: a type, in a zone, of a kind.
-pub type Offer = (usize, String, bool);
+/// What can be rented: spot or ordinary machines of a type, in a zone.
+#[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub struct InstanceOffer {
+    /// Index of the machine type.
+    pub machine_type: usize,
+    /// The zone.
+    pub zone: String,
+    /// Whether it is for spot machines.
+    pub is_spot: bool,
+}
 
 #[derive(Debug)]
 pub(in crate::core::leader) struct Rent {
     number: u64,
-    pub(in crate::core::leader) offer: Offer,
+    pub(in crate::core::leader) offer: InstanceOffer,
     pub(in crate::core::leader) count: u32,
     call: Option<u64>,
     retry_at: Ms,
@@ -94,7 +102,7 @@
     settled_at: Ms,
     pub(in crate::core::leader) rents: Vec<Rent>,
     next_rent: u64,
-    pub(in crate::core::leader) refused: FxHashMap<Offer, (Ms, Ms)>,
+    pub(in crate::core::leader) refused: FxHashMap<InstanceOffer, (Ms, Ms)>,
     calls: FxHashMap<u64, CloudCall>,
     pace: TokenBucket,
     trouble_until: Ms,
@@ -170,13 +178,13 @@
         }
     }
 
-    pub fn put_known(
+    pub fn find_or_add(
         &mut self,
         context: &NodeContext,
         name: &str,
         type_name: &str,
         zone: &str,
-        spot: bool,
+        is_spot: bool,
     ) -> InstanceIndex {
         // Nearly always it is known: each state message names every machine.
         if let Some(ix) = self.machines.index_of(name) {
@@ -185,20 +193,20 @@
         if self.gone.contains(name) {
             return NO_INSTANCE;
         }
-        let kind = context.machine_types.index_of(type_name);
+        let machine_type = context.machine_types.index_of(type_name);
         let shard = context.shards.shard_of(zone, name);
-        let (Some(kind), Some(shard)) = (kind, shard) else { return NO_INSTANCE };
+        let (Some(machine_type), Some(shard)) = (machine_type, shard) else { return NO_INSTANCE };
         let (ix, _) = self.machines.get_or_insert_with(name, || Instance {
             name: name.into(),
-            kind,
+            machine_type,
             zone: zone.into(),
-            spot,
+            is_spot,
             shard,
             since: context.clock.now(),
             heard: None,
             preemption_notice: false,
             cordoned: false,
-            phase: Phase::Booting,
+            phase: InstancePhase::Booting,
             listed: false,
             recorded: false,
             confirmed: false,
@@ -216,20 +224,20 @@
     }
 
     /// Takes in what a holder says of a machine.
-    pub fn heard(
+    pub fn on_reported_machine(
         &mut self,
         context: &NodeContext,
         h: &ReportedMachine,
         type_name: &str,
         zone: &str,
     ) -> InstanceIndex {
-        let ix = self.put_known(context, &h.machine, type_name, zone, h.spot);
+        let ix = self.find_or_add(context, &h.machine, type_name, zone, h.spot);
         if let Some(m) = self.machines.get_mut(ix) {
             if h.silent_ms != u64::MAX {
                 let at = context.clock.now().saturating_sub(h.silent_ms);
                 m.heard = m.heard.max(Some(at));
-                if m.phase == Phase::Booting {
-                    m.phase = Phase::Up;
+                if m.phase == InstancePhase::Booting {
+                    m.phase = InstancePhase::Ready;
                 }
             }
             m.preemption_notice = h.preemption_notice;
@@ -237,15 +245,20 @@
             m.deaf_since = h.unreachable.then(|| m.deaf_since.unwrap_or(context.clock.now()));
             m.overloaded = h.overloaded;
             m.peak = h.peak;
-            if h.terminating && matches!(m.phase, Phase::Booting | Phase::Up | Phase::Retiring) {
-                m.phase = Phase::Ready;
+            if h.terminating
+                && matches!(
+                    m.phase,
+                    InstancePhase::Booting | InstancePhase::Ready | InstancePhase::Draining
+                )
+            {
+                m.phase = InstancePhase::Drained;
             }
         }
         ix
     }
 
     /// What the leader wants of the machines of each block.
-    pub fn wishes(&self, context: &NodeContext) -> Vec<MachineDirectives> {
+    pub fn directives(&self, context: &NodeContext) -> Vec<MachineDirectives> {
         let mut wishes = vec![MachineDirectives::default(); context.shards.len()];
         for m in self.machines.values() {
             let Some(of_block) = wishes.get_mut(m.shard.place()) else { continue };
@@ -255,16 +268,16 @@
             if m.quarantined_until > context.clock.now() {
                 of_block.quarantined.push(m.name.clone());
             }
-            if m.phase >= Phase::Retiring {
+            if m.phase >= InstancePhase::Draining {
                 of_block.decommission.push(Decommission {
                     machine: m.name.clone(),
                     machine_type: context
                         .machine_types
-                        .get(m.kind)
+                        .get(m.machine_type)
                         .map(|t| t.name.clone())
                         .unwrap_or_default(),
                     zone: m.zone.clone(),
-                    spot: m.spot,
+                    spot: m.is_spot,
                 });
             }
         }
@@ -291,7 +304,7 @@
     /// No more is to be had of an offer: what else was to be asked of it would
     /// only spend calls, and the next best is planned for at once. A first
     /// demand of hundreds of machines goes through a dozen offers this way.
-    fn refuse(&mut self, now: Ms, offer: &Offer) {
+    fn refuse(&mut self, now: Ms, offer: &InstanceOffer) {
         self.rents.retain(|r| r.offer != *offer || r.call.is_some() || r.open);
         (self.tick_at, self.plan_at, self.early_at) = (now, now, now);
         let wait = self.refused.get(offer).map_or(REFUSED_MS, |(_, w)| (w * 2).min(REFUSED_MAX_MS));
@@ -299,9 +312,9 @@
     }
 }
 
-pub fn kind_name(context: &NodeContext, kind: usize, spot: bool) -> String {
-    let name = context.machine_types.get(kind).map_or("?", |t| t.name.as_str());
-    format!("{name}{}", if spot { "+spot" } else { "" })
+pub fn machine_type_label(context: &NodeContext, machine_type: usize, is_spot: bool) -> String {
+    let name = context.machine_types.get(machine_type).map_or("?", |t| t.name.as_str());
+    format!("{name}{}", if is_spot { "+spot" } else { "" })
 }
 
 impl Leader {
@@ -323,9 +336,12 @@
         }
         // A waiting task that no machine could ever take can't overload one,
         // so it opens a window of its own.
-        let stranded = self.stranded(context) && context.clock.now() >= self.fleet.early_at;
-        if stranded || self.fleet.window_at.is_none_or(|at| context.clock.now() >= at + window) {
-            if stranded {
+        let has_unschedulable_job =
+            self.has_unschedulable_job(context) && context.clock.now() >= self.fleet.early_at;
+        if has_unschedulable_job
+            || self.fleet.window_at.is_none_or(|at| context.clock.now() >= at + window)
+        {
+            if has_unschedulable_job {
                 self.fleet.early_at = context.clock.now() + 4_000;
             }
             self.window_start(context, plan);
@@ -347,7 +363,7 @@
 
 impl Fleet {
     /// Asks for one machine; equal offers share a request.
-    fn rent(&mut self, context: &NodeContext, offer: Offer) -> u64 {
+    fn rent(&mut self, context: &NodeContext, offer: InstanceOffer) -> u64 {
         if let Some(r) = self
             .rents
             .iter_mut()
@@ -373,12 +389,15 @@
     fn offer(
         &self,
         context: &NodeContext,
-        kind: usize,
-        spot: bool,
-        counts: &FxHashMap<Offer, u32>,
-    ) -> Option<Offer> {
-        let offers =
-            context.machine_types.get(kind)?.zones.iter().map(|zone| (kind, zone.clone(), spot));
+        machine_type: usize,
+        is_spot: bool,
+        counts: &FxHashMap<InstanceOffer, u32>,
+    ) -> Option<InstanceOffer> {
+        let offers = context.machine_types.get(machine_type)?.zones.iter().map(|zone| InstanceOffer {
+            machine_type,
+            zone: zone.clone(),
+            is_spot,
+        });
         offers
             .filter(|offer| {
                 self.refused.get(offer).is_none_or(|(until, _)| *until <= context.clock.now())
--- a/src/core/leader/fleet/overload_rents.rs
+++ b/src/core/leader/fleet/overload_rents.rs
@@ -1,6 +1,6 @@
 //! One rent for each overloaded machine.
 
-use super::machine::{Ask, Phase};
+use super::machine::{Ask, InstancePhase};
 use crate::core::common::context::NodeContext;
 use crate::core::leader::Leader;
 use crate::core::leader::plan::Plan;
@@ -19,7 +19,8 @@
         for ix in asking {
             let Some(offer) = plan.take_first() else { break };
             // Rather one that is isolated than a new one.
-            if let Some(spare) = spares.get_mut(&(offer.0, offer.2)).and_then(Vec::pop) {
+            if let Some(spare) = spares.get_mut(&(offer.machine_type, offer.is_spot)).and_then(Vec::pop)
+            {
                 if let Some(m) = self.fleet.machines.get_mut(spare) {
                     m.cordoned = false;
                 }
@@ -35,7 +36,7 @@
     /// Overloaded machines whose rent is neither pending nor booting.
     fn machines_that_ask(&mut self) -> Vec<InstanceIndex> {
         let pending: FxHashSet<u64> = self.fleet.rents.iter().map(|r| r.number).collect();
-        let is_booting = |(_, m): &(InstanceIndex, &super::Instance)| m.phase == Phase::Booting;
+        let is_booting = |(_, m): &(InstanceIndex, &super::Instance)| m.phase == InstancePhase::Booting;
         let booting: FxHashSet<InstanceIndex> =
             self.fleet.machines.iter().filter(is_booting).map(|(ix, _)| ix).collect();
         let mut asking = Vec::new();
@@ -48,7 +49,7 @@
             if !is_open {
                 m.ask = None;
             }
-            if m.overloaded && m.ask.is_none() && m.phase == Phase::Up {
+            if m.overloaded && m.ask.is_none() && m.phase == InstancePhase::Ready {
                 asking.push(ix);
             }
         }
@@ -58,8 +59,10 @@
     /// Isolated machines that are up, by type and kind; the oldest last.
     fn isolated_by_kind(&self) -> FxHashMap<(usize, bool), Vec<InstanceIndex>> {
         let mut found: FxHashMap<(usize, bool), Vec<InstanceIndex>> = FxHashMap::default();
-        for (ix, m) in self.fleet.machines.iter().filter(|(_, m)| m.cordoned && m.phase == Phase::Up) {
-            found.entry((m.kind, m.spot)).or_default().push(ix);
+        for (ix, m) in
+            self.fleet.machines.iter().filter(|(_, m)| m.cordoned && m.phase == InstancePhase::Ready)
+        {
+            found.entry((m.machine_type, m.is_spot)).or_default().push(ix);
         }
         for list in found.values_mut() {
             list.reverse();
--- a/src/core/leader/fleet/window_rule.rs
+++ b/src/core/leader/fleet/window_rule.rs
@@ -1,7 +1,7 @@
 //! The window rule and the drain that goes with it.
 
-use super::machine::{Instance, Phase};
-use super::{Fleet, MIN_CHARGE_MS, Offer, kind_name};
+use super::machine::{Instance, InstancePhase};
+use super::{Fleet, InstanceOffer, MIN_CHARGE_MS, machine_type_label};
 use crate::core::common::context::NodeContext;
 use crate::core::leader::plan::Plan;
 use crate::core::leader::{FleetRecord, Leader};
@@ -23,27 +23,28 @@
         self.fleet.history.record(&booked, context.operator.season);
         let present = self.bookings(context);
         let busy: FxHashSet<InstanceIndex> =
-            self.attempts.values().filter(|a| a.counts()).filter_map(|a| a.machine).collect();
+            self.attempts.values().filter(|a| a.occupies_capacity()).filter_map(|a| a.machine).collect();
         let mut zones = self.fleet.zone_counts();
         let mut counts = BTreeMap::new();
-        for kind in 0..context.machine_types.len() {
-            for spot in [false, true] {
-                let name = kind_name(context, kind, spot);
-                let waiting = plan.machines_of(kind, spot);
+        for machine_type in 0..context.machine_types.len() {
+            for is_spot in [false, true] {
+                let name = machine_type_label(context, machine_type, is_spot);
+                let waiting = plan.machines_of(machine_type, is_spot);
                 let booked = present.get(&name).copied().unwrap_or(0.0);
-                let target = self.fleet.target(context, &name, spot, booked + f64::from(waiting));
-                let mut have = self.fleet.usable(kind, spot);
+                let target = self.fleet.target(context, &name, is_spot, booked + f64::from(waiting));
+                let mut have = self.fleet.usable(machine_type, is_spot);
                 // Waiting tasks may need machines that bookings don't show,
                 // as room is free in pieces too small for them.
                 let wanted = target.max(have + waiting);
                 let mut missing = if target > have || waiting > 0 { wanted - have } else { 0 };
-                let restored = self.restore_isolated(kind, spot, missing);
+                let restored = self.restore_isolated(machine_type, is_spot, missing);
                 missing -= restored;
                 have += restored;
-                (0..restored).for_each(|_| drop(plan.take(kind, spot)));
+                (0..restored).for_each(|_| drop(plan.take(machine_type, is_spot)));
                 for _ in 0..missing {
-                    let planned = plan.take(kind, spot);
-                    let offer = planned.or_else(|| self.fleet.offer(context, kind, spot, &zones));
+                    let planned = plan.take(machine_type, is_spot);
+                    let offer =
+                        planned.or_else(|| self.fleet.offer(context, machine_type, is_spot, &zones));
                     let Some(offer) = offer else { break };
                     *zones.entry(offer.clone()).or_default() += 1;
                     self.fleet.rent(context, offer);
@@ -52,7 +53,7 @@
                 // take: idle ones may only not have been heard yet.
                 let heard = context.clock.now() > context.control_lease.valid_since() + context.fresh_ms;
                 if have > target && waiting == 0 && heard {
-                    self.isolate_idle(context, kind, spot, have - target, &busy);
+                    self.isolate_idle(context, machine_type, is_spot, have - target, &busy);
                 }
                 counts.insert(name, have);
             }
@@ -63,8 +64,8 @@
     }
 
     /// Takes isolated machines into use again, `most` at the most; how many.
-    fn restore_isolated(&mut self, kind: usize, spot: bool, most: u32) -> u32 {
-        let cordoned = |m: &&mut Instance| m.is_usable(kind, spot) && m.cordoned;
+    fn restore_isolated(&mut self, machine_type: usize, is_spot: bool, most: u32) -> u32 {
+        let cordoned = |m: &&mut Instance| m.is_usable(machine_type, is_spot) && m.cordoned;
         let mut restored = 0;
         for m in self.fleet.machines.values_mut().filter(cordoned).take(most as usize) {
             m.cordoned = false;
@@ -80,14 +81,14 @@
     fn isolate_idle(
         &mut self,
         context: &NodeContext,
-        kind: usize,
-        spot: bool,
+        machine_type: usize,
+        is_spot: bool,
         most: u32,
         busy: &FxHashSet<InstanceIndex>,
     ) {
         let idle = |(ix, m): &(InstanceIndex, &mut Instance)| {
-            m.is_usable(kind, spot)
-                && m.phase == Phase::Up
+            m.is_usable(machine_type, is_spot)
+                && m.phase == InstancePhase::Ready
                 && !m.cordoned
                 && !busy.contains(ix)
                 && context.clock.now() > m.since + MIN_CHARGE_MS - 8_000
@@ -149,13 +150,13 @@
 
 impl Fleet {
     /// Machines of a kind that the window rule wants, given the present need for them.
-    fn target(&self, context: &NodeContext, kind: &str, spot: bool, demand: f64) -> u32 {
+    fn target(&self, context: &NodeContext, machine_type: &str, is_spot: bool, demand: f64) -> u32 {
         let mut forecast =
-            self.history.expect(kind, context.operator.season, context.operator.smoothing);
+            self.history.expect(machine_type, context.operator.season, context.operator.smoothing);
         // Cheap machines are kept for what demand strays by.
-        if spot && let Some(forecast) = &mut forecast {
-            *forecast +=
-                context.operator.headroom * self.history.deviation(kind, context.operator.smoothing);
+        if is_spot && let Some(forecast) = &mut forecast {
+            *forecast += context.operator.headroom
+                * self.history.deviation(machine_type, context.operator.smoothing);
         }
         // A forecast of a small part of a machine is no reason to rent
         // one; present need is.
@@ -163,17 +164,21 @@
     }
 
     /// Machines of a kind that are there, boot or are asked for, isolated ones left out.
-    fn usable(&self, kind: usize, spot: bool) -> u32 {
-        let there = self.machines.values().filter(|m| m.is_usable(kind, spot) && !m.cordoned).count();
-        let asked = self.rents.iter().filter(|r| r.offer.0 == kind && r.offer.2 == spot);
+    fn usable(&self, machine_type: usize, is_spot: bool) -> u32 {
+        let there =
+            self.machines.values().filter(|m| m.is_usable(machine_type, is_spot) && !m.cordoned).count();
+        let asked = self
+            .rents
+            .iter()
+            .filter(|r| r.offer.machine_type == machine_type && r.offer.is_spot == is_spot);
         there as u32 + asked.map(|r| r.count).sum::<u32>()
     }
 
     /// Machines by type, zone and kind.
-    fn zone_counts(&self) -> FxHashMap<Offer, u32> {
-        let mut counts: FxHashMap<Offer, u32> = FxHashMap::default();
+    fn zone_counts(&self) -> FxHashMap<InstanceOffer, u32> {
+        let mut counts: FxHashMap<InstanceOffer, u32> = FxHashMap::default();
         for m in self.machines.values() {
-            *counts.entry((m.kind, m.zone.clone(), m.spot)).or_default() += 1;
+            *counts.entry(m.offer()).or_default() += 1;
         }
         counts
     }
--- a/src/core/leader/free_capacity.rs
+++ b/src/core/leader/free_capacity.rs
@@ -9,10 +9,10 @@
 
 /// Machines that are alike to a job: same type, zone and kind.
 #[derive(Debug, Clone)]
-pub struct Class {
-    pub kind: usize,
+pub struct MachineClass {
+    pub machine_type: usize,
     pub zone: String,
-    pub spot: bool,
+    pub is_spot: bool,
     pub total: Resources,
     free_capacity: Vec<usize>,
     /// No room of this class has more free than this.
@@ -32,18 +32,34 @@
 /// else: with thousands of machines full, most jobs look at no room at all.
 #[derive(Debug, Clone, Default)]
 pub struct FreeCapacity {
-    pub classes: Vec<Class>,
+    pub classes: Vec<MachineClass>,
     pub list: Vec<FreeMachine>,
 }
 
 impl FreeCapacity {
     /// The class of machines of a type, zone and kind.
-    pub fn class_of(&mut self, kind: usize, zone: &str, spot: bool, total: Resources) -> usize {
-        let found = self.classes.iter().position(|c| c.kind == kind && c.spot == spot && c.zone == zone);
+    pub fn class_of(
+        &mut self,
+        machine_type: usize,
+        zone: &str,
+        is_spot: bool,
+        total: Resources,
+    ) -> usize {
+        let found = self
+            .classes
+            .iter()
+            .position(|c| c.machine_type == machine_type && c.is_spot == is_spot && c.zone == zone);
         found.unwrap_or_else(|| {
             let most = Resources::default();
             let zone = zone.to_string();
-            self.classes.push(Class { kind, zone, spot, total, free_capacity: Vec::new(), most });
+            self.classes.push(MachineClass {
+                machine_type,
+                zone,
+                is_spot,
+                total,
+                free_capacity: Vec::new(),
+                most,
+            });
             self.classes.len() - 1
         })
     }
@@ -60,18 +76,22 @@
     /// Adds a room (machine, block, free).
     pub fn push(
         &mut self,
-        kind: usize,
+        machine_type: usize,
         zone: &str,
-        spot: bool,
+        is_spot: bool,
         total: Resources,
         capacity: (InstanceIndex, ShardIndex, Resources),
     ) {
-        let class = self.class_of(kind, zone, spot, total);
+        let class = self.class_of(machine_type, zone, is_spot, total);
         self.push_to(class, capacity);
     }
 
     /// Rooms with place for one task, of the classes that will do.
-    pub fn with_place(&mut self, demand: &Resources, will_do: impl Fn(&Class) -> bool) -> Vec<usize> {
+    pub fn with_place(
+        &mut self,
+        demand: &Resources,
+        will_do: impl Fn(&MachineClass) -> bool,
+    ) -> Vec<usize> {
         let mut out = Vec::new();
         for c in &mut self.classes {
             if !demand.fits_within(&c.most) || !will_do(c) {
@@ -89,14 +109,14 @@
         out
     }
 
-    pub fn class(&self, capacity: usize) -> &Class {
+    pub fn class(&self, capacity: usize) -> &MachineClass {
         &self.classes[self.list[capacity].class]
     }
 }
 
 /// Whether a job may use machines of this class.
-pub fn may_use(context: &NodeContext, spec: &JobSpec, c: &Class) -> bool {
-    context.machine_types.get(c.kind).is_some_and(|t| allowed(spec, &t.name, &c.zone, c.spot))
+pub fn may_use(context: &NodeContext, spec: &JobSpec, c: &MachineClass) -> bool {
+    context.machine_types.get(c.machine_type).is_some_and(|t| allowed(spec, &t.name, &c.zone, c.is_spot))
         && spec.demand().fits_within(&c.total)
 }
 
@@ -104,7 +124,7 @@
     /// Machines that may get tasks now, with what is free on them.
     pub fn free_capacity(&self, context: &NodeContext) -> FreeCapacity {
         let mut used: FxHashMap<InstanceIndex, Resources> = FxHashMap::default();
-        for a in self.attempts.values().filter(|a| a.counts()) {
+        for a in self.attempts.values().filter(|a| a.occupies_capacity()) {
             if let Some(m) = a.machine {
                 used.entry(m).or_default().add(&a.demand);
             }
@@ -112,15 +132,15 @@
         let mut out = FreeCapacity::default();
         for (ix, m) in self.fleet.machines.iter() {
             let Some(b) = self.shards.get(m.shard.place()) else { continue };
-            if !b.shown || !m.takes_tasks(context) {
+            if !b.has_reported || !m.takes_tasks(context) {
                 continue;
             }
-            let Some(t) = context.machine_types.get(m.kind) else { continue };
+            let Some(t) = context.machine_types.get(m.machine_type) else { continue };
             let mut free = t.capacity;
             if let Some(u) = used.get(&ix) {
                 free.sub(u);
             }
-            out.push(m.kind, &m.zone, m.spot, t.capacity, (ix, m.shard, free));
+            out.push(m.machine_type, &m.zone, m.is_spot, t.capacity, (ix, m.shard, free));
         }
         out
     }
@@ -146,7 +166,7 @@
 }
 
 /// Rooms for the job's tasks, best fit first.
-pub fn best_rooms(
+pub fn best_fit_machines(
     context: &NodeContext,
     free_capacity: &mut FreeCapacity,
     spec: &JobSpec,
@@ -161,9 +181,9 @@
         .into_iter()
         .map(|i| {
             let c = free_capacity.class(i);
-            let wastes = spec.spot && !c.spot;
+            let wastes = spec.spot && !c.is_spot;
             let score = fit_score(&demand, &free_capacity.list[i].free, &c.total, wastes, true);
-            let score = score + context.machine_types.scarcity_penalty(c.kind);
+            let score = score + context.machine_types.scarcity_penalty(c.machine_type);
             (score, i)
         })
         .collect();
--- a/src/core/leader/live_jobs.rs
+++ b/src/core/leader/live_jobs.rs
@@ -43,11 +43,11 @@
     pub(super) next: u32,
     pub retry: Vec<u32>,
     /// Times that tasks failed without any having succeeded since.
-    pub fails: u32,
+    pub failures: u32,
     pub failed_on: FxHashSet<InstanceIndex>,
-    pub hold_until: Ms,
+    pub backoff_until: Ms,
     /// Within its team's guarantee, with the team's earlier jobs.
-    pub within: bool,
+    pub is_within_guarantee: bool,
     /// Time of day since when it could be started.
     pub ready_at_ms: u64,
     /// Its own priority, or a higher one of a job that needs it.
@@ -55,7 +55,7 @@
     pub(super) finish_busy: bool,
     pub(super) finish_at: Ms,
     /// Which cell runs it.
-    pub standing: JobLocation,
+    pub location: JobLocation,
 }
 
 impl LiveJob {
@@ -72,15 +72,15 @@
             issued: TaskSet::with_room(n),
             next: 0,
             retry: Vec::new(),
-            fails: 0,
+            failures: 0,
             failed_on: FxHashSet::default(),
-            hold_until: 0,
-            within: false,
+            backoff_until: 0,
+            is_within_guarantee: false,
             ready_at_ms,
             priority: spec.priority,
             finish_busy: false,
             finish_at: 0,
-            standing: JobLocation::Local,
+            location: JobLocation::Local,
             spec,
         }
     }
@@ -94,22 +94,22 @@
 
     /// Whether only another cell may run it.
     pub fn is_away(&self) -> bool {
-        matches!(self.standing, JobLocation::Away { .. })
+        matches!(self.location, JobLocation::Away { .. })
     }
 
     /// Whether it belongs to another cell.
     pub fn is_hosted(&self) -> bool {
-        matches!(self.standing, JobLocation::Hosted { .. })
+        matches!(self.location, JobLocation::Hosted { .. })
     }
 
     /// Whether tasks may be granted as far as other cells are concerned.
-    pub fn may_be_granted(&self) -> bool {
-        matches!(self.standing, JobLocation::Local | JobLocation::Hosted { is_listed: true })
+    pub fn is_schedulable(&self) -> bool {
+        matches!(self.location, JobLocation::Local | JobLocation::Hosted { is_listed: true })
     }
 
     /// Follows the job's record.
-    fn follow_standing(&mut self, job: &Job) {
-        self.standing = match (job.is_away(), job.origin(), self.standing) {
+    fn follow_location(&mut self, job: &Job) {
+        self.location = match (job.is_away(), job.origin(), self.location) {
             (true, _, JobLocation::Away { running }) => JobLocation::Away { running },
             (true, _, _) => JobLocation::Away { running: 0 },
             (false, Some(_), JobLocation::Hosted { is_listed }) => JobLocation::Hosted { is_listed },
@@ -141,7 +141,7 @@
     }
 
     /// The next task that needs an attempt.
-    pub fn peek(&mut self) -> Option<u32> {
+    pub fn next_task(&mut self) -> Option<u32> {
         while let Some(&t) = self.retry.last() {
             if !self.done.contains(t) {
                 return Some(t);
@@ -158,8 +158,8 @@
     }
 
     /// Takes the task that `peek` showed.
-    pub fn take(&mut self) -> Option<u32> {
-        let t = self.peek()?;
+    pub fn admit_next_task(&mut self) -> Option<u32> {
+        let t = self.next_task()?;
         if self.retry.last() == Some(&t) {
             self.retry.pop();
         } else {
@@ -200,7 +200,7 @@
             let left = self.progress.remove(&id);
             for id in self.attempts.of_job(ix) {
                 if let Some(a) = self.attempts.get_mut(id) {
-                    a.want = false;
+                    a.is_wanted = false;
                     self.shards[a.shard.place()].dirty = true;
                 }
             }
@@ -221,7 +221,7 @@
             return;
         }
         if let Some(known) = self.jobs.get_mut(&ix) {
-            return known.follow_standing(job);
+            return known.follow_location(job);
         }
         let Some(spec) = job.spec.clone() else { return };
         let Some(team) = context.platform.cluster.teams.iter().position(|t| t.name == spec.team) else {
@@ -229,7 +229,7 @@
             return;
         };
         let mut j = LiveJob::new(spec, team, context.jobs.ready_at_ms(ix));
-        j.follow_standing(job);
+        j.follow_location(job);
         for (segment, bits, version) in self.progress.remove(&id).unwrap_or_default() {
             j.read_chunk(segment, &bits, version);
         }
@@ -248,13 +248,13 @@
             task,
             shard,
             machine: Some(machine),
-            bind: true,
-            want: true,
+            may_bind: true,
+            is_wanted: true,
             state: ReportedPhase::Bound,
             demand: j.spec.demand(),
             team: Some(j.team),
             ran_ms: 0,
-            named_in: None,
+            first_named_in: None,
         };
         self.attempts.insert(self.next_attempt, a);
         self.next_attempt += 1;
--- a/src/core/leader/mod.rs
+++ b/src/core/leader/mod.rs
@@ -84,8 +84,8 @@
     pub(super) since: Ms,
     pub(super) loading: [Loading; 3],
     pub(super) load_retry: Ms,
-    pub active: bool,
-    pub active_at: Ms,
+    pub is_active: bool,
+    pub activated_at: Ms,
     pub jobs: BTreeMap<JobIndex, LiveJob>,
     pub attempts: Attempts,
     pub(super) next_attempt: u64,
@@ -106,7 +106,7 @@
     /// Records of progress that nobody needs any more.
     pub(super) deletions: DeletionQueue,
     /// The state service has shown that it takes no more than the next limits.
-    pub(super) fine: bool,
+    pub(super) writes_parts: bool,
     pub(super) cascade: Cascade,
     /// Other cells that share load; none only while they are at work.
     pub(super) cells: Option<Box<Cells>>,
@@ -119,8 +119,8 @@
             since: context.clock.now(),
             loading: [Loading::Start; 3],
             load_retry: 0,
-            active: false,
-            active_at: 0,
+            is_active: false,
+            activated_at: 0,
             jobs: BTreeMap::new(),
             attempts: Attempts::default(),
             next_attempt: term << 20,
@@ -133,7 +133,7 @@
                     sent_at: 0,
                     size: 0,
                     fencing_token: 0,
-                    shown: false,
+                    has_reported: false,
                     gone: Vec::new(),
                     waiting: Vec::new(),
                     writing: false,
@@ -152,7 +152,7 @@
             counts_at: 0,
             progress: HashMap::new(),
             deletions: DeletionQueue::default(),
-            fine: false,
+            writes_parts: false,
             cascade: Cascade::default(),
             cells: Some(Box::new(Cells::new(context))),
         }
@@ -163,9 +163,9 @@
     }
 
     pub fn poll(&mut self, context: &mut NodeContext) {
-        if !self.active {
+        if !self.is_active {
             self.load(context);
-            if !self.active {
+            if !self.is_active {
                 return;
             }
         }
@@ -232,7 +232,7 @@
             LeaderCall::Cascade { list } => self.on_cascaded(context, list, result),
             LeaderCall::SaveFleet => self.fleet.saved(matches!(result, StoreResponse::Committed { .. })),
             LeaderCall::SaveCatalog => {
-                self.fine |= matches!(result, StoreResponse::Malformed);
+                self.writes_parts |= matches!(result, StoreResponse::Malformed);
                 self.fleet.catalog_saved(
                     context.clock.now(),
                     matches!(result, StoreResponse::Committed { .. }),
--- a/src/core/leader/order.rs
+++ b/src/core/leader/order.rs
@@ -37,7 +37,7 @@
         let wall = context.clock.wall();
         for (ix, j) in &mut self.jobs {
             let is_paused = j.is_hosted() && context.must_stop(*ix);
-            if j.hold_until > now || !j.may_be_granted() || is_paused || j.peek().is_none() {
+            if j.backoff_until > now || !j.is_schedulable() || is_paused || j.next_task().is_none() {
                 continue;
             }
             let ratio = self.ratios.get(&j.spec.class).copied().unwrap_or(1.0);
@@ -49,7 +49,7 @@
             };
             let next =
                 next_start(&context.platform.cluster.objectives, &j.spec, clock, within[ix], run_s);
-            j.within = within[ix];
+            j.is_within_guarantee = within[ix];
             // What a pipeline's end needs in time, each stage needs the earlier.
             let heir = inherited_urgency.get(ix);
             j.priority = heir.map_or(j.spec.priority, |h| h.priority);
--- a/src/core/leader/persistence.rs
+++ b/src/core/leader/persistence.rs
@@ -32,7 +32,7 @@
     /// be too long: the version before reads the first alone.
     pub fn save_catalog(&mut self, context: &mut NodeContext, types: Vec<cloud::MachineType>) {
         let state = &context.platform.cluster.state;
-        let limit = if self.fine { state.value_kb } else { state.today_kb };
+        let limit = if self.writes_parts { state.value_kb } else { state.today_kb };
         let records = split_catalog(&types, (limit * 1024.0) as usize);
         let changes: Vec<Mutation> = records
             .into_iter()
--- a/src/core/leader/plan.rs
+++ b/src/core/leader/plan.rs
@@ -2,7 +2,7 @@
 //! window rule, and the room that overload rents stay within.
 
 use super::Leader;
-use super::fleet::{NO_INSTANCE, Offer, Phase, kind_name};
+use super::fleet::{InstanceOffer, InstancePhase, NO_INSTANCE, machine_type_label};
 use super::free_capacity::{FreeCapacity, may_use};
 use super::quota::quota_tasks;
 use super::zones::Zones;
@@ -23,52 +23,57 @@
     /// Machines' worth of bookings now, by kind.
     pub(super) fn bookings(&self, context: &NodeContext) -> BTreeMap<String, f64> {
         let mut sums: BTreeMap<(usize, bool), Resources> = BTreeMap::new();
-        for a in self.attempts.values().filter(|a| a.counts()) {
+        for a in self.attempts.values().filter(|a| a.occupies_capacity()) {
             if let Some(m) = a.machine.and_then(|m| self.fleet.machines.get(m)) {
-                sums.entry((m.kind, m.spot)).or_default().add(&a.demand);
+                sums.entry((m.machine_type, m.is_spot)).or_default().add(&a.demand);
             }
         }
         sums.into_iter()
             .map(|((k, s), r)| {
-                (kind_name(context, k, s), r.dominant_share(&context.machine_types[k].capacity))
+                (machine_type_label(context, k, s), r.dominant_share(&context.machine_types[k].capacity))
             })
             .collect()
     }
 
     pub(super) fn sample(&mut self, context: &NodeContext, plan: &Plan) {
         let now = self.bookings(context);
-        for (kind, v) in now {
-            let e = self.fleet.booked.entry(kind).or_default();
+        for (machine_type, v) in now {
+            let e = self.fleet.booked.entry(machine_type).or_default();
             e.0 += v;
         }
-        for ((k, _, s), n) in plan.iter() {
-            let e = self.fleet.booked.entry(kind_name(context, *k, *s)).or_default();
+        for (offer, n) in plan.iter() {
+            let e = self
+                .fleet
+                .booked
+                .entry(machine_type_label(context, offer.machine_type, offer.is_spot))
+                .or_default();
             e.0 += f64::from(n);
         }
-        for k in 0..context.machine_types.len() {
-            for s in [false, true] {
-                self.fleet.booked.entry(kind_name(context, k, s)).or_default().1 += 1;
+        for machine_type in 0..context.machine_types.len() {
+            for is_spot in [false, true] {
+                let label = machine_type_label(context, machine_type, is_spot);
+                self.fleet.booked.entry(label).or_default().1 += 1;
             }
         }
     }
 
     /// Whether a waiting job could use no machine that there is.
-    pub(super) fn stranded(&self, context: &NodeContext) -> bool {
+    pub(super) fn has_unschedulable_job(&self, context: &NodeContext) -> bool {
         if self.fleet.waiting.is_empty() {
             return false;
         }
-        let there = self.fleet.machines.values().filter(|m| m.phase < Phase::Retiring);
-        let kinds: FxHashSet<(usize, &str, bool)> =
-            there.map(|m| (m.kind, m.zone.as_str(), m.spot)).collect();
+        let there = self.fleet.machines.values().filter(|m| m.phase < InstancePhase::Draining);
+        let machine_types: FxHashSet<(usize, &str, bool)> =
+            there.map(|m| (m.machine_type, m.zone.as_str(), m.is_spot)).collect();
         self.fleet.waiting.iter().any(|(job, _)| {
             let Some(j) = self.jobs.get(job) else { return false };
-            let serves = |(kind, zone, spot): &(usize, &str, bool)| {
-                let t = context.machine_types.get(*kind);
+            let serves = |(machine_type, zone, is_spot): &(usize, &str, bool)| {
+                let t = context.machine_types.get(*machine_type);
                 t.is_some_and(|t| {
-                    allowed(&j.spec, &t.name, zone, *spot) && j.spec.demand().fits_within(&t.capacity)
+                    allowed(&j.spec, &t.name, zone, *is_spot) && j.spec.demand().fits_within(&t.capacity)
                 })
             };
-            !kinds.iter().any(serves)
+            !machine_types.iter().any(serves)
         })
     }
 
@@ -78,7 +83,7 @@
         if self.fleet.waiting.is_empty() {
             return Plan::default();
         }
-        let mut free_capacity = self.rooms_to_come(context);
+        let mut free_capacity = self.upcoming_capacity(context);
         let mut offers = self.offers(context, &mut free_capacity);
         let mut used = self.team_use(context);
         let mut left = MAX_PLAN.max(self.fleet.machines.len());
@@ -114,16 +119,23 @@
     }
 
     /// Rooms that are free, booting or asked for.
-    pub(super) fn rooms_to_come(&self, context: &NodeContext) -> FreeCapacity {
+    pub(super) fn upcoming_capacity(&self, context: &NodeContext) -> FreeCapacity {
         let mut free_capacity = self.free_capacity(context);
-        for (ix, m) in self.fleet.machines.iter().filter(|(_, m)| m.phase == Phase::Booting) {
-            if let Some(t) = context.machine_types.get(m.kind) {
-                free_capacity.push(m.kind, &m.zone, m.spot, t.capacity, (ix, m.shard, t.capacity));
+        for (ix, m) in self.fleet.machines.iter().filter(|(_, m)| m.phase == InstancePhase::Booting) {
+            if let Some(t) = context.machine_types.get(m.machine_type) {
+                free_capacity.push(
+                    m.machine_type,
+                    &m.zone,
+                    m.is_spot,
+                    t.capacity,
+                    (ix, m.shard, t.capacity),
+                );
             }
         }
         for r in &self.fleet.rents {
-            let Some(t) = context.machine_types.get(r.offer.0) else { continue };
-            let class = free_capacity.class_of(r.offer.0, &r.offer.1, r.offer.2, t.capacity);
+            let Some(t) = context.machine_types.get(r.offer.machine_type) else { continue };
+            let class =
+                free_capacity.class_of(r.offer.machine_type, &r.offer.zone, r.offer.is_spot, t.capacity);
             for _ in 0..r.count {
                 free_capacity.push_to(class, (NO_INSTANCE, ShardIndex::new(0), t.capacity));
             }
@@ -135,22 +147,22 @@
     fn offers(&self, context: &NodeContext, free_capacity: &mut FreeCapacity) -> Vec<OpenOffer> {
         let mut have: FxHashMap<(usize, &str, bool), u32> = FxHashMap::default();
         for m in self.fleet.machines.values() {
-            *have.entry((m.kind, m.zone.as_str(), m.spot)).or_default() += 1;
+            *have.entry((m.machine_type, m.zone.as_str(), m.is_spot)).or_default() += 1;
         }
         let mut offers = Vec::new();
-        for (kind, t) in context.machine_types.iter().enumerate() {
+        for (machine_type, t) in context.machine_types.iter().enumerate() {
             for zone in &t.zones {
-                for spot in [false, true] {
-                    let offer = (kind, zone.clone(), spot);
+                for is_spot in [false, true] {
+                    let offer = InstanceOffer { machine_type, zone: zone.clone(), is_spot };
                     let refused = self.fleet.refused.get(&offer);
                     if refused.is_some_and(|(until, _)| *until > context.clock.now()) {
                         continue;
                     }
                     offers.push(OpenOffer {
-                        class: free_capacity.class_of(kind, zone, spot, t.capacity),
-                        have: have.get(&(kind, zone.as_str(), spot)).copied().unwrap_or(0),
+                        class: free_capacity.class_of(machine_type, zone, is_spot, t.capacity),
+                        have: have.get(&(machine_type, zone.as_str(), is_spot)).copied().unwrap_or(0),
                         planned: 0,
-                        price: if spot { t.spot_price } else { t.price },
+                        price: if is_spot { t.spot_price } else { t.price },
                         capacity: t.capacity,
                         offer,
                     });
@@ -171,7 +183,7 @@
                 Some((spec.spot, context.machine_types.usable_by(spec).count(), job, n))
             })
             .collect();
-        order.sort_by_key(|(spot, kinds, _, _)| (*spot, *kinds));
+        order.sort_by_key(|(is_spot, machine_types, _, _)| (*is_spot, *machine_types));
         order.into_iter().map(|(_, _, job, n)| (job, n)).collect()
     }
 }
@@ -179,7 +191,7 @@
 /// An offer that is not refused now.
 #[derive(Debug)]
 struct OpenOffer {
-    offer: Offer,
+    offer: InstanceOffer,
     /// Its class among the rooms.
     class: usize,
     have: u32,
@@ -197,18 +209,20 @@
 }
 
 fn candidates(context: &NodeContext, offers: &[OpenOffer], spec: &JobSpec) -> Vec<Candidate> {
-    let elsewhere =
-        context.machine_types.usable_by(spec).any(|kind| !context.machine_types.is_scarce(kind));
+    let elsewhere = context
+        .machine_types
+        .usable_by(spec)
+        .any(|machine_type| !context.machine_types.is_scarce(machine_type));
     let demand = spec.demand();
     let mut found = Vec::new();
     for (index, o) in offers.iter().enumerate() {
-        let (kind, zone, spot) = &o.offer;
+        let InstanceOffer { machine_type, zone, is_spot } = &o.offer;
         let holds = demand.count_fitting(&o.capacity);
-        if holds == 0 || !allowed(spec, &context.machine_types[*kind].name, zone, *spot) {
+        if holds == 0 || !allowed(spec, &context.machine_types[*machine_type].name, zone, *is_spot) {
             continue;
         }
         // Rather a type that no other work depends on.
-        let is_scarce = context.machine_types.is_scarce(*kind) && elsewhere;
+        let is_scarce = context.machine_types.is_scarce(*machine_type) && elsewhere;
         found.push(Candidate {
             index,
             holds,
@@ -223,7 +237,7 @@
     let mut best: Option<(f64, usize)> = None;
     for candidate in candidates {
         let o = &offers[candidate.index];
-        if !zones.allows(&o.offer.1) {
+        if !zones.allows(&o.offer.zone) {
             continue;
         }
         let holds = f64::from(candidate.holds.min(n));
@@ -238,7 +252,7 @@
 /// Machines to be rented, by offer.
 #[derive(Debug, Default)]
 pub struct Plan {
-    wanted: BTreeMap<Offer, u32>,
+    wanted: BTreeMap<InstanceOffer, u32>,
 }
 
 impl Plan {
@@ -258,32 +272,34 @@
     }
 
     /// Machines of one type and kind.
-    pub fn machines_of(&self, kind: usize, spot: bool) -> u32 {
-        let of_kind = |offer: &&Offer| offer.0 == kind && offer.2 == spot;
+    pub fn machines_of(&self, machine_type: usize, is_spot: bool) -> u32 {
+        let of_kind =
+            |offer: &&InstanceOffer| offer.machine_type == machine_type && offer.is_spot == is_spot;
         self.wanted.keys().filter(of_kind).map(|offer| self.wanted[offer]).sum()
     }
 
     /// Offers with their numbers of machines.
-    pub fn iter(&self) -> impl Iterator<Item = (&Offer, u32)> {
+    pub fn iter(&self) -> impl Iterator<Item = (&InstanceOffer, u32)> {
         self.wanted.iter().map(|(offer, n)| (offer, *n))
     }
 
     /// Takes one machine of a type and kind out of the plan.
-    pub fn take(&mut self, kind: usize, spot: bool) -> Option<Offer> {
-        let is_it = |offer: &&Offer| offer.0 == kind && offer.2 == spot;
+    pub fn take(&mut self, machine_type: usize, is_spot: bool) -> Option<InstanceOffer> {
+        let is_it =
+            |offer: &&InstanceOffer| offer.machine_type == machine_type && offer.is_spot == is_spot;
         let offer = self.wanted.keys().find(is_it)?.clone();
         self.take_one(&offer);
         Some(offer)
     }
 
     /// Takes one machine of the first offer out of the plan.
-    pub fn take_first(&mut self) -> Option<Offer> {
+    pub fn take_first(&mut self) -> Option<InstanceOffer> {
         let offer = self.wanted.keys().next()?.clone();
         self.take_one(&offer);
         Some(offer)
     }
 
-    fn take_one(&mut self, offer: &Offer) {
+    fn take_one(&mut self, offer: &InstanceOffer) {
         if let Some(n) = self.wanted.get_mut(offer) {
             *n -= 1;
             if *n == 0 {
--- a/src/core/leader/preemption.rs
+++ b/src/core/leader/preemption.rs
@@ -25,7 +25,8 @@
         left: &[(JobIndex, u32)],
         mut used: Vec<Resources>,
     ) {
-        if context.clock.now() < self.preempt_at || self.attempts.values().any(|a| !a.want && a.counts())
+        if context.clock.now() < self.preempt_at
+            || self.attempts.values().any(|a| !a.is_wanted && a.occupies_capacity())
         {
             return;
         }
@@ -43,7 +44,9 @@
             return;
         }
         let mut there: FxHashMap<InstanceIndex, Vec<u64>> = FxHashMap::default();
-        for (id, a) in self.attempts.iter().filter(|(_, a)| a.want && !a.bind && a.counts()) {
+        for (id, a) in
+            self.attempts.iter().filter(|(_, a)| a.is_wanted && !a.may_bind && a.occupies_capacity())
+        {
             if let Some(m) = a.machine {
                 there.entry(m).or_default().push(id);
             }
@@ -56,7 +59,7 @@
             if budget == 0 {
                 break;
             }
-            let (spec, team, within) = (j.spec.clone(), j.team, j.within);
+            let (spec, team, within) = (j.spec.clone(), j.team, j.is_within_guarantee);
             // Priority alone stops others only for a first start: two old jobs
             // would go on stopping each other.
             let unserved = !served.contains(ix) && j.done.is_empty();
@@ -74,7 +77,7 @@
                     .into_iter()
                     .flatten()
                     .filter_map(|id| {
-                        let a = self.attempts.get(*id).filter(|a| a.want)?;
+                        let a = self.attempts.get(*id).filter(|a| a.is_wanted)?;
                         let v = self.jobs.get(&a.job)?;
                         let lower = unserved && v.priority < j.priority;
                         let beyond = within
@@ -104,7 +107,7 @@
             }
             for id in best.map(|(_, l)| l).unwrap_or_default() {
                 let Some(a) = self.attempts.get_mut(id) else { continue };
-                a.want = false;
+                a.is_wanted = false;
                 self.shards[a.shard.place()].dirty = true;
                 if let Some(u) = a.team.and_then(|t| used.get_mut(t)) {
                     u.sub(&a.demand);
--- a/src/core/leader/progress.rs
+++ b/src/core/leader/progress.rs
@@ -127,7 +127,7 @@
         due.sort_unstable_by(|a, b| b.cmp(a));
         for (_, ix) in due {
             let Some(j) = self.jobs.get_mut(&ix) else { continue };
-            let parts = in_parts(context, j.spec.tasks, self.fine);
+            let parts = in_parts(context, j.spec.tasks, self.writes_parts);
             let segments: BTreeSet<ProgressSegment> =
                 j.unrecorded.iter().map(|t| ProgressSegment::of(*t, parts)).collect();
             if txn.mutations.len() + segments.len() > max_ops {
@@ -194,7 +194,7 @@
         if matches!(result, StoreResponse::Malformed) {
             // In parts it fits; a no for anything else is not asked for at every
             // turn.
-            self.fine = true;
+            self.writes_parts = true;
             self.record_at = context.clock.now() + 1_000;
         }
     }
@@ -306,8 +306,8 @@
         let Some(j) = self.jobs.get(&job) else { return };
         for id in self.attempts.of_job(job) {
             let Some(a) = self.attempts.get_mut(id) else { continue };
-            if a.want && a.state == ReportedPhase::Done && j.recorded.contains(a.task) {
-                a.want = false;
+            if a.is_wanted && a.state == ReportedPhase::Done && j.recorded.contains(a.task) {
+                a.is_wanted = false;
                 self.shards[a.shard.place()].dirty = true;
             }
         }
@@ -316,10 +316,10 @@
 
 /// Whether a job's progress has to be recorded in parts: a whole chunk may pass
 /// the limit, today's or the next once that one is in force.
-fn in_parts(context: &NodeContext, tasks: u32, fine: bool) -> bool {
+fn in_parts(context: &NodeContext, tasks: u32, writes_parts: bool) -> bool {
     let text = tasks.min(SEGMENT_TASKS).div_ceil(4) as usize + 2;
     let state = &context.platform.cluster.state;
-    text > state.value_bytes() && (fine || text as f64 > state.today_kb * 1024.0)
+    text > state.value_bytes() && (writes_parts || text as f64 > state.today_kb * 1024.0)
 }
 
 fn push_chunks(
--- a/src/core/leader/quota.rs
+++ b/src/core/leader/quota.rs
@@ -9,7 +9,7 @@
     /// Use per team by everything that may be on a machine.
     pub fn team_use(&self, context: &NodeContext) -> Vec<Resources> {
         let mut used = vec![Resources::default(); context.platform.cluster.teams.len()];
-        for a in self.attempts.values().filter(|a| a.counts()) {
+        for a in self.attempts.values().filter(|a| a.occupies_capacity()) {
             if let Some(u) = a.team.and_then(|t| used.get_mut(t)) {
                 u.add(&a.demand);
             }
--- a/src/core/leader/rebuild.rs
+++ b/src/core/leader/rebuild.rs
@@ -31,8 +31,8 @@
             }
         }
         if self.loading.iter().all(|l| *l == Loading::Done) {
-            self.active = true;
-            self.active_at = context.clock.now();
+            self.is_active = true;
+            self.activated_at = context.clock.now();
             for ix in context.jobs.indices() {
                 self.follow_job(context, ix);
             }
@@ -72,7 +72,7 @@
         for a in self.attempts.values_mut() {
             let job = self.jobs.get_mut(&a.job).filter(|job| !job.is_away());
             let is_done = job.as_ref().is_some_and(|job| job.done.contains(a.task));
-            a.want = ledger::from_record(job.is_some(), is_done) == AttemptDisposition::Keep;
+            a.is_wanted = ledger::from_record(job.is_some(), is_done) == AttemptDisposition::Keep;
             if let Some(job) = job {
                 job.issued.insert(a.task);
             }
@@ -90,7 +90,8 @@
         let zone = context.shards[b].zone.clone();
         for m in &rec.machines {
             let type_name = rec.types.get(m.1 as usize).map_or("", String::as_str);
-            let ix = self.fleet.put_known(context, &m.0, type_name, &zone, m.is(RecordedMachine::SPOT));
+            let ix =
+                self.fleet.find_or_add(context, &m.0, type_name, &zone, m.is(RecordedMachine::SPOT));
             if let Some(known) = self.fleet.machines.get_mut(ix) {
                 known.cordoned |= m.is(RecordedMachine::CORDONED);
                 known.confirmed = true;
@@ -108,13 +109,13 @@
                         task,
                         shard: ShardIndex::at(b),
                         machine: Some(ix),
-                        bind: false,
-                        want: true,
+                        may_bind: false,
+                        is_wanted: true,
                         state: ReportedPhase::Bound,
                         demand: Resources { cpus: j.2, gpus: j.3, mem: j.4 },
                         team: context.platform.cluster.teams.iter().position(|t| t.name == j.1),
                         ran_ms: 0,
-                        named_in: None,
+                        first_named_in: None,
                     },
                 );
             }
@@ -135,7 +136,7 @@
                         let Some((id, segment)) = ProgressSegment::of_key(&item.key) else { continue };
                         let Ok(bits) = item.value.decode::<String>() else { continue };
                         // Only ever written once the smaller limits were met.
-                        self.fine |= segment.is_fine();
+                        self.writes_parts |= segment.is_fine();
                         let list = self.progress.entry(id.to_string()).or_default();
                         list.push((segment, bits, item.version));
                     }
--- a/src/core/leader/reconciliation.rs
+++ b/src/core/leader/reconciliation.rs
@@ -45,15 +45,15 @@
         let shard = ShardIndex::new(h.shard);
         let Some(b) = self.shards.get(shard.place()) else { return };
         let shard_owner = context.shards.owner(shard.place());
-        if !self.active
+        if !self.is_active
             || h.term != self.term
             || h.fencing_token != b.fencing_token
             || shard_owner.is_none_or(|owner| owner.record.node != from)
         {
             return;
         }
-        if !b.shown {
-            self.shards[shard.place()].shown = true;
+        if !b.has_reported {
+            self.shards[shard.place()].has_reported = true;
             self.cycle_due = true;
         }
         let mut listed: FxHashSet<u64> = FxHashSet::default();
@@ -61,7 +61,7 @@
         let jobs: Vec<TaskOf> = h.jobs.iter().map(|j| TaskOf::new(context, j)).collect();
         for m in &h.machines {
             let type_name = h.types.get(m.machine_type as usize).map_or("", String::as_str);
-            let ix = self.fleet.heard(context, m, type_name, &zone);
+            let ix = self.fleet.on_reported_machine(context, m, type_name, &zone);
             if let Some(m) = self.fleet.machines.get(ix)
                 && m.shard != shard
             {
@@ -77,7 +77,7 @@
             .attempts
             .iter()
             .filter(|(_, a)| a.shard == shard)
-            .filter(|(id, a)| ledger::is_gone(listed.contains(id), a.named_in, h.echo))
+            .filter(|(id, a)| ledger::is_gone(listed.contains(id), a.first_named_in, h.echo))
             .map(|(id, _)| id)
             .collect();
         for id in gone {
@@ -115,23 +115,23 @@
                     task: t.task,
                     shard,
                     machine: Some(machine),
-                    bind: false,
-                    want,
+                    may_bind: false,
+                    is_wanted: want,
                     state: t.state,
                     demand: of.demand,
                     team: of.team,
                     ran_ms: t.ran_ms,
-                    named_in: None,
+                    first_named_in: None,
                 },
             );
             self.shards[shard.place()].dirty = true;
         }
         let Some(a) = self.attempts.get_mut(t.attempt) else { return };
-        if a.machine != Some(machine) || a.bind {
+        if a.machine != Some(machine) || a.may_bind {
             self.cycle_due = true;
         }
         a.machine = Some(machine);
-        a.bind = false;
+        a.may_bind = false;
         a.ran_ms = t.ran_ms;
         let before = a.state;
         a.state = t.state;
@@ -144,7 +144,7 @@
                 let Some(j) = self.jobs.get_mut(&job) else { return };
                 if j.done.insert(t.task) {
                     j.unrecorded.push(t.task);
-                    j.fails = 0;
+                    j.failures = 0;
                     j.failed_on.clear();
                     self.fleet.succeeded(machine);
                     if t.ran_ms > 0 && j.spec.estimate_s > 0.0 {
@@ -153,28 +153,28 @@
                         *r += 0.03 * (ratio - *r);
                     }
                 } else if j.recorded.contains(t.task) {
-                    a.want = false;
+                    a.is_wanted = false;
                     self.shards[shard.place()].dirty = true;
                 }
             }
             ReportedPhase::Failed => {
-                a.want = false;
+                a.is_wanted = false;
                 self.shards[shard.place()].dirty = true;
                 if let Some(j) = self.jobs.get_mut(&job) {
-                    j.fails += 1;
+                    j.failures += 1;
                     j.failed_on.insert(machine);
                     // Failing on several machines, the job itself is at
                     // fault; it must not take the machines with it.
                     if j.failed_on.len() >= 3 {
-                        let factor = 1 << j.fails.saturating_sub(3).min(5);
-                        j.hold_until = context.clock.now() + 2_000 * factor;
+                        let factor = 1 << j.failures.saturating_sub(3).min(5);
+                        j.backoff_until = context.clock.now() + 2_000 * factor;
                     } else {
                         self.fleet.failed(context.clock.now(), machine, job);
                     }
                 }
             }
             ReportedPhase::Stopped | ReportedPhase::Refused => {
-                a.want = false;
+                a.is_wanted = false;
                 self.shards[shard.place()].dirty = true;
             }
             _ => {}
@@ -201,12 +201,12 @@
         let mut jobs: Vec<DesiredJobs> = vec![BTreeMap::new(); self.shards.len()];
         for (id, a) in self.attempts.iter_mut().filter(|(_, a)| due.contains(&a.shard)) {
             let b = a.shard.place();
-            a.named_in.get_or_insert(self.shards[b].serial);
-            if a.want {
-                jobs[b].entry(a.job).or_default().push((a.task, id, a.bind));
+            a.first_named_in.get_or_insert(self.shards[b].serial);
+            if a.is_wanted {
+                jobs[b].entry(a.job).or_default().push((a.task, id, a.may_bind));
             }
         }
-        let mut wishes = self.fleet.wishes(context);
+        let mut wishes = self.fleet.directives(context);
         for b in due.into_iter().map(ShardIndex::place) {
             let wishes = std::mem::take(&mut wishes[b]);
             let Some(KnownOwner { record: rec, fencing_token }) = context.shards.owner(b).cloned()
@@ -257,7 +257,7 @@
         }
         let counts = self.jobs.iter().map(|(index, job)| {
             let here = running.get(index).copied().unwrap_or(0);
-            let running = if let JobLocation::Away { running } = job.standing { running } else { here };
+            let running = if let JobLocation::Away { running } = job.location { running } else { here };
             TaskCount { job: context.jobs.id(*index).to_string(), done: job.done.len(), running }
         });
         let known = counts.filter(|count| count.done > 0 || count.running > 0);
--- a/src/core/leader/scheduling_cycle.rs
+++ b/src/core/leader/scheduling_cycle.rs
@@ -5,7 +5,7 @@
 //! batch is as wide as the backlog; what holds it back is room, not a count.
 
 use super::Leader;
-use super::free_capacity::{FreeCapacity, best_rooms, may_use, reserve};
+use super::free_capacity::{FreeCapacity, best_fit_machines, may_use, reserve};
 use super::live_jobs::LiveJob;
 use super::quota::quota_tasks;
 use super::zones::Zones;
@@ -43,7 +43,7 @@
             let mut zones = Zones::of(context, self, ix, &spec);
             // Best fit: a room that takes a task is the better fit for the next.
             let mut places =
-                best_rooms(context, &mut free_capacity, &spec, quota).into_iter().peekable();
+                best_fit_machines(context, &mut free_capacity, &spec, quota).into_iter().peekable();
             // A starving job gets its first tasks before all others; its turn
             // with the rest of them comes in the ordinary order.
             let first = place < starving.len();
@@ -52,7 +52,7 @@
             }
             let before = granted;
             while quota > 0 && granted < MAX_GRANTS {
-                let Some(task) = self.jobs.get_mut(&ix).and_then(|j| j.peek()) else { break };
+                let Some(task) = self.jobs.get_mut(&ix).and_then(|j| j.next_task()) else { break };
                 let Some(&i) = places.peek() else { break };
                 let zone = &free_capacity.classes[free_capacity.list[i].class].zone;
                 let r = &mut free_capacity.list[i];
@@ -61,7 +61,7 @@
                     continue;
                 }
                 if let Some(j) = self.jobs.get_mut(&ix) {
-                    j.take();
+                    j.admit_next_task();
                 }
                 r.free.sub(&demand);
                 zones.add(zone);
@@ -127,7 +127,7 @@
 
     /// Jobs with a task that is or may be on a machine.
     pub(super) fn served(&self) -> FxHashSet<JobIndex> {
-        self.attempts.values().filter(|a| a.counts()).map(|a| a.job).collect()
+        self.attempts.values().filter(|a| a.occupies_capacity()).map(|a| a.job).collect()
     }
 
     /// Names the tasks that fit no free room to the blocks whose machines
--- a/src/core/leader/shards.rs
+++ b/src/core/leader/shards.rs
@@ -28,7 +28,7 @@
     pub(super) size: usize,
     pub(super) fencing_token: u64,
     /// The present holder has shown its whole state message.
-    pub shown: bool,
+    pub has_reported: bool,
     pub gone: Vec<(String, Ms)>,
     pub waiting: Vec<(JobIndex, u32)>,
     pub(super) writing: bool,
@@ -62,12 +62,12 @@
             let fencing_token = rec.as_ref().map_or(0, |owner| owner.fencing_token);
             if self.shards[b].fencing_token != fencing_token {
                 self.shards[b].fencing_token = fencing_token;
-                self.shards[b].shown = false;
+                self.shards[b].has_reported = false;
                 self.shards[b].dirty = true;
                 for a in self.attempts.values_mut().filter(|a| a.shard.place() == b) {
                     // The new holder knows only what is in the records.
-                    a.bind = false;
-                    a.named_in = None;
+                    a.may_bind = false;
+                    a.first_named_in = None;
                 }
             }
             if self.shards[b].writing || context.clock.now() < self.shards[b].retry_at {
@@ -81,7 +81,8 @@
                     let restarted =
                         context.peers.get(&r.node).is_some_and(|p| p.incarnation > r.incarnation)
                             || (r.node == context.node && r.incarnation != context.incarnation);
-                    if !alive && (restarted || context.clock.now() > self.active_at + HOLDER_GRACE_MS) {
+                    if !alive && (restarted || context.clock.now() > self.activated_at + HOLDER_GRACE_MS)
+                    {
                         let except = (!restarted).then_some(r.node.as_str());
                         self.choose_shard_owner(context, b, except)
                     } else if alive
