--- a/crates/recovery-report/src/history.rs
+++ b/crates/recovery-report/src/history.rs
@@ -30,9 +30,9 @@
     /// Log that tells of it.
     pub log: String,
     /// Name of the block.
-    pub block: String,
+    pub shard: String,
     /// Grant under which it was held.
-    pub grant: u64,
+    pub fencing_token: u64,
     /// When the block was granted, as its holder noticed.
     pub granted_ms: i64,
     /// When its records had been read.
@@ -79,12 +79,12 @@
                     Event::Shed(shed) => history.shed.push((log.clone(), line.at_ms, shed)),
                     Event::Move(step) => moves.add(line.at_ms, &step),
                     Event::Phase(entered) => {
-                        let key = (log.clone(), entered.block.clone(), entered.grant);
+                        let key = (log.clone(), entered.shard.clone(), entered.fencing_token);
                         let granted_ms = line.at_ms - entered.age_ms as i64;
                         let recovery = recoveries.entry(key).or_insert_with(|| Recovery {
                             log: log.clone(),
-                            block: entered.block,
-                            grant: entered.grant,
+                            shard: entered.shard,
+                            fencing_token: entered.fencing_token,
                             granted_ms,
                             read_ms: None,
                             squared_ms: None,
@@ -121,7 +121,7 @@
             recovery.read_ms = recovery.read_ms.map(|at| at - start);
             recovery.squared_ms = recovery.squared_ms.map(|at| at - start);
         }
-        self.recoveries.sort_by_key(|recovery| (recovery.granted_ms, recovery.block.clone()));
+        self.recoveries.sort_by_key(|recovery| (recovery.granted_ms, recovery.shard.clone()));
         for (_, at, _) in &mut self.shed {
             *at -= start;
         }
--- a/crates/recovery-report/src/log_line.rs
+++ b/crates/recovery-report/src/log_line.rs
@@ -8,8 +8,8 @@
 use woadlever_overload::class::RequestClass;
 use woadlever_recovery::shard::{ReconciliationCounts, RecoveryPhase};
 
-/// Version of the fields that this program reads.
-pub const FORMAT: u64 = 1;
+/// Newest version of the fields that this program reads.
+pub const FORMAT: u64 = 2;
 const RECOVERY_TARGET: &str = " woadlever::recovery: ";
 const CELLS_TARGET: &str = " woadlever::cells: ";
 const OVERLOAD_TARGET: &str = " woadlever::overload: ";
@@ -21,27 +21,27 @@
     #[error("no time at the beginning of the line")]
     NoTime,
     /// The fields are of another version.
-    #[error("fields of format {0}, only {FORMAT} can be read")]
+    #[error("fields of format {0}, only formats up to {FORMAT} can be read")]
     OtherFormat(u64),
     /// A field is missing or not of its type; a line that was cut short lacks some.
     #[error("field {0} is missing or malformed")]
     BadField(&'static str),
 }
 
-/// A block has entered a phase.
+/// A shard has entered a phase.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PhaseEntered {
-    /// Name of the block.
-    pub block: String,
-    /// Grant under which it is held.
-    pub grant: u64,
+    /// Name of the shard.
+    pub shard: String,
+    /// Fencing token under which it is owned.
+    pub fencing_token: u64,
     /// The phase.
     pub phase: RecoveryPhase,
-    /// Time since the grant.
+    /// Time since the shard was assigned.
     pub age_ms: u64,
     /// Attempts that its records listed.
     pub recorded: u64,
-    /// Attempts squared so far.
+    /// Attempts reconciled so far.
     pub tally: ReconciliationCounts,
 }
 
@@ -132,7 +132,7 @@
     let at = time.ok_or(LineError::NoTime)?;
     let fields = Fields::of(fields);
     let format = fields.number("format")?;
-    if format != FORMAT {
+    if !(1..=FORMAT).contains(&format) {
         return Err(LineError::OtherFormat(format));
     }
     let at_ms = (at.unix_timestamp_nanos() / 1_000_000) as i64;
@@ -141,9 +141,13 @@
 
 fn read_phase(fields: &Fields) -> Result<Event, LineError> {
     let count = |name| fields.number(name).map(|n| n as u32);
+    let [shard, fencing_token] = match fields.number("format")? {
+        1 => ["block", "grant"],
+        _ => ["shard", "fencing_token"],
+    };
     Ok(Event::Phase(PhaseEntered {
-        block: fields.text("block")?.to_string(),
-        grant: fields.number("grant")?,
+        shard: fields.text(shard)?.to_string(),
+        fencing_token: fields.number(fencing_token)?,
         phase: RecoveryPhase::from_name(fields.text("phase")?).ok_or(LineError::BadField("phase"))?,
         age_ms: fields.number("age_ms")?,
         recorded: fields.number("recorded")?,
--- a/crates/recovery-report/src/page.rs
+++ b/crates/recovery-report/src/page.rs
@@ -173,7 +173,7 @@
             }
             @for recovery in &history.recoveries {
                 tr {
-                    td { (recovery.block) } td { (recovery.log) } td { (recovery.grant) }
+                    td { (recovery.shard) } td { (recovery.log) } td { (recovery.fencing_token) }
                     td { (seconds(recovery.granted_ms)) }
                     td { (recovery.read_ms.map_or("never".into(), |at| seconds(at - recovery.granted_ms))) }
                     td { (took_ms(recovery).map_or("never".into(), seconds)) }
@@ -203,7 +203,7 @@
 
 fn draw_timeline(history: &History, area: &DrawingArea<SVGBackend, plotters::coord::Shift>) -> Drawn {
     let shown = &history.recoveries[..rows(history)];
-    let names: Vec<&str> = shown.iter().map(|recovery| recovery.block.as_str()).collect();
+    let names: Vec<&str> = shown.iter().map(|recovery| recovery.shard.as_str()).collect();
     let read_ms = |recovery: &Recovery| recovery.read_ms.unwrap_or(history.end_ms);
     let squared_ms =
         |recovery: &Recovery| recovery.squared_ms.unwrap_or(history.end_ms).max(read_ms(recovery));
--- a/crates/recovery-report/tests/report.rs
+++ b/crates/recovery-report/tests/report.rs
@@ -38,6 +38,14 @@
     assert!(!page.contains("http://www.example") && !page.contains("<script"), "self-contained");
 }
 
+#[test]
+fn lines_of_the_present_and_of_the_former_format_tell_the_same() {
+    let renamed = LOG.replace("format=1 block=", "format=2 shard=").replace("grant=", "fencing_token=");
+    let present = renamed.replace("squaring", "reconciling").replace("squared", "reconciled");
+    let (old, new) = (History::read(&logs(LOG)).unwrap(), History::read(&logs(&present)).unwrap());
+    assert_eq!(old.recoveries, new.recoveries);
+}
+
 #[test]
 fn a_block_that_was_never_squared_is_pointed_out() {
     let cut = LOG.lines().take(3).collect::<Vec<_>>().join("\n");
@@ -54,7 +62,9 @@
             LineError::BadField("grant"),
         ),
         (LOG[..LOG.len() - 20].to_string(), 4, LineError::BadField("lease_ended")),
-        (LOG.replacen("format=1", "format=2", 1), 2, LineError::OtherFormat(2)),
+        (LOG.replacen("format=1", "format=3", 1), 2, LineError::OtherFormat(3)),
+        (LOG.replacen("format=1", "format=0", 1), 2, LineError::OtherFormat(0)),
+        (LOG.replacen("format=1", "format=2", 1), 2, LineError::BadField("shard")),
         (LOG.replace("phase=\"squared\"", "phase=\"lost\""), 4, LineError::BadField("phase")),
         (LOG.replace("2026-12-02T10:00:02.000000Z", "soon"), 3, LineError::NoTime),
     ];
--- a/crates/recovery/src/shard.rs
+++ b/crates/recovery/src/shard.rs
@@ -17,6 +17,15 @@
 impl RecoveryPhase {
     /// Name in logs.
     pub fn name(self) -> &'static str {
+        match self {
+            RecoveryPhase::ReadingRecords => "reading-records",
+            RecoveryPhase::Reconciling => "reconciling",
+            RecoveryPhase::Reconciled => "reconciled",
+        }
+    }
+
+    /// Name in logs of format 1.
+    fn former_name(self) -> &'static str {
         match self {
             RecoveryPhase::ReadingRecords => "reading-records",
             RecoveryPhase::Reconciling => "squaring",
@@ -24,10 +33,10 @@
         }
     }
 
-    /// The phase with this name.
+    /// The phase with this name, in logs of this or of the former format.
     pub fn from_name(name: &str) -> Option<RecoveryPhase> {
         let all = [RecoveryPhase::ReadingRecords, RecoveryPhase::Reconciling, RecoveryPhase::Reconciled];
-        all.into_iter().find(|phase| phase.name() == name)
+        all.into_iter().find(|phase| phase.name() == name || phase.former_name() == name)
     }
 }
 
--- a/src/core/shard_owner/reconciliation.rs
+++ b/src/core/shard_owner/reconciliation.rs
@@ -61,8 +61,8 @@
     tracing::info!(
         target: "woadlever::recovery",
         format = LOG_FORMAT,
-        block = context.shards[shard].name,
-        grant = fencing_token,
+        shard = context.shards[shard].name,
+        fencing_token,
         phase = recovery.phase().name(),
         age_ms = recovery.age_ms(context.clock.now()),
         revision = recovery.revision(),
@@ -76,7 +76,7 @@
 }
 
 /// Version of the fields in recovery's log lines.
-const LOG_FORMAT: u32 = 1;
+const LOG_FORMAT: u32 = 2;
 
 /// Takes in what a report says of the machine's tasks, and what it proves by
 /// not saying it. The attempts that are gone, with their records.
