--- a/src/core/leader/cells/capacity.rs
+++ b/src/core/leader/cells/capacity.rs
@@ -87,7 +87,7 @@
         capacity.iter().position(is_it)
     };
     let places: Vec<Option<usize>> = free_capacity.classes.iter().map(place_of).collect();
-    for machine in &free_capacity.list {
+    for machine in &free_capacity.machines {
         let Some(class) = places[machine.class].and_then(|place| capacity.get_mut(place)) else {
             continue;
         };
--- a/src/core/leader/fleet/overload_rents.rs
+++ b/src/core/leader/fleet/overload_rents.rs
@@ -3,14 +3,14 @@
 use super::machine::{Ask, InstancePhase};
 use crate::core::common::context::NodeContext;
 use crate::core::leader::Leader;
-use crate::core::leader::plan::Plan;
+use crate::core::leader::scale_out_plan::ScaleOutPlan;
 use crate::model::InstanceIndex;
 use rustc_hash::{FxHashMap, FxHashSet};
 
 impl Leader {
     /// One rent for each machine projected overloaded, none more while that
     /// rent is pending or booting, all within the waiting tasks' room.
-    pub(super) fn overload_rents(&mut self, context: &mut NodeContext, mut plan: Plan) {
+    pub(super) fn overload_rents(&mut self, context: &mut NodeContext, mut plan: ScaleOutPlan) {
         let asking = self.machines_that_ask();
         if asking.is_empty() || plan.is_empty() {
             return;
--- a/src/core/leader/fleet/window_rule.rs
+++ b/src/core/leader/fleet/window_rule.rs
@@ -3,7 +3,7 @@
 use super::machine::{Instance, InstancePhase};
 use super::{Fleet, InstanceOffer, MIN_CHARGE_MS, machine_type_label};
 use crate::core::common::context::NodeContext;
-use crate::core::leader::plan::Plan;
+use crate::core::leader::scale_out_plan::ScaleOutPlan;
 use crate::core::leader::{FleetRecord, Leader};
 use crate::model::InstanceIndex;
 use rustc_hash::{FxHashMap, FxHashSet};
@@ -13,7 +13,7 @@
     /// The window rule: N per kind from the forecast, floored at present
     /// need; isolated machines restored first, the rest rented, or surplus
     /// drained.
-    pub(super) fn window_start(&mut self, context: &mut NodeContext, mut plan: Plan) {
+    pub(super) fn window_start(&mut self, context: &mut NodeContext, mut plan: ScaleOutPlan) {
         self.fleet.window_at = Some(context.clock.now());
         self.fleet.drained = false;
         let booked: BTreeMap<String, f64> = std::mem::take(&mut self.fleet.booked)
--- a/src/core/leader/free_capacity.rs
+++ b/src/core/leader/free_capacity.rs
@@ -33,7 +33,7 @@
 #[derive(Debug, Clone, Default)]
 pub struct FreeCapacity {
     pub classes: Vec<MachineClass>,
-    pub list: Vec<FreeMachine>,
+    pub machines: Vec<FreeMachine>,
 }
 
 impl FreeCapacity {
@@ -68,9 +68,9 @@
     pub fn push_to(&mut self, class: usize, capacity: (InstanceIndex, ShardIndex, Resources)) {
         let (machine, shard, free) = capacity;
         let c = &mut self.classes[class];
-        c.free_capacity.push(self.list.len());
+        c.free_capacity.push(self.machines.len());
         c.most = c.most.max(&free);
-        self.list.push(FreeMachine { machine, shard, class, free });
+        self.machines.push(FreeMachine { machine, shard, class, free });
     }
 
     /// Adds a room (machine, block, free).
@@ -99,7 +99,7 @@
             }
             c.most = Resources::default();
             for &i in &c.free_capacity {
-                let free = &self.list[i].free;
+                let free = &self.machines[i].free;
                 c.most = c.most.max(free);
                 if demand.fits_within(free) {
                     out.push(i);
@@ -110,7 +110,7 @@
     }
 
     pub fn class(&self, capacity: usize) -> &MachineClass {
-        &self.classes[self.list[capacity].class]
+        &self.classes[self.machines[capacity].class]
     }
 }
 
@@ -158,10 +158,10 @@
         let total = free_capacity.classes[r.class].total;
         1.0 - r.free.dominant_share(&total)
     };
-    let best = (0..free_capacity.list.len())
-        .filter(|i| will_do[free_capacity.list[*i].class])
-        .min_by(|a, b| free(&free_capacity.list[*a]).total_cmp(&free(&free_capacity.list[*b])));
-    let Some(r) = best.map(|i| &mut free_capacity.list[i]) else { return };
+    let best = (0..free_capacity.machines.len())
+        .filter(|i| will_do[free_capacity.machines[*i].class])
+        .min_by(|a, b| free(&free_capacity.machines[*a]).total_cmp(&free(&free_capacity.machines[*b])));
+    let Some(r) = best.map(|i| &mut free_capacity.machines[i]) else { return };
     r.free = Resources::default();
 }
 
@@ -182,7 +182,7 @@
         .map(|i| {
             let c = free_capacity.class(i);
             let wastes = spec.spot && !c.is_spot;
-            let score = fit_score(&demand, &free_capacity.list[i].free, &c.total, wastes, true);
+            let score = fit_score(&demand, &free_capacity.machines[i].free, &c.total, wastes, true);
             let score = score + context.machine_types.scarcity_penalty(c.machine_type);
             (score, i)
         })
--- a/src/core/leader/preemption.rs
+++ b/src/core/leader/preemption.rs
@@ -71,7 +71,7 @@
                 .iter()
                 .map(|c| may_use(context, &spec, c) && zones.allows(&c.zone))
                 .collect();
-            for r in free_capacity.list.iter().filter(|r| will_do[r.class]) {
+            for r in free_capacity.machines.iter().filter(|r| will_do[r.class]) {
                 let mut victims: Vec<(u64, u64)> = there
                     .get(&r.machine)
                     .into_iter()
--- a/src/core/leader/plan.rs
+++ b/src/core/leader/scale_out_plan.rs
@@ -35,7 +35,7 @@
             .collect()
     }
 
-    pub(super) fn sample(&mut self, context: &NodeContext, plan: &Plan) {
+    pub(super) fn sample(&mut self, context: &NodeContext, plan: &ScaleOutPlan) {
         let now = self.bookings(context);
         for (machine_type, v) in now {
             let e = self.fleet.booked.entry(machine_type).or_default();
@@ -79,9 +79,9 @@
 
     /// Machines that would house the waiting tasks beyond free, booting and
     /// requested room, cheapest for the tasks that each would take.
-    pub(super) fn plan(&self, context: &NodeContext) -> Plan {
+    pub(super) fn plan(&self, context: &NodeContext) -> ScaleOutPlan {
         if self.fleet.waiting.is_empty() {
-            return Plan::default();
+            return ScaleOutPlan::default();
         }
         let mut free_capacity = self.upcoming_capacity(context);
         let mut offers = self.offers(context, &mut free_capacity);
@@ -111,11 +111,11 @@
                 free_capacity.push_to(offer.class, (NO_INSTANCE, ShardIndex::new(0), offer.capacity));
                 offer.planned += 1;
                 left -= 1;
-                let last = free_capacity.list.len() - 1;
+                let last = free_capacity.machines.len() - 1;
                 n -= put(&mut free_capacity, last, &demand, n, &mut zones);
             }
         }
-        Plan::of(offers)
+        ScaleOutPlan::of(offers)
     }
 
     /// Rooms that are free, booting or asked for.
@@ -251,14 +251,14 @@
 
 /// Machines to be rented, by offer.
 #[derive(Debug, Default)]
-pub struct Plan {
+pub struct ScaleOutPlan {
     wanted: BTreeMap<InstanceOffer, u32>,
 }
 
-impl Plan {
-    fn of(offers: Vec<OpenOffer>) -> Plan {
+impl ScaleOutPlan {
+    fn of(offers: Vec<OpenOffer>) -> ScaleOutPlan {
         let planned = offers.into_iter().filter(|o| o.planned > 0);
-        Plan { wanted: planned.map(|o| (o.offer, o.planned)).collect() }
+        ScaleOutPlan { wanted: planned.map(|o| (o.offer, o.planned)).collect() }
     }
 
     /// Whether nothing is to be rented.
@@ -317,8 +317,8 @@
     n: u32,
     zones: &mut Zones,
 ) -> u32 {
-    let zone = &free_capacity.classes[free_capacity.list[i].class].zone;
-    let free = &mut free_capacity.list[i].free;
+    let zone = &free_capacity.classes[free_capacity.machines[i].class].zone;
+    let free = &mut free_capacity.machines[i].free;
     let mut done = 0;
     while done < n && demand.fits_within(free) && zones.allows(zone) {
         free.sub(demand);
--- a/src/core/leader/scheduling_cycle.rs
+++ b/src/core/leader/scheduling_cycle.rs
@@ -54,8 +54,8 @@
             while quota > 0 && granted < MAX_GRANTS {
                 let Some(task) = self.jobs.get_mut(&ix).and_then(|j| j.next_task()) else { break };
                 let Some(&i) = places.peek() else { break };
-                let zone = &free_capacity.classes[free_capacity.list[i].class].zone;
-                let r = &mut free_capacity.list[i];
+                let zone = &free_capacity.classes[free_capacity.machines[i].class].zone;
+                let r = &mut free_capacity.machines[i];
                 if !demand.fits_within(&r.free) || !zones.allows(zone) {
                     places.next();
                     continue;
@@ -140,7 +140,7 @@
     ) {
         let mut lists: Vec<Vec<(JobIndex, u32)>> = vec![Vec::new(); self.shards.len()];
         let mut counts: BTreeMap<(usize, ShardIndex), u32> = BTreeMap::new();
-        for r in &free_capacity.list {
+        for r in &free_capacity.machines {
             *counts.entry((r.class, r.shard)).or_default() += 1;
         }
         for &(ix, n) in left {
