--- a/src/core/leader/free_capacity.rs
+++ b/src/core/leader/free_capacity.rs
@@ -1,192 +1,272 @@
-//! Free room on machines, by class of machine.
+//! Free capacity on the machines of the fleet, grouped by machine class for bin packing.
+//!
+//! The scheduling cycle, preemption and the scale-out plan each build a [`FreeCapacity`],
+//! take from it what they admit or plan, and drop it. It is never kept between two cycles
+//! and never changes an attempt or a machine.
 
 use super::Leader;
-use super::zones::Zones;
+use super::fleet::{InstanceOffer, InstancePhase};
+use super::zones::ZoneConstraints;
 use crate::core::common::context::NodeContext;
 use crate::core::common::window::{allowed, fit_score};
 use crate::model::{InstanceIndex, JobSpec, Resources, ShardIndex};
 use rustc_hash::FxHashMap;
 
-/// Machines that are alike to a job: same type, zone and kind.
+/// Machines that no job can tell apart: of the same type, in the same zone, and all spot
+/// instances or all on-demand instances.
 #[derive(Debug, Clone)]
 pub struct MachineClass {
+    /// Index of the machine type in the catalog.
     pub machine_type: usize,
+    /// Zone of the machines.
     pub zone: String,
+    /// Whether the machines are spot instances.
     pub is_spot: bool,
+    /// Capacity of one machine without any task.
     pub total: Resources,
-    free_capacity: Vec<usize>,
-    /// No room of this class has more free than this.
-    most: Resources,
+    /// Indices of the class's machines in [`FreeCapacity::machines`].
+    members: Vec<usize>,
+    /// Upper bound, in each dimension, of what is free on any machine of the class.
+    largest_free: Resources,
 }
 
-/// Free room of one machine, as far as the leader knows.
+/// An instance of the fleet and the shard that it belongs to.
+#[derive(Debug, Clone, Copy)]
+pub struct InstanceLocation {
+    /// The instance.
+    pub instance: InstanceIndex,
+    /// Its shard.
+    pub shard: ShardIndex,
+}
+
+/// One machine and what is free on it, as far as the leader knows.
 #[derive(Debug, Clone)]
 pub struct FreeMachine {
-    pub machine: InstanceIndex,
-    pub shard: ShardIndex,
+    /// The instance; `None` for a machine that is only requested or planned.
+    pub location: Option<InstanceLocation>,
+    /// Index of its class in [`FreeCapacity::classes`].
     pub class: usize,
+    /// Capacity that no task takes.
     pub free: Resources,
 }
 
-/// All rooms by class, so that a job looks at what it may use and nothing
-/// else: with thousands of machines full, most jobs look at no room at all.
+/// Free capacity of a set of machines.
+///
+/// With thousands of full machines most jobs fit nowhere, so each class keeps a bound by
+/// which a job skips all of its machines at once.
 #[derive(Debug, Clone, Default)]
 pub struct FreeCapacity {
+    /// The machine classes.
     pub classes: Vec<MachineClass>,
+    /// The machines of all classes.
     pub machines: Vec<FreeMachine>,
 }
 
 impl FreeCapacity {
-    /// The class of machines of a type, zone and kind.
-    pub fn class_of(
+    /// Index of the class of machines of a type, zone and kind; added if it is new. `total`
+    /// is the capacity of one such machine.
+    pub fn class_index(
         &mut self,
         machine_type: usize,
         zone: &str,
         is_spot: bool,
         total: Resources,
     ) -> usize {
-        let found = self
-            .classes
-            .iter()
-            .position(|c| c.machine_type == machine_type && c.is_spot == is_spot && c.zone == zone);
-        found.unwrap_or_else(|| {
-            let most = Resources::default();
-            let zone = zone.to_string();
+        let known = self.classes.iter().position(|class| {
+            class.machine_type == machine_type && class.is_spot == is_spot && class.zone == zone
+        });
+        known.unwrap_or_else(|| {
             self.classes.push(MachineClass {
                 machine_type,
-                zone,
+                zone: zone.to_string(),
                 is_spot,
                 total,
-                free_capacity: Vec::new(),
-                most,
+                members: Vec::new(),
+                largest_free: Resources::default(),
             });
             self.classes.len() - 1
         })
     }
 
-    /// Adds a room (machine, block, free) to its class.
-    pub fn push_to(&mut self, class: usize, capacity: (InstanceIndex, ShardIndex, Resources)) {
-        let (machine, shard, free) = capacity;
-        let c = &mut self.classes[class];
-        c.free_capacity.push(self.machines.len());
-        c.most = c.most.max(&free);
-        self.machines.push(FreeMachine { machine, shard, class, free });
+    /// Adds an instance of the fleet to a class.
+    pub fn add_instance(&mut self, class: usize, location: InstanceLocation, free: Resources) {
+        self.add(FreeMachine { location: Some(location), class, free });
     }
 
-    /// Adds a room (machine, block, free).
-    pub fn push(
-        &mut self,
-        machine_type: usize,
-        zone: &str,
-        is_spot: bool,
-        total: Resources,
-        capacity: (InstanceIndex, ShardIndex, Resources),
-    ) {
-        let class = self.class_of(machine_type, zone, is_spot, total);
-        self.push_to(class, capacity);
+    /// Adds an empty machine that is only requested or planned; its index.
+    pub fn add_future_machine(&mut self, class: usize) -> usize {
+        let free = self.classes[class].total;
+        self.add(FreeMachine { location: None, class, free })
     }
 
-    /// Rooms with place for one task, of the classes that will do.
-    pub fn with_place(
+    fn add(&mut self, machine: FreeMachine) -> usize {
+        let index = self.machines.len();
+        let class = &mut self.classes[machine.class];
+        class.members.push(index);
+        class.largest_free = class.largest_free.max(&machine.free);
+        self.machines.push(machine);
+        index
+    }
+
+    /// Machines that one task fits on, among the classes that `accepts` holds for.
+    pub fn machines_fitting(
         &mut self,
         demand: &Resources,
-        will_do: impl Fn(&MachineClass) -> bool,
+        accepts: impl Fn(&MachineClass) -> bool,
     ) -> Vec<usize> {
-        let mut out = Vec::new();
-        for c in &mut self.classes {
-            if !demand.fits_within(&c.most) || !will_do(c) {
+        let mut fitting = Vec::new();
+        for class in &mut self.classes {
+            if !demand.fits_within(&class.largest_free) || !accepts(class) {
                 continue;
             }
-            c.most = Resources::default();
-            for &i in &c.free_capacity {
-                let free = &self.machines[i].free;
-                c.most = c.most.max(free);
+            class.largest_free = Resources::default();
+            for &index in &class.members {
+                let free = &self.machines[index].free;
+                class.largest_free = class.largest_free.max(free);
                 if demand.fits_within(free) {
-                    out.push(i);
+                    fitting.push(index);
                 }
             }
         }
-        out
+        fitting
     }
 
-    pub fn class(&self, capacity: usize) -> &MachineClass {
-        &self.classes[self.machines[capacity].class]
+    /// The class of a machine.
+    pub fn class_of(&self, machine: usize) -> &MachineClass {
+        &self.classes[self.machines[machine].class]
     }
-}
 
-/// Whether a job may use machines of this class.
-pub fn may_use(context: &NodeContext, spec: &JobSpec, c: &MachineClass) -> bool {
-    context.machine_types.get(c.machine_type).is_some_and(|t| allowed(spec, &t.name, &c.zone, c.is_spot))
-        && spec.demand().fits_within(&c.total)
-}
-
-impl Leader {
-    /// Machines that may get tasks now, with what is free on them.
-    pub fn free_capacity(&self, context: &NodeContext) -> FreeCapacity {
-        let mut used: FxHashMap<InstanceIndex, Resources> = FxHashMap::default();
-        for a in self.attempts.values().filter(|a| a.occupies_capacity()) {
-            if let Some(m) = a.machine {
-                used.entry(m).or_default().add(&a.demand);
-            }
+    /// Places up to `count` tasks on a machine, as many as fit and as the zones allow, and
+    /// counts them in both; the number of tasks placed.
+    pub fn pack(
+        &mut self,
+        machine: usize,
+        demand: &Resources,
+        count: u32,
+        zones: &mut ZoneConstraints,
+    ) -> u32 {
+        let machine = &mut self.machines[machine];
+        let zone = &self.classes[machine.class].zone;
+        let mut placed = 0;
+        while placed < count && demand.fits_within(&machine.free) && zones.allows(zone) {
+            machine.free.sub(demand);
+            zones.count_task(zone);
+            placed += 1;
         }
-        let mut out = FreeCapacity::default();
-        for (ix, m) in self.fleet.machines.iter() {
-            let Some(b) = self.shards.get(m.shard.place()) else { continue };
-            if !b.has_reported || !m.takes_tasks(context) {
-                continue;
-            }
-            let Some(t) = context.machine_types.get(m.machine_type) else { continue };
-            let mut free = t.capacity;
-            if let Some(u) = used.get(&ix) {
-                free.sub(u);
-            }
-            out.push(m.machine_type, &m.zone, m.is_spot, t.capacity, (ix, m.shard, free));
+        placed
+    }
+
+    /// Withholds the machine with the most free capacity among those that a job may use, so
+    /// that smaller tasks don't refill it before a task of the job fits.
+    pub fn reserve_for(&mut self, context: &NodeContext, spec: &JobSpec, zones: &ZoneConstraints) {
+        let is_class_usable: Vec<bool> = self
+            .classes
+            .iter()
+            .map(|class| may_use(context, spec, class) && zones.allows(&class.zone))
+            .collect();
+        let used_share = |machine: &FreeMachine| {
+            1.0 - machine.free.dominant_share(&self.classes[machine.class].total)
+        };
+        let emptiest = (0..self.machines.len())
+            .filter(|index| is_class_usable[self.machines[*index].class])
+            .min_by(|a, b| used_share(&self.machines[*a]).total_cmp(&used_share(&self.machines[*b])));
+        if let Some(index) = emptiest {
+            self.machines[index].free = Resources::default();
         }
-        out
     }
 }
 
-/// Keeps the machine with the most room for a starving job that fits
-/// nowhere: small tasks would refill it for ever.
-pub fn reserve(context: &NodeContext, free_capacity: &mut FreeCapacity, spec: &JobSpec, zones: &Zones) {
-    let will_do: Vec<bool> = free_capacity
-        .classes
-        .iter()
-        .map(|c| may_use(context, spec, c) && zones.allows(&c.zone))
-        .collect();
-    let free = |r: &FreeMachine| {
-        let total = free_capacity.classes[r.class].total;
-        1.0 - r.free.dominant_share(&total)
-    };
-    let best = (0..free_capacity.machines.len())
-        .filter(|i| will_do[free_capacity.machines[*i].class])
-        .min_by(|a, b| free(&free_capacity.machines[*a]).total_cmp(&free(&free_capacity.machines[*b])));
-    let Some(r) = best.map(|i| &mut free_capacity.machines[i]) else { return };
-    r.free = Resources::default();
+/// Whether tasks of a job may be placed on machines of a class: its constraints allow them,
+/// and one task fits on an empty machine.
+pub fn may_use(context: &NodeContext, spec: &JobSpec, class: &MachineClass) -> bool {
+    let machine_type = context.machine_types.get(class.machine_type);
+    machine_type.is_some_and(|known| allowed(spec, &known.name, &class.zone, class.is_spot))
+        && spec.demand().fits_within(&class.total)
 }
 
-/// Rooms for the job's tasks, best fit first.
+/// Machines that one task of a job fits on, the best fit first.
 pub fn best_fit_machines(
     context: &NodeContext,
     free_capacity: &mut FreeCapacity,
     spec: &JobSpec,
-    quota: u32,
 ) -> Vec<usize> {
-    if quota == 0 {
-        return Vec::new();
-    }
     let demand = spec.demand();
-    let mut scored: Vec<(f64, usize)> = free_capacity
-        .with_place(&demand, |c| may_use(context, spec, c))
-        .into_iter()
-        .map(|i| {
-            let c = free_capacity.class(i);
-            let wastes = spec.spot && !c.is_spot;
-            let score = fit_score(&demand, &free_capacity.machines[i].free, &c.total, wastes, true);
-            let score = score + context.machine_types.scarcity_penalty(c.machine_type);
-            (score, i)
-        })
-        .collect();
-    scored.sort_by(|a, b| a.0.total_cmp(&b.0));
-    scored.into_iter().map(|(_, i)| i).collect()
+    let fitting = free_capacity.machines_fitting(&demand, |class| may_use(context, spec, class));
+    let score = |index: usize| {
+        let class = free_capacity.class_of(index);
+        let wastes_on_demand = spec.spot && !class.is_spot;
+        let free = &free_capacity.machines[index].free;
+        fit_score(&demand, free, &class.total, wastes_on_demand, true)
+            + context.machine_types.scarcity_penalty(class.machine_type)
+    };
+    let mut scored: Vec<(f64, usize)> = fitting.into_iter().map(|index| (score(index), index)).collect();
+    scored.sort_by(|(left, _), (right, _)| left.total_cmp(right));
+    scored.into_iter().map(|(_, index)| index).collect()
+}
+
+impl Leader {
+    /// Free capacity on the instances that may get tasks now.
+    pub fn free_capacity(&self, context: &NodeContext) -> FreeCapacity {
+        let used = self.used_by_instance();
+        let mut free_capacity = FreeCapacity::default();
+        for (index, instance) in self.fleet.machines.iter() {
+            let Some(shard) = self.shards.get(instance.shard.place()) else { continue };
+            if !shard.has_reported || !instance.takes_tasks(context) {
+                continue;
+            }
+            let Some(machine_type) = context.machine_types.get(instance.machine_type) else { continue };
+            let total = machine_type.capacity;
+            let mut free = total;
+            if let Some(used) = used.get(&index) {
+                free.sub(used);
+            }
+            let class = free_capacity.class_index(
+                instance.machine_type,
+                &instance.zone,
+                instance.is_spot,
+                total,
+            );
+            let location = InstanceLocation { instance: index, shard: instance.shard };
+            free_capacity.add_instance(class, location, free);
+        }
+        free_capacity
+    }
+
+    /// Free capacity, with the machines that are booting or requested.
+    pub(super) fn upcoming_capacity(&self, context: &NodeContext) -> FreeCapacity {
+        let mut free_capacity = self.free_capacity(context);
+        let is_booting = |phase: InstancePhase| phase == InstancePhase::Booting;
+        for (index, instance) in self.fleet.machines.iter().filter(|(_, m)| is_booting(m.phase)) {
+            let Some(machine_type) = context.machine_types.get(instance.machine_type) else { continue };
+            let total = machine_type.capacity;
+            let class = free_capacity.class_index(
+                instance.machine_type,
+                &instance.zone,
+                instance.is_spot,
+                total,
+            );
+            let location = InstanceLocation { instance: index, shard: instance.shard };
+            free_capacity.add_instance(class, location, total);
+        }
+        for request in &self.fleet.rents {
+            let InstanceOffer { machine_type, zone, is_spot } = &request.offer;
+            let Some(catalog_entry) = context.machine_types.get(*machine_type) else { continue };
+            let class = free_capacity.class_index(*machine_type, zone, *is_spot, catalog_entry.capacity);
+            for _ in 0..request.count {
+                free_capacity.add_future_machine(class);
+            }
+        }
+        free_capacity
+    }
+
+    /// What attempts take, or may take, on each instance.
+    fn used_by_instance(&self) -> FxHashMap<InstanceIndex, Resources> {
+        let mut used: FxHashMap<InstanceIndex, Resources> = FxHashMap::default();
+        for attempt in self.attempts.values().filter(|attempt| attempt.occupies_capacity()) {
+            if let Some(instance) = attempt.machine {
+                used.entry(instance).or_default().add(&attempt.demand);
+            }
+        }
+        used
+    }
 }
--- /dev/null
+++ b/src/core/leader/inherited_urgency.rs
@@ -0,0 +1,106 @@
+//! What a job inherits from the jobs that depend on it: their priority, and their deadlines
+//! less the time that they themselves take.
+//!
+//! The order of jobs asks for it in each scheduling cycle. It is computed from the dependency
+//! links that every node keeps, and never stored.
+
+use super::Leader;
+use crate::core::common::context::NodeContext;
+use crate::core::common::job_table::Job;
+use crate::model::{JobIndex, JobSpec, Priority};
+use rustc_hash::{FxHashMap, FxHashSet};
+
+/// Time from the last success of one job of a pipeline to the start of the next one, beside
+/// its image: to record the success, and to admit and start the task.
+const HANDOVER_S: f64 = 4.0;
+/// Rate at which images are taken to be fetched.
+const FETCH_GB_PER_S: f64 = 0.5;
+
+/// Priority and deadline of a job, those of its dependents included.
+#[derive(Debug, Clone, Copy, PartialEq)]
+pub struct InheritedUrgency {
+    /// The highest priority among the job and its dependents.
+    pub priority: Priority,
+    /// Time of day, in seconds, by which the job has to be done so that it and all its
+    /// dependents can meet their deadlines; `None` if none of them has one.
+    pub finish_by_s: Option<f64>,
+}
+
+impl Leader {
+    /// The urgency of all jobs that others depend on, and of those others.
+    pub(super) fn inherited_urgency(
+        &self,
+        context: &NodeContext,
+    ) -> FxHashMap<JobIndex, InheritedUrgency> {
+        let mut known = FxHashMap::default();
+        for job in self.jobs.keys().filter(|job| !context.job(**job).links.dependents.is_empty()) {
+            self.add_urgency(context, *job, &mut known);
+        }
+        known
+    }
+
+    /// Adds the urgency of a job, and of all jobs that depend on it, to `known`. A depth-first
+    /// walk that passes each job once, whatever the number of paths to it.
+    fn add_urgency(
+        &self,
+        context: &NodeContext,
+        start: JobIndex,
+        known: &mut FxHashMap<JobIndex, InheritedUrgency>,
+    ) {
+        let mut path = vec![start];
+        // Corrupt records could make jobs depend on each other in a cycle.
+        let mut visited = FxHashSet::from_iter([start]);
+        while let Some(&current) = path.last() {
+            let job = context.job(current);
+            let (Some(spec), false) = (&job.spec, known.contains_key(&current)) else {
+                path.pop();
+                continue;
+            };
+            let is_open = |next: &JobIndex| !known.contains_key(next) && !visited.contains(next);
+            if let Some(next) = dependents(context, job).find(is_open) {
+                visited.insert(next);
+                path.push(next);
+                continue;
+            }
+            let urgency = self.combine_urgency(context, job, spec, known);
+            known.insert(current, urgency);
+            path.pop();
+        }
+    }
+
+    /// A job's own urgency together with what its dependents pass on.
+    fn combine_urgency(
+        &self,
+        context: &NodeContext,
+        job: &Job,
+        spec: &JobSpec,
+        known: &FxHashMap<JobIndex, InheritedUrgency>,
+    ) -> InheritedUrgency {
+        let own_deadline =
+            spec.deadline_s.map(|deadline_s| spec.accepted_at_ms as f64 / 1000.0 + deadline_s);
+        let mut urgency = InheritedUrgency { priority: spec.priority, finish_by_s: own_deadline };
+        for dependent in dependents(context, job) {
+            let Some(theirs) = known.get(&dependent) else { continue };
+            urgency.priority = urgency.priority.max(theirs.priority);
+            let duration_s =
+                context.job(dependent).spec.as_ref().map_or(0.0, |spec| self.stage_duration_s(spec));
+            if let Some(finish_by_s) = theirs.finish_by_s.map(|by_s| by_s - duration_s) {
+                let earliest = urgency.finish_by_s.map_or(finish_by_s, |own| own.min(finish_by_s));
+                urgency.finish_by_s = Some(earliest);
+            }
+        }
+        urgency
+    }
+
+    /// How long a job of a pipeline is taken to last: the handover from the one before it, the
+    /// fetch of its image, and its run.
+    fn stage_duration_s(&self, spec: &JobSpec) -> f64 {
+        self.expected_s(spec) + spec.image_gb / FETCH_GB_PER_S + HANDOVER_S
+    }
+}
+
+/// The jobs that depend on a job, as far as they are known.
+fn dependents<'a>(context: &'a NodeContext, job: &'a Job) -> impl Iterator<Item = JobIndex> + 'a {
+    let is_known = |dependent: &JobIndex| context.job(*dependent).spec.is_some();
+    job.links.dependents.iter().copied().filter(is_known)
+}
--- a/src/core/leader/live_jobs.rs
+++ b/src/core/leader/live_jobs.rs
@@ -92,6 +92,11 @@
         self.segments.insert(segment, Some(version));
     }
 
+    /// Seconds since the job could be started, at a time of day in milliseconds.
+    pub fn age_s(&self, wall_ms: u64) -> f64 {
+        wall_ms.saturating_sub(self.ready_at_ms) as f64 / 1000.0
+    }
+
     /// Whether only another cell may run it.
     pub fn is_away(&self) -> bool {
         matches!(self.location, JobLocation::Away { .. })
@@ -213,7 +218,7 @@
             return;
         }
         if job.links.has_cancelled_dependency {
-            return self.cascade_later(ix);
+            return self.cancel_later(ix);
         }
         // Not all that it awaits is on record as done: it takes no part in
         // anything, and no task of it may start. Once all is, that is final.
@@ -236,11 +241,6 @@
         self.jobs.insert(ix, j);
     }
 
-    /// Learned run time of the job's tasks, seconds.
-    pub fn expected_s(&self, spec: &JobSpec) -> f64 {
-        spec.estimate_s * self.ratios.get(&spec.class).copied().unwrap_or(1.0)
-    }
-
     pub fn new_attempt(&mut self, job: JobIndex, task: u32, machine: InstanceIndex, shard: ShardIndex) {
         let Some(j) = self.jobs.get(&job) else { return };
         let a = AttemptView {
--- a/src/core/leader/mod.rs
+++ b/src/core/leader/mod.rs
@@ -5,19 +5,22 @@
 //! that a new leader starts from what is, not from what was meant.
 
 mod attempts;
+mod cascading_cancellation;
 mod cells;
+mod demand_samples;
 mod fleet;
 pub mod forecast;
 mod free_capacity;
+mod inherited_urgency;
 mod live_jobs;
 mod order;
 mod persistence;
-mod pipelines;
 mod preemption;
 pub mod progress;
 mod quota;
 mod rebuild;
 mod reconciliation;
+mod run_times;
 mod scale_out_plan;
 mod scheduling_cycle;
 mod shards;
@@ -29,11 +32,11 @@
 use crate::model::{JobIndex, Ms, ShardIndex};
 use crate::wire::store::{Compare, JobRecord};
 use attempts::Attempts;
+use cascading_cancellation::CascadingCancellations;
 use cells::{CellCall, Cells};
 use fleet::Fleet;
 use forecast::History;
 use live_jobs::LiveJob;
-use pipelines::Cascade;
 use progress::{DeletionQueue, ProgressSegment};
 use serde::{Deserialize, Serialize};
 use shards::ShardAssignment;
@@ -52,7 +55,7 @@
     Reread { job: JobIndex, segment: ProgressSegment },
     Finish { job: JobIndex, done_ms: u64, dropped: Vec<ProgressSegment> },
     Forget { keys: Vec<String> },
-    Cascade { list: Vec<JobIndex> },
+    WriteCancellations { jobs: Vec<JobIndex> },
     Cells(CellCall),
     SaveFleet,
     SaveCatalog,
@@ -107,7 +110,7 @@
     pub(super) deletions: DeletionQueue,
     /// The state service has shown that it takes no more than the next limits.
     pub(super) writes_parts: bool,
-    pub(super) cascade: Cascade,
+    pub(super) cancellations: CascadingCancellations,
     /// Other cells that share load; none only while they are at work.
     pub(super) cells: Option<Box<Cells>>,
 }
@@ -153,7 +156,7 @@
             progress: HashMap::new(),
             deletions: DeletionQueue::default(),
             writes_parts: false,
-            cascade: Cascade::default(),
+            cancellations: CascadingCancellations::default(),
             cells: Some(Box::new(Cells::new(context))),
         }
     }
@@ -177,7 +180,7 @@
         }
         self.poll_at = context.clock.now() + POLL_GAP_MS;
         self.follow_jobs(context);
-        self.cascade_due(context);
+        self.write_cancellations(context);
         self.cells_poll(context);
         self.fleet_poll(context);
         // What a scheduling cycle costs grows with what it has to look at.
@@ -229,7 +232,9 @@
                 }
             }
             LeaderCall::Cells(call) => self.on_cell_result(context, call, result),
-            LeaderCall::Cascade { list } => self.on_cascaded(context, list, result),
+            LeaderCall::WriteCancellations { jobs } => {
+                self.on_cancellations_written(context, jobs, result);
+            }
             LeaderCall::SaveFleet => self.fleet.saved(matches!(result, StoreResponse::Committed { .. })),
             LeaderCall::SaveCatalog => {
                 self.writes_parts |= matches!(result, StoreResponse::Malformed);
--- a/src/core/leader/order.rs
+++ b/src/core/leader/order.rs
@@ -1,119 +1,138 @@
-//! The order in which waiting jobs are served.
+//! The order in which waiting jobs are served by a scheduling cycle.
+//!
+//! By priority first, then by the slack until the next service-level objective that the job
+//! can still meet. Priority and deadline of a job include what it inherits from jobs that
+//! depend on it.
 
 use super::Leader;
-use super::pipelines::Inherited;
-use crate::config::Objective;
+use super::live_jobs::LiveJob;
+use super::run_times::expected_run_s;
+use crate::config::{Objective, Team};
 use crate::core::common::context::NodeContext;
 use crate::model::{JobIndex, JobOrder, JobSpec, Resources};
-use rustc_hash::FxHashMap;
+use rustc_hash::FxHashSet;
+use std::cmp::Reverse;
 
-/// A job that no aim speaks of is to be started this long after its arrival.
-const DUE_WITHOUT_AIM_S: f64 = 60.0;
+/// A job without an objective should start this long after it could be started.
+const START_WITHOUT_OBJECTIVE_S: f64 = 60.0;
+/// Sums of decimals drift; a team at its guarantee is still within it.
+const GUARANTEE_TOLERANCE: f64 = 1e-6;
 
 impl Leader {
-    /// Jobs with something to run, most pressing first.
+    /// Jobs with a task to admit, the most urgent first.
     pub fn order(&mut self, context: &NodeContext) -> Vec<JobIndex> {
-        let here = self.jobs.iter().filter(|(_, j)| !j.is_away());
-        // Jobs of other cells come after a team's own.
-        let mut by_age: Vec<(bool, u64, JobIndex)> =
-            here.map(|(ix, j)| (j.is_hosted(), j.ready_at_ms, *ix)).collect();
-        by_age.sort_unstable();
-        let mut sums = vec![Resources::default(); context.platform.cluster.teams.len()];
-        let mut within: FxHashMap<JobIndex, bool> = FxHashMap::default();
-        for (_, _, ix) in by_age {
-            let j = &self.jobs[&ix];
-            let t = &context.platform.cluster.teams[j.team];
-            let mut demand = j.spec.demand();
-            let n = f64::from(j.spec.tasks - j.done.len());
-            demand.cpus *= n;
-            demand.gpus *= n;
-            let sum = &mut sums[j.team];
-            sum.add(&demand);
-            within.insert(ix, sum.cpus <= t.cpus + 1e-6 && sum.gpus <= t.gpus + 1e-6);
-        }
+        let within_guarantee = self.jobs_within_guarantee(context);
         let inherited_urgency = self.inherited_urgency(context);
         let now = context.clock.now();
-        let mut list: Vec<(JobOrder, JobIndex)> = Vec::new();
-        let wall = context.clock.wall();
-        for (ix, j) in &mut self.jobs {
-            let is_paused = j.is_hosted() && context.must_stop(*ix);
-            if j.backoff_until > now || !j.is_schedulable() || is_paused || j.next_task().is_none() {
+        let wall_ms = context.clock.wall();
+        let objectives = &context.platform.cluster.objectives;
+        let mut order: Vec<(JobOrder, JobIndex)> = Vec::new();
+        for (job, live) in &mut self.jobs {
+            let is_paused = live.is_hosted() && context.must_stop(*job);
+            let is_backing_off = live.backoff_until > now;
+            if is_backing_off || !live.is_schedulable() || is_paused || live.next_task().is_none() {
                 continue;
             }
-            let ratio = self.ratios.get(&j.spec.class).copied().unwrap_or(1.0);
-            let run_s = j.spec.estimate_s * ratio;
-            let age_s = wall.saturating_sub(j.ready_at_ms) as f64 / 1000.0;
-            let clock = Clock {
-                age_s,
-                waited_s: j.ready_at_ms.saturating_sub(j.spec.accepted_at_ms) as f64 / 1000.0,
-            };
-            let next =
-                next_start(&context.platform.cluster.objectives, &j.spec, clock, within[ix], run_s);
-            j.is_within_guarantee = within[ix];
-            // What a pipeline's end needs in time, each stage needs the earlier.
-            let heir = inherited_urgency.get(ix);
-            j.priority = heir.map_or(j.spec.priority, |h| h.priority);
-            let by = heir.and_then(|h| h.finish_by).map(|by| by - wall as f64 / 1000.0 - run_s);
-            let next = match (next, by.filter(|by| *by >= 0.0)) {
-                (Some(own), Some(by)) => Some(own.min(by)),
-                (own, by) => own.or(by),
-            };
-            let order = JobOrder {
-                priority: std::cmp::Reverse(j.priority),
-                late: next.is_none(),
-                slack_ms: (next.unwrap_or(-age_s) * 1000.0) as i64,
+            let inherited = inherited_urgency.get(job);
+            live.is_within_guarantee = within_guarantee.contains(job);
+            live.priority = inherited.map_or(live.spec.priority, |urgency| urgency.priority);
+            let run_s = expected_run_s(&self.ratios, &live.spec);
+            // What the end of a pipeline needs in time, each stage before it needs earlier.
+            let inherited_slack_s = inherited
+                .and_then(|urgency| urgency.finish_by_s)
+                .map(|finish_by_s| finish_by_s - wall_ms as f64 / 1000.0 - run_s)
+                .filter(|slack_s| *slack_s >= 0.0);
+            let own_slack_s = objective_slack_s(objectives, live, wall_ms, run_s);
+            let slack_s = shorter(own_slack_s, inherited_slack_s);
+            let key = JobOrder {
+                priority: Reverse(live.priority),
+                late: slack_s.is_none(),
+                slack_ms: (slack_s.unwrap_or(-live.age_s(wall_ms)) * 1000.0) as i64,
             };
-            list.push((order, *ix));
+            order.push((key, *job));
         }
-        list.sort();
-        list.into_iter().map(|(_, ix)| ix).collect()
+        order.sort();
+        order.into_iter().map(|(_, job)| job).collect()
     }
 
-    /// What jobs with others behind them inherit from those.
-    fn inherited_urgency(&self, context: &NodeContext) -> FxHashMap<JobIndex, Inherited> {
-        let mut known = FxHashMap::default();
-        for ix in self.jobs.keys().filter(|ix| !context.job(**ix).links.dependents.is_empty()) {
-            self.inherited(context, *ix, &mut known);
+    /// Jobs that are within their team's guarantee, counting the team's jobs in the order in
+    /// which they became ready, and those of other cells after its own.
+    fn jobs_within_guarantee(&self, context: &NodeContext) -> FxHashSet<JobIndex> {
+        let teams = &context.platform.cluster.teams;
+        let local = self.jobs.iter().filter(|(_, live)| !live.is_away());
+        let mut by_age: Vec<(bool, u64, JobIndex)> =
+            local.map(|(job, live)| (live.is_hosted(), live.ready_at_ms, *job)).collect();
+        by_age.sort_unstable();
+        let mut demand_by_team = vec![Resources::default(); teams.len()];
+        let mut within_guarantee = FxHashSet::default();
+        for (_, _, job) in by_age {
+            let live = &self.jobs[&job];
+            let demand = &mut demand_by_team[live.team];
+            demand.add(&remaining_demand(live));
+            if is_within_guarantee(demand, &teams[live.team]) {
+                within_guarantee.insert(job);
+            }
         }
-        known
+        within_guarantee
+    }
+}
+
+/// What all tasks of a job that are not done take together; memory for one task only, as it
+/// has no guarantee.
+fn remaining_demand(live: &LiveJob) -> Resources {
+    let remaining = f64::from(live.spec.tasks - live.done.len());
+    let mut demand = live.spec.demand();
+    demand.cpus *= remaining;
+    demand.gpus *= remaining;
+    demand
+}
+
+fn is_within_guarantee(demand: &Resources, team: &Team) -> bool {
+    demand.cpus <= team.cpus + GUARANTEE_TOLERANCE && demand.gpus <= team.gpus + GUARANTEE_TOLERANCE
+}
+
+/// Seconds until a job must start to meet the next of its service-level objectives that it
+/// can still meet; `None` if all are missed. Those don't count: serving late work before work
+/// that can still be in time would only make both late.
+fn objective_slack_s(objectives: &[Objective], live: &LiveJob, wall_ms: u64, run_s: f64) -> Option<f64> {
+    let age_s = live.age_s(wall_ms);
+    let mut slacks_s = objectives
+        .iter()
+        .filter(|objective| applies_to(objective, &live.spec))
+        .filter_map(|objective| start_within_s(objective, live, run_s))
+        .map(|within_s| within_s - age_s)
+        .peekable();
+    if slacks_s.peek().is_none() {
+        return Some(START_WITHOUT_OBJECTIVE_S - age_s);
     }
+    slacks_s.filter(|slack_s| *slack_s >= 0.0).reduce(f64::min)
 }
 
-/// A job's times, in seconds: since it could be started, and before that, while it
-/// waited for others. A deadline counts from the submission all the same.
-#[derive(Debug, Clone, Copy)]
-struct Clock {
-    age_s: f64,
-    waited_s: f64,
+fn applies_to(objective: &Objective, spec: &JobSpec) -> bool {
+    objective.class.as_ref().is_none_or(|class| *class == spec.class)
 }
 
-/// Seconds until the next aim for which the job can still be started in time;
-/// none when all are missed. Serving work that is late already before work
-/// that can still make it would only make both late.
-fn next_start(
-    objectives: &[Objective],
-    spec: &JobSpec,
-    clock: Clock,
-    within: bool,
-    run_s: f64,
-) -> Option<f64> {
-    let own = objectives.iter().filter(|o| o.class.as_ref().is_none_or(|c| *c == spec.class));
-    let mut best: Option<f64> = None;
-    let mut any = false;
-    for o in own {
-        let at = match o.kind.as_str() {
-            "deadline" => spec.deadline_s.map(|d| d * o.times.unwrap_or(1.0) - clock.waited_s - run_s),
-            "finished" => o.within_s.map(|w| w - run_s),
-            "wait" => o.within_s,
-            "guarantee" if within => o.within_s,
-            _ => None,
-        };
-        let Some(at) = at else { continue };
-        any = true;
-        let left = at - clock.age_s;
-        if left >= 0.0 && best.is_none_or(|b| left < b) {
-            best = Some(left);
+/// How long after it became ready a job must start to meet an objective, in seconds; `None`
+/// if the objective says nothing about it. A deadline counts from the submission, so what the
+/// job has waited for its dependencies is taken off.
+fn start_within_s(objective: &Objective, live: &LiveJob, run_s: f64) -> Option<f64> {
+    match objective.kind.as_str() {
+        "deadline" => {
+            let waited_ms = live.ready_at_ms.saturating_sub(live.spec.accepted_at_ms);
+            let deadline_s = live.spec.deadline_s? * objective.times.unwrap_or(1.0);
+            Some(deadline_s - waited_ms as f64 / 1000.0 - run_s)
         }
+        "finished" => objective.within_s.map(|within_s| within_s - run_s),
+        "wait" => objective.within_s,
+        "guarantee" if live.is_within_guarantee => objective.within_s,
+        _ => None,
+    }
+}
+
+/// The shorter of two times, if there is any.
+fn shorter(left: Option<f64>, right: Option<f64>) -> Option<f64> {
+    match (left, right) {
+        (Some(left), Some(right)) => Some(left.min(right)),
+        (left, right) => left.or(right),
     }
-    if any { best } else { Some(DUE_WITHOUT_AIM_S - clock.age_s) }
 }
--- a/src/core/leader/preemption.rs
+++ b/src/core/leader/preemption.rs
@@ -1,121 +1,231 @@
-//! Stopping work to make room for other work that has waited for long.
+//! Preemption: stopping running tasks in favor of jobs that have waited long.
+//!
+//! Jobs of lower priority give way to one that has not started yet, and what other teams use
+//! beyond their guarantee gives way to work within a guarantee. The tasks that lose least are
+//! stopped, few at a time, and none while earlier ones are still stopping. Preemption only
+//! marks attempts as no longer wanted; their capacity is admitted anew by a later cycle.
 
 use super::Leader;
-use super::free_capacity::{FreeCapacity, may_use};
+use super::attempts::AttemptView;
+use super::free_capacity::{FreeCapacity, FreeMachine, may_use};
 use super::live_jobs::LiveJob;
-use super::zones::Zones;
+use super::zones::ZoneConstraints;
 use crate::core::common::context::NodeContext;
-use crate::model::{InstanceIndex, JobIndex, Resources};
-use rustc_hash::FxHashMap;
+use crate::model::{InstanceIndex, JobIndex, JobSpec, Ms, Priority, Resources};
+use rustc_hash::{FxHashMap, FxHashSet};
+use std::sync::Arc;
 
-/// Tasks stopped to make room in one scheduling cycle.
-const MAX_STOPS: usize = 6;
-/// Jobs that one scheduling cycle looks at for it.
-const MAX_LOOKS: usize = 16;
+/// Tasks stopped in one cycle at most.
+const MAX_STOPPED_TASKS: usize = 6;
+/// Waiting jobs that one cycle tries to make way for.
+const MAX_PREEMPTORS: usize = 16;
+/// Pause between a preemption and the next one.
+const PREEMPTION_GAP_MS: Ms = 1_000;
+/// Work taken to be lost by a task that resumes from a checkpoint.
+const CHECKPOINTED_LOSS_MS: Ms = 1_000;
+/// What a task that starts again loses beside the time that it has run.
+const RESTART_LOSS_MS: Ms = 2_000;
+
+/// What the preemptions of one cycle work with.
+struct PreemptionState<'a> {
+    free_capacity: &'a FreeCapacity,
+    /// Attempts that may be stopped, by the instance that they are on.
+    stoppable: FxHashMap<InstanceIndex, Vec<u64>>,
+    /// By index of the team; without the tasks that are stopped.
+    used_by_team: Vec<Resources>,
+    /// Tasks that may still be stopped in this cycle.
+    budget: usize,
+}
+
+/// A waiting job that others may have to give way to.
+struct Preemptor {
+    job: JobIndex,
+    spec: Arc<JobSpec>,
+    team: usize,
+    priority: Priority,
+    is_within_guarantee: bool,
+    /// No task of it is done or on a machine.
+    is_unstarted: bool,
+}
+
+/// Attempts on one machine that together free enough for a task.
+struct Victims {
+    /// Run time that is lost by stopping them.
+    cost_ms: Ms,
+    attempts: Vec<u64>,
+}
 
 impl Leader {
-    /// Makes room for work that has waited for long: lower priorities give way,
-    /// and what other teams run beyond their guarantee gives way to work
-    /// within one. Stops what loses least, little at a time, and nothing
-    /// while earlier stops are still under way.
+    /// Stops tasks where that lets jobs start that have waited too long. `waiting` lists the
+    /// jobs with tasks that the cycle didn't admit, `used_by_team` what each team uses.
     pub(super) fn preempt(
         &mut self,
         context: &NodeContext,
         free_capacity: &FreeCapacity,
-        left: &[(JobIndex, u32)],
-        mut used: Vec<Resources>,
+        waiting: &[(JobIndex, u32)],
+        used_by_team: Vec<Resources>,
     ) {
-        if context.clock.now() < self.preempt_at
-            || self.attempts.values().any(|a| !a.is_wanted && a.occupies_capacity())
-        {
+        let is_stopping = |a: &AttemptView| !a.is_wanted && a.occupies_capacity();
+        if context.clock.now() < self.preempt_at || self.attempts.values().any(is_stopping) {
             return;
         }
-        let served = self.served();
-        let mut budget = MAX_STOPS;
-        let age_s = |j: &LiveJob| context.clock.wall().saturating_sub(j.ready_at_ms) as f64 / 1000.0;
-        let old: Vec<JobIndex> = left
-            .iter()
-            .filter(|(ix, _)| {
-                self.jobs.get(ix).is_some_and(|j| age_s(j) >= context.operator.preempt_after_s)
-            })
-            .map(|(ix, _)| *ix)
-            .collect();
-        if old.is_empty() {
+        let overdue = self.overdue_jobs(context, waiting);
+        if overdue.is_empty() {
             return;
         }
-        let mut there: FxHashMap<InstanceIndex, Vec<u64>> = FxHashMap::default();
-        for (id, a) in
-            self.attempts.iter().filter(|(_, a)| a.is_wanted && !a.may_bind && a.occupies_capacity())
-        {
-            if let Some(m) = a.machine {
-                there.entry(m).or_default().push(id);
+        let jobs_on_machines = self.jobs_on_machines();
+        let mut state = PreemptionState {
+            free_capacity,
+            stoppable: self.stoppable_attempts(),
+            used_by_team,
+            budget: MAX_STOPPED_TASKS,
+        };
+        for job in self.select_for_cycle(&overdue) {
+            if state.budget == 0 {
+                break;
+            }
+            let Some(preemptor) = self.preemptor(job, &jobs_on_machines) else { continue };
+            if let Some(victims) = self.choose_victims(context, &state, &preemptor) {
+                self.stop_victims(context, &mut state, &victims);
             }
         }
-        // Under a backlog of hundreds of old jobs each scheduling cycle looks at some,
-        // the next scheduling cycle at others.
-        let skip = if old.len() > MAX_LOOKS { self.cycles as usize * MAX_LOOKS % old.len() } else { 0 };
-        for ix in old.iter().cycle().skip(skip).take(old.len().min(MAX_LOOKS)) {
-            let Some(j) = self.jobs.get(ix) else { continue };
-            if budget == 0 {
-                break;
+    }
+
+    /// Waiting jobs that are old enough to preempt others.
+    fn overdue_jobs(&self, context: &NodeContext, waiting: &[(JobIndex, u32)]) -> Vec<JobIndex> {
+        let is_overdue =
+            |live: &LiveJob| live.age_s(context.clock.wall()) >= context.operator.preempt_after_s;
+        waiting
+            .iter()
+            .map(|(job, _)| *job)
+            .filter(|job| self.jobs.get(job).is_some_and(is_overdue))
+            .collect()
+    }
+
+    /// The jobs that this cycle looks at: all, or of very many some, each cycle the next ones.
+    fn select_for_cycle(&self, overdue: &[JobIndex]) -> Vec<JobIndex> {
+        let is_limited = overdue.len() > MAX_PREEMPTORS;
+        let skipped = if is_limited { self.cycles as usize * MAX_PREEMPTORS % overdue.len() } else { 0 };
+        let count = overdue.len().min(MAX_PREEMPTORS);
+        overdue.iter().copied().cycle().skip(skipped).take(count).collect()
+    }
+
+    /// Attempts on a known instance, by that instance.
+    fn stoppable_attempts(&self) -> FxHashMap<InstanceIndex, Vec<u64>> {
+        let mut stoppable: FxHashMap<InstanceIndex, Vec<u64>> = FxHashMap::default();
+        for (id, attempt) in self.attempts.iter() {
+            if attempt.is_wanted
+                && !attempt.may_bind
+                && attempt.occupies_capacity()
+                && let Some(instance) = attempt.machine
+            {
+                stoppable.entry(instance).or_default().push(id);
             }
-            let (spec, team, within) = (j.spec.clone(), j.team, j.is_within_guarantee);
-            // Priority alone stops others only for a first start: two old jobs
-            // would go on stopping each other.
-            let unserved = !served.contains(ix) && j.done.is_empty();
-            let demand = spec.demand();
-            let zones = Zones::of(context, self, *ix, &spec);
-            let mut best: Option<(u64, Vec<u64>)> = None;
-            let will_do: Vec<bool> = free_capacity
-                .classes
-                .iter()
-                .map(|c| may_use(context, &spec, c) && zones.allows(&c.zone))
-                .collect();
-            for r in free_capacity.machines.iter().filter(|r| will_do[r.class]) {
-                let mut victims: Vec<(u64, u64)> = there
-                    .get(&r.machine)
-                    .into_iter()
-                    .flatten()
-                    .filter_map(|id| {
-                        let a = self.attempts.get(*id).filter(|a| a.is_wanted)?;
-                        let v = self.jobs.get(&a.job)?;
-                        let lower = unserved && v.priority < j.priority;
-                        let beyond = within
-                            && v.team != team
-                            && used[v.team].cpus - a.demand.cpus
-                                >= context.platform.cluster.teams[v.team].cpus;
-                        let lost = if v.spec.checkpoint_s > 0.0 { 1_000 } else { a.ran_ms + 2_000 };
-                        (lower || beyond).then_some((lost, *id))
-                    })
-                    .collect();
-                victims.sort_unstable();
-                let (mut free, mut cost, mut list) = (r.free, 0, Vec::new());
-                for (lost, id) in victims {
-                    if demand.fits_within(&free) || list.len() >= budget {
-                        break;
-                    }
-                    if let Some(a) = self.attempts.get(id) {
-                        free.add(&a.demand);
-                    }
-                    cost += lost;
-                    list.push(id);
-                }
-                let better = best.as_ref().is_none_or(|(c, _)| cost < *c);
-                if demand.fits_within(&free) && !list.is_empty() && better {
-                    best = Some((cost, list));
-                }
+        }
+        stoppable
+    }
+
+    fn preemptor(&self, job: JobIndex, jobs_on_machines: &FxHashSet<JobIndex>) -> Option<Preemptor> {
+        let live = self.jobs.get(&job)?;
+        Some(Preemptor {
+            job,
+            spec: live.spec.clone(),
+            team: live.team,
+            priority: live.priority,
+            is_within_guarantee: live.is_within_guarantee,
+            is_unstarted: !jobs_on_machines.contains(&job) && live.done.is_empty(),
+        })
+    }
+
+    /// The cheapest victims on any one machine that make way for a task of the preemptor.
+    fn choose_victims(
+        &self,
+        context: &NodeContext,
+        state: &PreemptionState,
+        preemptor: &Preemptor,
+    ) -> Option<Victims> {
+        let zones = ZoneConstraints::for_job(context, self, preemptor.job, &preemptor.spec);
+        let free_capacity = state.free_capacity;
+        let is_class_usable: Vec<bool> = free_capacity
+            .classes
+            .iter()
+            .map(|class| may_use(context, &preemptor.spec, class) && zones.allows(&class.zone))
+            .collect();
+        free_capacity
+            .machines
+            .iter()
+            .filter(|machine| is_class_usable[machine.class])
+            .filter_map(|machine| self.victims_on(context, state, preemptor, machine))
+            .min_by_key(|victims| victims.cost_ms)
+    }
+
+    /// The victims on one machine that make way for a task of the preemptor; `None` if that
+    /// can't be, or if the task fits without any.
+    fn victims_on(
+        &self,
+        context: &NodeContext,
+        state: &PreemptionState,
+        preemptor: &Preemptor,
+        machine: &FreeMachine,
+    ) -> Option<Victims> {
+        let on_machine = state.stoppable.get(&machine.location?.instance)?;
+        let mut candidates: Vec<(Ms, u64)> = on_machine
+            .iter()
+            .filter_map(|id| Some((self.preemption_cost(context, state, preemptor, *id)?, *id)))
+            .collect();
+        candidates.sort_unstable();
+        let demand = preemptor.spec.demand();
+        let mut free = machine.free;
+        let mut victims = Victims { cost_ms: 0, attempts: Vec::new() };
+        for (cost_ms, id) in candidates {
+            if demand.fits_within(&free) || victims.attempts.len() >= state.budget {
+                break;
             }
-            for id in best.map(|(_, l)| l).unwrap_or_default() {
-                let Some(a) = self.attempts.get_mut(id) else { continue };
-                a.is_wanted = false;
-                self.shards[a.shard.place()].dirty = true;
-                if let Some(u) = a.team.and_then(|t| used.get_mut(t)) {
-                    u.sub(&a.demand);
-                }
-                budget -= 1;
-                self.preempt_at = context.clock.now() + 1_000;
-                tracing::debug!(job = context.jobs.id(a.job), task = a.task, "stopped to make room");
+            free.add(&self.attempts.get(id)?.demand);
+            victims.cost_ms += cost_ms;
+            victims.attempts.push(id);
+        }
+        (demand.fits_within(&free) && !victims.attempts.is_empty()).then_some(victims)
+    }
+
+    /// Run time that is lost by stopping an attempt; `None` if it doesn't have to give way to
+    /// the preemptor.
+    fn preemption_cost(
+        &self,
+        context: &NodeContext,
+        state: &PreemptionState,
+        preemptor: &Preemptor,
+        id: u64,
+    ) -> Option<Ms> {
+        let attempt = self.attempts.get(id).filter(|attempt| attempt.is_wanted)?;
+        let victim = self.jobs.get(&attempt.job)?;
+        // Priority alone counts only for a first start: two old jobs would go on stopping
+        // each other.
+        let has_lower_priority = preemptor.is_unstarted && victim.priority < preemptor.priority;
+        let guaranteed_cpus = context.platform.cluster.teams[victim.team].cpus;
+        let cpus_without_it = state.used_by_team[victim.team].cpus - attempt.demand.cpus;
+        let is_beyond_guarantee = preemptor.is_within_guarantee
+            && victim.team != preemptor.team
+            && cpus_without_it >= guaranteed_cpus;
+        if !has_lower_priority && !is_beyond_guarantee {
+            return None;
+        }
+        let has_checkpoints = victim.spec.checkpoint_s > 0.0;
+        Some(if has_checkpoints { CHECKPOINTED_LOSS_MS } else { attempt.ran_ms + RESTART_LOSS_MS })
+    }
+
+    /// Marks the victims as no longer wanted, so that the shard owner stops them.
+    fn stop_victims(&mut self, context: &NodeContext, state: &mut PreemptionState, victims: &Victims) {
+        for id in &victims.attempts {
+            let Some(attempt) = self.attempts.get_mut(*id) else { continue };
+            attempt.is_wanted = false;
+            self.shards[attempt.shard.place()].dirty = true;
+            if let Some(used) = attempt.team.and_then(|team| state.used_by_team.get_mut(team)) {
+                used.sub(&attempt.demand);
             }
+            state.budget -= 1;
+            tracing::debug!(job = context.jobs.id(attempt.job), task = attempt.task, "task preempted");
         }
+        self.preempt_at = context.clock.now() + PREEMPTION_GAP_MS;
     }
 }
--- a/src/core/leader/quota.rs
+++ b/src/core/leader/quota.rs
@@ -1,4 +1,6 @@
-//! What teams use, and how much more their limits allow.
+//! Team quotas: what each team uses, and how many more tasks its quota allows.
+//!
+//! Called by the scheduling cycle, preemption, the scale-out plan and the cells.
 
 use super::Leader;
 use crate::config::Team;
@@ -6,21 +8,23 @@
 use crate::model::Resources;
 
 impl Leader {
-    /// Use per team by everything that may be on a machine.
+    /// What each team's attempts take, or may take, on machines; by index of the team in the
+    /// settings.
     pub fn team_use(&self, context: &NodeContext) -> Vec<Resources> {
         let mut used = vec![Resources::default(); context.platform.cluster.teams.len()];
-        for a in self.attempts.values().filter(|a| a.occupies_capacity()) {
-            if let Some(u) = a.team.and_then(|t| used.get_mut(t)) {
-                u.add(&a.demand);
+        for attempt in self.attempts.values().filter(|attempt| attempt.occupies_capacity()) {
+            if let Some(used_by_team) = attempt.team.and_then(|team| used.get_mut(team)) {
+                used_by_team.add(&attempt.demand);
             }
         }
         used
     }
 }
 
-/// How many more tasks the team's limit allows. A limit of 0 means none.
+/// How many more tasks of this demand the team's quota allows, given what the team uses. A
+/// quota of 0 allows none. Memory has no quota.
 pub fn quota_tasks(team: &Team, used: &Resources, demand: &Resources) -> u32 {
-    let limit =
+    let remaining =
         Resources { cpus: team.cpus_max - used.cpus, gpus: team.gpus_max - used.gpus, mem: f64::MAX };
-    demand.count_fitting(&limit)
+    demand.count_fitting(&remaining)
 }
--- a/src/core/leader/reconciliation.rs
+++ b/src/core/leader/reconciliation.rs
@@ -4,6 +4,7 @@
 use super::Leader;
 use super::attempts::AttemptView;
 use super::live_jobs::JobLocation;
+use super::run_times::learn_run_time;
 use crate::core::common::context::NodeContext;
 use crate::core::common::shard_map::KnownOwner;
 use crate::core::common::task_counts::TaskCount;
@@ -147,11 +148,7 @@
                     j.failures = 0;
                     j.failed_on.clear();
                     self.fleet.succeeded(machine);
-                    if t.ran_ms > 0 && j.spec.estimate_s > 0.0 {
-                        let ratio = (t.ran_ms as f64 / 1000.0 / j.spec.estimate_s).clamp(0.1, 10.0);
-                        let r = self.ratios.entry(j.spec.class.clone()).or_insert(1.0);
-                        *r += 0.03 * (ratio - *r);
-                    }
+                    learn_run_time(&mut self.ratios, &j.spec, t.ran_ms);
                 } else if j.recorded.contains(t.task) {
                     a.is_wanted = false;
                     self.shards[shard.place()].dirty = true;
--- a/src/core/leader/scale_out_plan.rs
+++ b/src/core/leader/scale_out_plan.rs
@@ -1,170 +1,170 @@
-//! What is to be rented for the work that waits: the present need of DESIGN's
-//! window rule, and the room that overload rents stay within.
+//! The scale-out plan: machines that the waiting tasks need beyond the capacity that is free,
+//! booting or requested.
+//!
+//! It is computed anew on each look at the fleet, and is both the present need of the window
+//! rule and the bound that scale-out for overloaded machines stays within. A plan requests
+//! nothing itself; the fleet does.
 
 use super::Leader;
-use super::fleet::{InstanceOffer, InstancePhase, NO_INSTANCE, machine_type_label};
+use super::fleet::{InstanceOffer, InstancePhase};
 use super::free_capacity::{FreeCapacity, may_use};
 use super::quota::quota_tasks;
-use super::zones::Zones;
+use super::zones::ZoneConstraints;
 use crate::core::common::context::NodeContext;
 use crate::core::common::window::allowed;
-use crate::model::{JobIndex, JobSpec, Resources, ShardIndex};
+use crate::model::{JobIndex, JobSpec, Resources};
 use rustc_hash::{FxHashMap, FxHashSet};
 use std::collections::BTreeMap;
 
-/// What a machine of a type that other work depends on is taken to cost more
-/// to work that fits elsewhere.
-const SCARCE_COST: f64 = 2.0;
-/// Machines that one plan may ask for at the least; it may ask for as many as there are
-/// in any case. A bound on the time it takes, beyond what one window can rent.
-const MAX_PLAN: usize = 4_000;
+/// Factor on the price of a type that other work depends on, for work that fits elsewhere.
+const SCARCE_TYPE_PRICE_FACTOR: f64 = 2.0;
+/// Machines that a plan may have at least; one for a larger fleet may have as many as the
+/// fleet. It bounds the time that planning takes, and is more than one window can request.
+const MIN_PLAN_LIMIT: usize = 4_000;
+/// The most that machines which an offer already has raise its cost, as a share of it.
+const MAX_SPREAD_PENALTY: f64 = 0.2;
+/// Machines of an offer at which the penalty is half of that.
+const HALF_SPREAD_MACHINES: f64 = 20.0;
 
-impl Leader {
-    /// Machines' worth of bookings now, by kind.
-    pub(super) fn bookings(&self, context: &NodeContext) -> BTreeMap<String, f64> {
-        let mut sums: BTreeMap<(usize, bool), Resources> = BTreeMap::new();
-        for a in self.attempts.values().filter(|a| a.occupies_capacity()) {
-            if let Some(m) = a.machine.and_then(|m| self.fleet.machines.get(m)) {
-                sums.entry((m.machine_type, m.is_spot)).or_default().add(&a.demand);
-            }
-        }
-        sums.into_iter()
-            .map(|((k, s), r)| {
-                (machine_type_label(context, k, s), r.dominant_share(&context.machine_types[k].capacity))
-            })
-            .collect()
+/// Machines to be requested, by offer.
+#[derive(Debug, Default)]
+pub struct ScaleOutPlan {
+    machines: BTreeMap<InstanceOffer, u32>,
+}
+
+impl ScaleOutPlan {
+    /// The plan that consists of the machines planned for each offer.
+    fn from_offers(offers: Vec<OpenOffer>) -> ScaleOutPlan {
+        let planned = offers.into_iter().filter(|open| open.planned > 0);
+        ScaleOutPlan { machines: planned.map(|open| (open.offer, open.planned)).collect() }
     }
 
-    pub(super) fn sample(&mut self, context: &NodeContext, plan: &ScaleOutPlan) {
-        let now = self.bookings(context);
-        for (machine_type, v) in now {
-            let e = self.fleet.booked.entry(machine_type).or_default();
-            e.0 += v;
-        }
-        for (offer, n) in plan.iter() {
-            let e = self
-                .fleet
-                .booked
-                .entry(machine_type_label(context, offer.machine_type, offer.is_spot))
-                .or_default();
-            e.0 += f64::from(n);
-        }
-        for machine_type in 0..context.machine_types.len() {
-            for is_spot in [false, true] {
-                let label = machine_type_label(context, machine_type, is_spot);
-                self.fleet.booked.entry(label).or_default().1 += 1;
-            }
-        }
+    /// Whether nothing is to be requested.
+    pub fn is_empty(&self) -> bool {
+        self.machines.is_empty()
     }
 
-    /// Whether a waiting job could use no machine that there is.
-    pub(super) fn has_unschedulable_job(&self, context: &NodeContext) -> bool {
-        if self.fleet.waiting.is_empty() {
-            return false;
+    /// Number of machines in all.
+    pub fn machines(&self) -> u32 {
+        self.machines.values().sum()
+    }
+
+    /// Number of spot or on-demand machines of one type.
+    pub fn machines_of(&self, machine_type: usize, is_spot: bool) -> u32 {
+        let of_kind = self.iter().filter(|(offer, _)| is_of_kind(offer, machine_type, is_spot));
+        of_kind.map(|(_, count)| count).sum()
+    }
+
+    /// The offers with their numbers of machines.
+    pub fn iter(&self) -> impl Iterator<Item = (&InstanceOffer, u32)> {
+        self.machines.iter().map(|(offer, count)| (offer, *count))
+    }
+
+    /// Takes one spot or on-demand machine of a type out of the plan.
+    pub fn take(&mut self, machine_type: usize, is_spot: bool) -> Option<InstanceOffer> {
+        let mut offers = self.machines.keys();
+        let offer = offers.find(|offer| is_of_kind(offer, machine_type, is_spot))?.clone();
+        self.take_one(&offer);
+        Some(offer)
+    }
+
+    /// Takes one machine of the first offer out of the plan.
+    pub fn take_first(&mut self) -> Option<InstanceOffer> {
+        let offer = self.machines.keys().next()?.clone();
+        self.take_one(&offer);
+        Some(offer)
+    }
+
+    fn take_one(&mut self, offer: &InstanceOffer) {
+        if let Some(count) = self.machines.get_mut(offer) {
+            *count -= 1;
+            if *count == 0 {
+                self.machines.remove(offer);
+            }
         }
-        let there = self.fleet.machines.values().filter(|m| m.phase < InstancePhase::Draining);
-        let machine_types: FxHashSet<(usize, &str, bool)> =
-            there.map(|m| (m.machine_type, m.zone.as_str(), m.is_spot)).collect();
-        self.fleet.waiting.iter().any(|(job, _)| {
-            let Some(j) = self.jobs.get(job) else { return false };
-            let serves = |(machine_type, zone, is_spot): &(usize, &str, bool)| {
-                let t = context.machine_types.get(*machine_type);
-                t.is_some_and(|t| {
-                    allowed(&j.spec, &t.name, zone, *is_spot) && j.spec.demand().fits_within(&t.capacity)
-                })
-            };
-            !machine_types.iter().any(serves)
-        })
     }
+}
+
+fn is_of_kind(offer: &InstanceOffer, machine_type: usize, is_spot: bool) -> bool {
+    offer.machine_type == machine_type && offer.is_spot == is_spot
+}
 
-    /// Machines that would house the waiting tasks beyond free, booting and
-    /// requested room, cheapest for the tasks that each would take.
+/// Machines of a type and zone, spot or on-demand.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
+struct MachineKind<'a> {
+    machine_type: usize,
+    zone: &'a str,
+    is_spot: bool,
+}
+
+impl Leader {
+    /// The machines to be requested for the waiting tasks, the cheapest ones for what each
+    /// would run.
     pub(super) fn plan(&self, context: &NodeContext) -> ScaleOutPlan {
         if self.fleet.waiting.is_empty() {
             return ScaleOutPlan::default();
         }
-        let mut free_capacity = self.upcoming_capacity(context);
-        let mut offers = self.offers(context, &mut free_capacity);
-        let mut used = self.team_use(context);
-        let mut left = MAX_PLAN.max(self.fleet.machines.len());
-        for (job, waiting) in self.least_choice_first(context) {
-            let Some(j) = self.jobs.get(&job) else { continue };
-            let spec = &j.spec;
-            let demand = spec.demand();
-            let team = &context.platform.cluster.teams[j.team];
-            let mut n = waiting.min(quota_tasks(team, &used[j.team], &demand));
-            if n == 0 {
+        let teams = &context.platform.cluster.teams;
+        let mut used_by_team = self.team_use(context);
+        let mut planner = Planner::new(context, self);
+        for (job, waiting) in self.most_constrained_first(context) {
+            let Some(live) = self.jobs.get(&job) else { continue };
+            let demand = live.spec.demand();
+            let used = &mut used_by_team[live.team];
+            let count = waiting.min(quota_tasks(&teams[live.team], used, &demand));
+            if count == 0 {
                 continue;
             }
-            let mut zones = Zones::of(context, self, job, spec);
-            used[j.team].add(&demand.times(n));
-            for i in free_capacity.with_place(&demand, |c| may_use(context, spec, c)) {
-                if n == 0 {
-                    break;
-                }
-                n -= put(&mut free_capacity, i, &demand, n, &mut zones);
-            }
-            let candidates = candidates(context, &offers, spec);
-            while n > 0 && left > 0 {
-                let Some(best) = cheapest(&offers, &candidates, n, &zones) else { break };
-                let offer = &mut offers[best];
-                free_capacity.push_to(offer.class, (NO_INSTANCE, ShardIndex::new(0), offer.capacity));
-                offer.planned += 1;
-                left -= 1;
-                let last = free_capacity.machines.len() - 1;
-                n -= put(&mut free_capacity, last, &demand, n, &mut zones);
-            }
+            used.add(&demand.times(count));
+            let mut zones = ZoneConstraints::for_job(context, self, job, &live.spec);
+            let unplaced = planner.place_on_upcoming(context, &live.spec, count, &mut zones);
+            planner.plan_machines(context, &live.spec, unplaced, &mut zones);
         }
-        ScaleOutPlan::of(offers)
+        ScaleOutPlan::from_offers(planner.offers)
     }
 
-    /// Rooms that are free, booting or asked for.
-    pub(super) fn upcoming_capacity(&self, context: &NodeContext) -> FreeCapacity {
-        let mut free_capacity = self.free_capacity(context);
-        for (ix, m) in self.fleet.machines.iter().filter(|(_, m)| m.phase == InstancePhase::Booting) {
-            if let Some(t) = context.machine_types.get(m.machine_type) {
-                free_capacity.push(
-                    m.machine_type,
-                    &m.zone,
-                    m.is_spot,
-                    t.capacity,
-                    (ix, m.shard, t.capacity),
-                );
-            }
-        }
-        for r in &self.fleet.rents {
-            let Some(t) = context.machine_types.get(r.offer.machine_type) else { continue };
-            let class =
-                free_capacity.class_of(r.offer.machine_type, &r.offer.zone, r.offer.is_spot, t.capacity);
-            for _ in 0..r.count {
-                free_capacity.push_to(class, (NO_INSTANCE, ShardIndex::new(0), t.capacity));
-            }
+    /// Whether there is a waiting job that could run on no machine of the fleet, however free.
+    pub(super) fn has_unschedulable_job(&self, context: &NodeContext) -> bool {
+        if self.fleet.waiting.is_empty() {
+            return false;
         }
-        free_capacity
+        let in_use = self.fleet.machines.values().filter(|m| m.phase < InstancePhase::Draining);
+        let kinds: FxHashSet<MachineKind> = in_use
+            .map(|m| MachineKind { machine_type: m.machine_type, zone: &m.zone, is_spot: m.is_spot })
+            .collect();
+        let is_unschedulable = |spec: &JobSpec| !kinds.iter().any(|kind| can_run(context, spec, kind));
+        self.fleet
+            .waiting
+            .iter()
+            .filter_map(|(job, _)| self.jobs.get(job))
+            .any(|live| is_unschedulable(&live.spec))
     }
 
-    /// What can be rented now, with the machines that are there already.
-    fn offers(&self, context: &NodeContext, free_capacity: &mut FreeCapacity) -> Vec<OpenOffer> {
-        let mut have: FxHashMap<(usize, &str, bool), u32> = FxHashMap::default();
+    /// What can be requested now, with the number of machines that each offer already has.
+    fn open_offers(&self, context: &NodeContext, free_capacity: &mut FreeCapacity) -> Vec<OpenOffer> {
+        let mut existing: FxHashMap<MachineKind, u32> = FxHashMap::default();
         for m in self.fleet.machines.values() {
-            *have.entry((m.machine_type, m.zone.as_str(), m.is_spot)).or_default() += 1;
+            let kind = MachineKind { machine_type: m.machine_type, zone: &m.zone, is_spot: m.is_spot };
+            *existing.entry(kind).or_default() += 1;
         }
         let mut offers = Vec::new();
-        for (machine_type, t) in context.machine_types.iter().enumerate() {
-            for zone in &t.zones {
+        for (machine_type, catalog_entry) in context.machine_types.iter().enumerate() {
+            let capacity = catalog_entry.capacity;
+            for zone in &catalog_entry.zones {
                 for is_spot in [false, true] {
                     let offer = InstanceOffer { machine_type, zone: zone.clone(), is_spot };
                     let refused = self.fleet.refused.get(&offer);
                     if refused.is_some_and(|(until, _)| *until > context.clock.now()) {
                         continue;
                     }
+                    let kind = MachineKind { machine_type, zone, is_spot };
                     offers.push(OpenOffer {
-                        class: free_capacity.class_of(machine_type, zone, is_spot, t.capacity),
-                        have: have.get(&(machine_type, zone.as_str(), is_spot)).copied().unwrap_or(0),
-                        planned: 0,
-                        price: if is_spot { t.spot_price } else { t.price },
-                        capacity: t.capacity,
                         offer,
+                        class: free_capacity.class_index(machine_type, zone, is_spot, capacity),
+                        existing: existing.get(&kind).copied().unwrap_or(0),
+                        planned: 0,
+                        price: if is_spot { catalog_entry.spot_price } else { catalog_entry.price },
+                        capacity,
                     });
                 }
             }
@@ -172,165 +172,170 @@
         offers
     }
 
-    /// Waiting jobs with their numbers of tasks. Work with the least choice comes first:
-    /// counted onto ordinary machines that are up or coming, work that may use spot ones
-    /// would leave the rest without room, and no spot machine would be asked for.
-    fn least_choice_first(&self, context: &NodeContext) -> Vec<(JobIndex, u32)> {
-        let waiting = self.fleet.waiting.iter();
-        let mut order: Vec<(bool, usize, JobIndex, u32)> = waiting
-            .filter_map(|&(job, n)| {
+    /// Waiting jobs with their numbers of tasks; those that may use the fewest machine types
+    /// come first, jobs that may use spot instances after all others.
+    ///
+    /// Counted first, a job that may use spot instances would take the on-demand capacity that
+    /// the others depend on, and no spot instance would be requested for it.
+    fn most_constrained_first(&self, context: &NodeContext) -> Vec<(JobIndex, u32)> {
+        let mut order: Vec<(bool, usize, JobIndex, u32)> = self
+            .fleet
+            .waiting
+            .iter()
+            .filter_map(|&(job, count)| {
                 let spec = &self.jobs.get(&job)?.spec;
-                Some((spec.spot, context.machine_types.usable_by(spec).count(), job, n))
+                Some((spec.spot, context.machine_types.usable_by(spec).count(), job, count))
             })
             .collect();
         order.sort_by_key(|(is_spot, machine_types, _, _)| (*is_spot, *machine_types));
-        order.into_iter().map(|(_, _, job, n)| (job, n)).collect()
+        order.into_iter().map(|(_, _, job, count)| (job, count)).collect()
     }
 }
 
-/// An offer that is not refused now.
+/// Whether a task of a job can run on an empty machine of a kind.
+fn can_run(context: &NodeContext, spec: &JobSpec, kind: &MachineKind) -> bool {
+    context.machine_types.get(kind.machine_type).is_some_and(|machine_type| {
+        allowed(spec, &machine_type.name, kind.zone, kind.is_spot)
+            && spec.demand().fits_within(&machine_type.capacity)
+    })
+}
+
+/// An offer that the cloud has not refused lately.
 #[derive(Debug)]
 struct OpenOffer {
     offer: InstanceOffer,
-    /// Its class among the rooms.
+    /// Its class in the free capacity.
     class: usize,
-    have: u32,
+    /// Machines of the fleet from this offer.
+    existing: u32,
     planned: u32,
+    /// Price per hour.
     price: f64,
+    /// Capacity of one machine.
     capacity: Resources,
 }
 
+impl OpenOffer {
+    /// Factor on the cost that spreads machines over equally cheap offers. It stays small even
+    /// where an offer has hundreds of machines, so that cheap offers don't come to look dear.
+    fn spread_factor(&self) -> f64 {
+        let machines = f64::from(self.existing + self.planned);
+        1.0 + MAX_SPREAD_PENALTY * machines / (machines + HALF_SPREAD_MACHINES)
+    }
+}
+
 /// An offer that a job may use.
 struct Candidate {
-    index: usize,
+    /// Index of the offer.
+    offer: usize,
     /// Tasks of the job that one machine holds.
-    holds: u32,
+    tasks_per_machine: u32,
+    /// Price per hour, with the factor for scarce types.
     price: f64,
 }
 
-fn candidates(context: &NodeContext, offers: &[OpenOffer], spec: &JobSpec) -> Vec<Candidate> {
-    let elsewhere = context
-        .machine_types
-        .usable_by(spec)
-        .any(|machine_type| !context.machine_types.is_scarce(machine_type));
-    let demand = spec.demand();
-    let mut found = Vec::new();
-    for (index, o) in offers.iter().enumerate() {
-        let InstanceOffer { machine_type, zone, is_spot } = &o.offer;
-        let holds = demand.count_fitting(&o.capacity);
-        if holds == 0 || !allowed(spec, &context.machine_types[*machine_type].name, zone, *is_spot) {
-            continue;
-        }
-        // Rather a type that no other work depends on.
-        let is_scarce = context.machine_types.is_scarce(*machine_type) && elsewhere;
-        found.push(Candidate {
-            index,
-            holds,
-            price: o.price * if is_scarce { SCARCE_COST } else { 1.0 },
-        });
-    }
-    found
+/// A plan in the making.
+struct Planner {
+    /// Capacity that is free, upcoming or planned.
+    free_capacity: FreeCapacity,
+    offers: Vec<OpenOffer>,
+    /// Machines that may still be planned.
+    remaining_machines: usize,
 }
 
-/// The offer that costs least for each of the tasks that one machine would take.
-fn cheapest(offers: &[OpenOffer], candidates: &[Candidate], n: u32, zones: &Zones) -> Option<usize> {
-    let mut best: Option<(f64, usize)> = None;
-    for candidate in candidates {
-        let o = &offers[candidate.index];
-        if !zones.allows(&o.offer.zone) {
-            continue;
-        }
-        let holds = f64::from(candidate.holds.min(n));
-        let cost = candidate.price / holds * spread(o.have + o.planned);
-        if best.is_none_or(|(least, _)| cost < least) {
-            best = Some((cost, candidate.index));
+impl Planner {
+    fn new(context: &NodeContext, leader: &Leader) -> Planner {
+        let mut free_capacity = leader.upcoming_capacity(context);
+        Planner {
+            offers: leader.open_offers(context, &mut free_capacity),
+            free_capacity,
+            remaining_machines: MIN_PLAN_LIMIT.max(leader.fleet.machines.len()),
         }
     }
-    best.map(|(_, index)| index)
-}
-
-/// Machines to be rented, by offer.
-#[derive(Debug, Default)]
-pub struct ScaleOutPlan {
-    wanted: BTreeMap<InstanceOffer, u32>,
-}
-
-impl ScaleOutPlan {
-    fn of(offers: Vec<OpenOffer>) -> ScaleOutPlan {
-        let planned = offers.into_iter().filter(|o| o.planned > 0);
-        ScaleOutPlan { wanted: planned.map(|o| (o.offer, o.planned)).collect() }
-    }
-
-    /// Whether nothing is to be rented.
-    pub fn is_empty(&self) -> bool {
-        self.wanted.is_empty()
-    }
-
-    /// Machines in all.
-    pub fn machines(&self) -> u32 {
-        self.wanted.values().sum()
-    }
-
-    /// Machines of one type and kind.
-    pub fn machines_of(&self, machine_type: usize, is_spot: bool) -> u32 {
-        let of_kind =
-            |offer: &&InstanceOffer| offer.machine_type == machine_type && offer.is_spot == is_spot;
-        self.wanted.keys().filter(of_kind).map(|offer| self.wanted[offer]).sum()
-    }
-
-    /// Offers with their numbers of machines.
-    pub fn iter(&self) -> impl Iterator<Item = (&InstanceOffer, u32)> {
-        self.wanted.iter().map(|(offer, n)| (offer, *n))
-    }
 
-    /// Takes one machine of a type and kind out of the plan.
-    pub fn take(&mut self, machine_type: usize, is_spot: bool) -> Option<InstanceOffer> {
-        let is_it =
-            |offer: &&InstanceOffer| offer.machine_type == machine_type && offer.is_spot == is_spot;
-        let offer = self.wanted.keys().find(is_it)?.clone();
-        self.take_one(&offer);
-        Some(offer)
+    /// Places tasks of a job on capacity that is free, upcoming or already planned; how many
+    /// are left.
+    fn place_on_upcoming(
+        &mut self,
+        context: &NodeContext,
+        spec: &JobSpec,
+        count: u32,
+        zones: &mut ZoneConstraints,
+    ) -> u32 {
+        let demand = spec.demand();
+        let mut unplaced = count;
+        let fitting =
+            self.free_capacity.machines_fitting(&demand, |class| may_use(context, spec, class));
+        for machine in fitting {
+            if unplaced == 0 {
+                break;
+            }
+            unplaced -= self.free_capacity.pack(machine, &demand, unplaced, zones);
+        }
+        unplaced
     }
 
-    /// Takes one machine of the first offer out of the plan.
-    pub fn take_first(&mut self) -> Option<InstanceOffer> {
-        let offer = self.wanted.keys().next()?.clone();
-        self.take_one(&offer);
-        Some(offer)
+    /// Plans machines for tasks of a job until all are placed, no offer is left, or the plan
+    /// has reached its limit.
+    fn plan_machines(
+        &mut self,
+        context: &NodeContext,
+        spec: &JobSpec,
+        mut unplaced: u32,
+        zones: &mut ZoneConstraints,
+    ) {
+        let demand = spec.demand();
+        let candidates = self.candidates(context, spec);
+        while unplaced > 0 && self.remaining_machines > 0 {
+            let Some(offer) = self.cheapest_offer(&candidates, unplaced, zones) else { break };
+            let offer = &mut self.offers[offer];
+            offer.planned += 1;
+            self.remaining_machines -= 1;
+            let machine = self.free_capacity.add_future_machine(offer.class);
+            unplaced -= self.free_capacity.pack(machine, &demand, unplaced, zones);
+        }
     }
 
-    fn take_one(&mut self, offer: &InstanceOffer) {
-        if let Some(n) = self.wanted.get_mut(offer) {
-            *n -= 1;
-            if *n == 0 {
-                self.wanted.remove(offer);
+    /// Offers that a job may use.
+    fn candidates(&self, context: &NodeContext, spec: &JobSpec) -> Vec<Candidate> {
+        let types = &context.machine_types;
+        let has_alternative = types.usable_by(spec).any(|machine_type| !types.is_scarce(machine_type));
+        let demand = spec.demand();
+        let mut candidates = Vec::new();
+        for (index, open) in self.offers.iter().enumerate() {
+            let InstanceOffer { machine_type, zone, is_spot } = &open.offer;
+            let tasks_per_machine = demand.count_fitting(&open.capacity);
+            let is_allowed = allowed(spec, &types[*machine_type].name, zone, *is_spot);
+            if tasks_per_machine == 0 || !is_allowed {
+                continue;
             }
+            // Rather a type that no other work depends on.
+            let avoids_type = types.is_scarce(*machine_type) && has_alternative;
+            let factor = if avoids_type { SCARCE_TYPE_PRICE_FACTOR } else { 1.0 };
+            candidates.push(Candidate { offer: index, tasks_per_machine, price: open.price * factor });
         }
+        candidates
     }
-}
 
-/// Puts as many of `n` tasks into a room as it takes; how many.
-fn put(
-    free_capacity: &mut FreeCapacity,
-    i: usize,
-    demand: &Resources,
-    n: u32,
-    zones: &mut Zones,
-) -> u32 {
-    let zone = &free_capacity.classes[free_capacity.machines[i].class].zone;
-    let free = &mut free_capacity.machines[i].free;
-    let mut done = 0;
-    while done < n && demand.fits_within(free) && zones.allows(zone) {
-        free.sub(demand);
-        zones.add(zone);
-        done += 1;
+    /// The offer whose next machine costs least for each of the tasks that it would run.
+    fn cheapest_offer(
+        &self,
+        candidates: &[Candidate],
+        unplaced: u32,
+        zones: &ZoneConstraints,
+    ) -> Option<usize> {
+        let mut cheapest: Option<(f64, usize)> = None;
+        for candidate in candidates {
+            let open = &self.offers[candidate.offer];
+            if !zones.allows(&open.offer.zone) {
+                continue;
+            }
+            let tasks = f64::from(candidate.tasks_per_machine.min(unplaced));
+            let cost = candidate.price / tasks * open.spread_factor();
+            if cheapest.is_none_or(|(least, _)| cost < least) {
+                cheapest = Some((cost, candidate.offer));
+            }
+        }
+        cheapest.map(|(_, offer)| offer)
     }
-    done
-}
-
-/// Spread over the offers breaks ties; it must not make the cheap look dear
-/// where hundreds are rented.
-fn spread(have: u32) -> f64 {
-    let have = f64::from(have);
-    1.0 + 0.2 * have / (have + 20.0)
 }
--- a/src/core/leader/scheduling_cycle.rs
+++ b/src/core/leader/scheduling_cycle.rs
@@ -1,177 +1,246 @@
-//! Admission: scheduling cycles of decisions that take whatever has gathered.
+//! The scheduling cycle: admission of waiting tasks in batches.
 //!
-//! A scheduling cycle looks at all waiting work, in the order of priority, guarantee and
-//! nearness of deadline, and grants what fits into quota and free room. Its
-//! batch is as wide as the backlog; what holds it back is room, not a count.
+//! A cycle looks at all waiting jobs, in the order of priority, guarantee and slack, and
+//! admits the tasks that fit into their team's quota and into free capacity. It creates
+//! attempts; the shard owners learn of them from the next desired state. What it can't admit
+//! is left to preemption and to the scale-out plan. [`Leader::poll`] runs it.
 
 use super::Leader;
-use super::free_capacity::{FreeCapacity, best_fit_machines, may_use, reserve};
+use super::free_capacity::{FreeCapacity, InstanceLocation, best_fit_machines, may_use};
 use super::live_jobs::LiveJob;
 use super::quota::quota_tasks;
-use super::zones::Zones;
+use super::zones::ZoneConstraints;
 use crate::core::common::context::NodeContext;
-use crate::model::{JobIndex, ShardIndex};
+use crate::model::{JobIndex, JobSpec, Resources, ShardIndex};
 use rustc_hash::FxHashSet;
 use std::collections::BTreeMap;
+use std::sync::Arc;
 
-/// Grants of one scheduling cycle; the next one follows at once.
-const MAX_GRANTS: usize = 400;
-/// Tasks that a starving job gets before all others in one scheduling cycle.
-const FIRST_TASKS: u32 = 2;
-/// In one of so many scheduling cycles the longest waiting job comes first.
-const OLDEST_EVERY: u64 = 8;
+/// Tasks that one cycle admits at most; the next one follows at once.
+const MAX_ADMITTED_TASKS: usize = 400;
+/// Tasks that a starving job gets ahead of all other jobs in one cycle.
+const STARVING_JOB_TASKS: u32 = 2;
+/// Every how many cycles the job that has waited longest comes first.
+const OLDEST_JOB_INTERVAL: u64 = 8;
+/// Up to how many waiting tasks of one job are counted.
+const MAX_WAITING_TASKS: u32 = 2_000;
+
+/// What one cycle has used up so far.
+struct CycleState {
+    free_capacity: FreeCapacity,
+    /// By index of the team.
+    used_by_team: Vec<Resources>,
+    /// Tasks admitted in this cycle.
+    admitted: usize,
+}
+
+/// What has come of one job in a cycle.
+struct JobAdmission {
+    spec: Arc<JobSpec>,
+    zones: ZoneConstraints,
+    /// Tasks admitted of it.
+    admitted: u32,
+    /// How many more tasks would have been allowed.
+    remaining_quota: u32,
+}
 
 impl Leader {
+    /// Runs one scheduling cycle.
     pub fn run_cycle(&mut self, context: &mut NodeContext) {
         if context.machine_types.is_empty() {
             return;
         }
         let order = self.order(context);
-        let mut free_capacity = self.free_capacity(context);
-        let mut used = self.team_use(context);
-        let mut granted = 0;
-        let mut left: Vec<(JobIndex, u32)> = Vec::new();
-        let starving = self.starving(context, &order);
-        let order: Vec<JobIndex> = starving.iter().chain(order.iter()).copied().collect();
-        for (place, ix) in order.into_iter().enumerate() {
-            let Some(j) = self.jobs.get(&ix) else { continue };
-            let spec = j.spec.clone();
-            let team = &context.platform.cluster.teams[j.team];
-            let demand = spec.demand();
-            let mut quota = quota_tasks(team, &used[j.team], &demand);
-            let team_ix = j.team;
-            let mut zones = Zones::of(context, self, ix, &spec);
-            // Best fit: a room that takes a task is the better fit for the next.
-            let mut places =
-                best_fit_machines(context, &mut free_capacity, &spec, quota).into_iter().peekable();
-            // A starving job gets its first tasks before all others; its turn
-            // with the rest of them comes in the ordinary order.
-            let first = place < starving.len();
-            if first {
-                quota = quota.min(FIRST_TASKS);
-            }
-            let before = granted;
-            while quota > 0 && granted < MAX_GRANTS {
-                let Some(task) = self.jobs.get_mut(&ix).and_then(|j| j.next_task()) else { break };
-                let Some(&i) = places.peek() else { break };
-                let zone = &free_capacity.classes[free_capacity.machines[i].class].zone;
-                let r = &mut free_capacity.machines[i];
-                if !demand.fits_within(&r.free) || !zones.allows(zone) {
-                    places.next();
-                    continue;
-                }
-                if let Some(j) = self.jobs.get_mut(&ix) {
-                    j.admit_next_task();
-                }
-                r.free.sub(&demand);
-                zones.add(zone);
-                let (machine, shard) = (r.machine, r.shard);
-                used[team_ix].add(&demand);
-                self.new_attempt(ix, task, machine, shard);
-                quota -= 1;
-                granted += 1;
-            }
-            if first {
-                if granted == before {
-                    reserve(context, &mut free_capacity, &spec, &zones);
-                }
-                continue;
-            }
-            if let Some(j) = self.jobs.get(&ix) {
-                let n = j.waiting(quota.min(2000));
-                if n > 0 {
-                    left.push((ix, n));
-                }
+        let mut cycle = CycleState {
+            free_capacity: self.free_capacity(context),
+            used_by_team: self.team_use(context),
+            admitted: 0,
+        };
+        for job in self.starving_jobs(context, &order) {
+            self.admit_starving_job(context, &mut cycle, job);
+        }
+        let mut waiting: Vec<(JobIndex, u32)> = Vec::new();
+        for job in order {
+            let count = self.admit_in_order(context, &mut cycle, job);
+            if count > 0 {
+                waiting.push((job, count));
             }
         }
-        if granted > 0 {
-            tracing::debug!(granted, waiting = left.len(), "granted");
+        if cycle.admitted > 0 {
+            tracing::debug!(admitted = cycle.admitted, waiting = waiting.len(), "tasks admitted");
         }
-        if granted >= MAX_GRANTS {
+        if cycle.admitted >= MAX_ADMITTED_TASKS {
             self.cycle_due = true;
         }
-        self.preempt(context, &free_capacity, &left, used);
-        self.spread_waiting(context, &free_capacity, &left);
-        self.fleet.waiting = left;
+        self.preempt(context, &cycle.free_capacity, &waiting, cycle.used_by_team);
+        self.distribute_waiting_tasks(context, &cycle.free_capacity, &waiting);
+        self.fleet.waiting = waiting;
+    }
+
+    /// Admits the first tasks of a starving job. If none fits, a machine is reserved for it.
+    /// The job's other tasks have their turn in the ordinary order.
+    fn admit_starving_job(&mut self, context: &NodeContext, cycle: &mut CycleState, job: JobIndex) {
+        let Some(admission) = self.admit_job(context, cycle, job, Some(STARVING_JOB_TASKS)) else {
+            return;
+        };
+        if admission.admitted == 0 {
+            cycle.free_capacity.reserve_for(context, &admission.spec, &admission.zones);
+        }
+    }
+
+    /// Admits tasks of a job in its ordinary turn. Returns how many of its tasks are still
+    /// waiting although the quota allows them.
+    fn admit_in_order(&mut self, context: &NodeContext, cycle: &mut CycleState, job: JobIndex) -> u32 {
+        let Some(admission) = self.admit_job(context, cycle, job, None) else { return 0 };
+        let most = admission.remaining_quota.min(MAX_WAITING_TASKS);
+        self.jobs.get(&job).map_or(0, |live| live.waiting(most))
+    }
+
+    /// Admits tasks of a job onto the machines that fit them best, within the team's quota
+    /// and `max_tasks`. `None` if the leader doesn't know the job.
+    fn admit_job(
+        &mut self,
+        context: &NodeContext,
+        cycle: &mut CycleState,
+        job: JobIndex,
+        max_tasks: Option<u32>,
+    ) -> Option<JobAdmission> {
+        let live = self.jobs.get(&job)?;
+        let (spec, team) = (live.spec.clone(), live.team);
+        let demand = spec.demand();
+        let team_settings = &context.platform.cluster.teams[team];
+        let team_quota = quota_tasks(team_settings, &cycle.used_by_team[team], &demand);
+        let quota = max_tasks.map_or(team_quota, |most| team_quota.min(most));
+        let mut zones = ZoneConstraints::for_job(context, self, job, &spec);
+        let machines = match quota {
+            0 => Vec::new(),
+            _ => best_fit_machines(context, &mut cycle.free_capacity, &spec),
+        };
+        // A machine that takes one task is the better fit for the next one.
+        let mut machines = machines.into_iter().peekable();
+        let mut admitted = 0;
+        while admitted < quota && cycle.admitted < MAX_ADMITTED_TASKS {
+            let Some(task) = self.jobs.get_mut(&job).and_then(LiveJob::next_task) else { break };
+            let Some(&machine) = machines.peek() else { break };
+            let location = cycle.free_capacity.machines[machine].location;
+            let is_placed = cycle.free_capacity.pack(machine, &demand, 1, &mut zones) > 0;
+            let Some(location) = location.filter(|_| is_placed) else {
+                machines.next();
+                continue;
+            };
+            cycle.used_by_team[team].add(&demand);
+            self.admit_task(job, task, location);
+            cycle.admitted += 1;
+            admitted += 1;
+        }
+        Some(JobAdmission { spec, zones, admitted, remaining_quota: quota - admitted })
     }
 
-    /// Jobs that have waited for long without a single task on a machine, the
-    /// longest first, one of a team so that none crowds out the others; and on
-    /// every few scheduling cycles the longest waiting of all. The order by aims puts late
-    /// work and low priorities last without end; this brings each job to its
-    /// start, and then on, whatever the burst.
-    fn starving(&mut self, context: &NodeContext, order: &[JobIndex]) -> Vec<JobIndex> {
+    /// Admits the next task of a job: creates an attempt at it on an instance.
+    fn admit_task(&mut self, job: JobIndex, task: u32, location: InstanceLocation) {
+        if let Some(live) = self.jobs.get_mut(&job) {
+            live.admit_next_task();
+        }
+        self.new_attempt(job, task, location.instance, location.shard);
+    }
+
+    /// Jobs that get tasks ahead of all others in this cycle: those that have waited long
+    /// without a single task on a machine, the longest first, at most one of each team; and
+    /// every few cycles the job that has waited longest of all.
+    ///
+    /// The ordinary order puts late work and low priorities last without end. This gets each
+    /// job started, and later finished, whatever else arrives.
+    fn starving_jobs(&mut self, context: &NodeContext, order: &[JobIndex]) -> Vec<JobIndex> {
         self.cycles += 1;
-        let age_s = |j: &LiveJob| context.clock.wall().saturating_sub(j.ready_at_ms) as f64 / 1000.0;
-        let served = self.served();
-        let mut old: Vec<(u64, JobIndex)> = order
+        let mut overdue: Vec<(u64, JobIndex)> = order
             .iter()
-            .filter_map(|ix| Some((self.jobs.get(ix)?, *ix)))
-            .filter(|(j, _)| age_s(j) >= context.operator.starve_after_s)
-            .map(|(j, ix)| (j.ready_at_ms, ix))
+            .filter_map(|job| Some((self.jobs.get(job)?, *job)))
+            .filter(|(live, _)| live.age_s(context.clock.wall()) >= context.operator.starve_after_s)
+            .map(|(live, job)| (live.ready_at_ms, job))
             .collect();
-        old.sort_unstable();
-        let oldest = old.first().map(|(_, ix)| *ix).filter(|_| self.cycles.is_multiple_of(OLDEST_EVERY));
-        let unserved =
-            |ix: &JobIndex| !served.contains(ix) && self.jobs.get(ix).is_some_and(|j| j.done.is_empty());
+        overdue.sort_unstable();
+        let jobs_on_machines = self.jobs_on_machines();
+        let has_started = |job: &JobIndex| {
+            jobs_on_machines.contains(job) || self.jobs.get(job).is_none_or(|live| !live.done.is_empty())
+        };
         let mut teams: FxHashSet<usize> = FxHashSet::default();
-        let mut out: Vec<JobIndex> = old
+        let mut starving: Vec<JobIndex> = overdue
             .iter()
-            .map(|(_, ix)| *ix)
-            .filter(unserved)
-            .filter(|ix| teams.insert(self.jobs[ix].team))
+            .map(|(_, job)| *job)
+            .filter(|job| !has_started(job))
+            .filter(|job| teams.insert(self.jobs[job].team))
             .collect();
-        out.extend(oldest.filter(|ix| !out.contains(ix)));
-        out
+        if self.cycles.is_multiple_of(OLDEST_JOB_INTERVAL)
+            && let Some((_, oldest)) = overdue.first()
+            && !starving.contains(oldest)
+        {
+            starving.push(*oldest);
+        }
+        starving
     }
 
-    /// Jobs with a task that is or may be on a machine.
-    pub(super) fn served(&self) -> FxHashSet<JobIndex> {
+    /// Jobs with an attempt that is, or may be, on a machine.
+    pub(super) fn jobs_on_machines(&self) -> FxHashSet<JobIndex> {
         self.attempts.values().filter(|a| a.occupies_capacity()).map(|a| a.job).collect()
     }
 
-    /// Names the tasks that fit no free room to the blocks whose machines
-    /// could take them, so that the holders count them in their projection.
-    fn spread_waiting(
+    /// Divides the tasks that found no free capacity among the shards whose machines could
+    /// run them, so that the shard owners count them in their projection of load.
+    fn distribute_waiting_tasks(
         &mut self,
         context: &NodeContext,
         free_capacity: &FreeCapacity,
-        left: &[(JobIndex, u32)],
+        waiting: &[(JobIndex, u32)],
     ) {
-        let mut lists: Vec<Vec<(JobIndex, u32)>> = vec![Vec::new(); self.shards.len()];
-        let mut counts: BTreeMap<(usize, ShardIndex), u32> = BTreeMap::new();
-        for r in &free_capacity.machines {
-            *counts.entry((r.class, r.shard)).or_default() += 1;
-        }
-        for &(ix, n) in left {
-            let Some(j) = self.jobs.get(&ix) else { continue };
-            let will_do: Vec<bool> =
-                free_capacity.classes.iter().map(|c| may_use(context, &j.spec, c)).collect();
-            let mut able = vec![0u32; self.shards.len()];
-            for ((class, shard), n) in &counts {
-                if will_do[*class] {
-                    able[shard.place()] += n;
+        let machine_counts = count_machines(free_capacity);
+        let mut by_shard: Vec<Vec<(JobIndex, u32)>> = vec![Vec::new(); self.shards.len()];
+        for &(job, count) in waiting {
+            let Some(live) = self.jobs.get(&job) else { continue };
+            let is_class_usable: Vec<bool> =
+                free_capacity.classes.iter().map(|class| may_use(context, &live.spec, class)).collect();
+            let mut usable_machines = vec![0; self.shards.len()];
+            for ((class, shard), machines) in &machine_counts {
+                if is_class_usable[*class] {
+                    usable_machines[shard.place()] += machines;
                 }
             }
-            let sum: u32 = able.iter().sum();
-            if sum == 0 {
-                continue;
-            }
-            let mut rest = n;
-            for (b, a) in able.iter().enumerate() {
-                let part = (u64::from(n) * u64::from(*a)).div_ceil(u64::from(sum)) as u32;
-                let part = part.min(rest);
-                if part > 0 {
-                    lists[b].push((ix, part));
-                    rest -= part;
+            for (shard, share) in divide(count, &usable_machines).into_iter().enumerate() {
+                if share > 0 {
+                    by_shard[shard].push((job, share));
                 }
             }
         }
-        for (b, list) in lists.into_iter().enumerate() {
-            if self.shards[b].waiting != list {
-                self.shards[b].waiting = list;
-                // Not pressing: goes along with the next state message.
-            }
+        // Not urgent: sent along with the next desired state, whenever that is due.
+        for (shard, tasks) in self.shards.iter_mut().zip(by_shard) {
+            shard.waiting = tasks;
+        }
+    }
+}
+
+/// Instances by class and shard.
+fn count_machines(free_capacity: &FreeCapacity) -> BTreeMap<(usize, ShardIndex), u32> {
+    let mut counts: BTreeMap<(usize, ShardIndex), u32> = BTreeMap::new();
+    for machine in &free_capacity.machines {
+        if let Some(location) = machine.location {
+            *counts.entry((machine.class, location.shard)).or_default() += 1;
         }
     }
+    counts
+}
+
+/// Divides `count` in proportion to the weights. Shares are rounded up, the last ones get
+/// what is left; all are 0 if all weights are.
+fn divide(count: u32, weights: &[u32]) -> Vec<u32> {
+    let sum: u32 = weights.iter().sum();
+    let mut remaining = count;
+    let share_of = |weight: &u32| {
+        if sum == 0 {
+            return 0;
+        }
+        let proportional = (u64::from(count) * u64::from(*weight)).div_ceil(u64::from(sum)) as u32;
+        let share = proportional.min(remaining);
+        remaining -= share;
+        share
+    };
+    weights.iter().map(share_of).collect()
 }
--- a/src/core/leader/zones.rs
+++ b/src/core/leader/zones.rs
@@ -1,4 +1,6 @@
-//! Rules on the zones of a job's tasks.
+//! Constraints on the zones of a job's tasks: all in one zone, or spread over several.
+//!
+//! Built for one job each time that the leader places or plans tasks of it.
 
 use super::Leader;
 use crate::core::common::context::NodeContext;
@@ -6,42 +8,61 @@
 use crate::wire::peer::ReportedPhase;
 use rustc_hash::FxHashMap;
 
-/// Where a job's tasks are, for the rules on zones.
-pub struct Zones {
-    one: bool,
-    most: Option<u32>,
-    counts: FxHashMap<String, u32>,
+/// In which zones further tasks of a job may be placed, given where its tasks are.
+pub struct ZoneConstraints {
+    /// Whether all tasks must be in the same zone.
+    is_one_zone: bool,
+    /// How many tasks may be in one zone, if that is limited.
+    max_per_zone: Option<u32>,
+    /// Tasks in each zone; not counted for a job without constraints.
+    tasks_by_zone: FxHashMap<String, u32>,
 }
 
-impl Zones {
-    pub fn of(context: &NodeContext, l: &Leader, ix: JobIndex, spec: &JobSpec) -> Zones {
-        let mut z = Zones {
-            one: spec.one_zone,
-            most: spec.spread.then(|| spec.tasks.div_ceil(2)),
-            counts: FxHashMap::default(),
+impl ZoneConstraints {
+    /// The constraints of a job, with all its attempts that are not done counted in.
+    pub fn for_job(
+        context: &NodeContext,
+        leader: &Leader,
+        job: JobIndex,
+        spec: &JobSpec,
+    ) -> ZoneConstraints {
+        let mut zones = ZoneConstraints {
+            is_one_zone: spec.one_zone,
+            max_per_zone: spec.spread.then(|| spec.tasks.div_ceil(2)),
+            tasks_by_zone: FxHashMap::default(),
         };
-        if z.one || z.most.is_some() {
-            // By block, which lies in one zone: the machine itself may be unknown
-            // to a leader that has just begun.
-            for a in l.attempts.values().filter(|a| a.job == ix && a.state != ReportedPhase::Done) {
-                if let Some(b) = context.shards.get(a.shard.place()) {
-                    z.add(&b.zone);
-                }
+        if !zones.is_constrained() {
+            return zones;
+        }
+        // A shard lies in one zone and is always known; the instance of an attempt may be
+        // unknown to a leader whose term has just begun.
+        let placed = leader.attempts.values().filter(|a| a.job == job && a.state != ReportedPhase::Done);
+        for attempt in placed {
+            if let Some(shard) = context.shards.get(attempt.shard.place()) {
+                zones.count_task(&shard.zone);
             }
         }
-        z
+        zones
+    }
+
+    fn is_constrained(&self) -> bool {
+        self.is_one_zone || self.max_per_zone.is_some()
     }
 
-    pub fn add(&mut self, zone: &str) {
-        if self.one || self.most.is_some() {
-            *self.counts.entry(zone.to_string()).or_default() += 1;
+    /// Counts a task that is placed in a zone.
+    pub fn count_task(&mut self, zone: &str) {
+        if self.is_constrained() {
+            *self.tasks_by_zone.entry(zone.to_string()).or_default() += 1;
         }
     }
 
+    /// Whether one more task may be placed in a zone.
     pub fn allows(&self, zone: &str) -> bool {
-        if self.one && !self.counts.is_empty() && !self.counts.contains_key(zone) {
+        let is_elsewhere = !self.tasks_by_zone.is_empty() && !self.tasks_by_zone.contains_key(zone);
+        if self.is_one_zone && is_elsewhere {
             return false;
         }
-        self.most.is_none_or(|m| self.counts.get(zone).copied().unwrap_or(0) < m)
+        let here = self.tasks_by_zone.get(zone).copied().unwrap_or(0);
+        self.max_per_zone.is_none_or(|most| here < most)
     }
 }
