--- a/src/core/leader/attempts.rs
+++ b/src/core/leader/attempts.rs
@@ -1,106 +1,144 @@
-//! The leader's attempts: what may be on a machine, by whom it was granted or
-//! told. Thousands are alive at once and a hundred end each second, so those of
-//! one task or job are found without a look at all others.
-
+//! The leader's attempts: each is one try to run a task, and is or may be on a machine.
+//!
+//! Attempts come from the leader's own admissions, from placement records that it reads at the
+//! start of its term, and from the states that shard owners report. Thousands are alive at
+//! once and a hundred end each second, so those of one task or job are found by an index.
+
+use super::Leader;
+use super::free_capacity::InstanceLocation;
+use super::shards::ShardAssignment;
 use crate::model::{InstanceIndex, JobIndex, Ms, Resources, ShardIndex};
 use crate::wire::peer::ReportedPhase;
 use rustc_hash::FxHashMap;
 use std::collections::BTreeSet;
 use woadlever_recovery::ledger;
 
+/// One attempt at a task, as the leader knows it.
 #[derive(Debug)]
-pub struct AttemptView {
+pub struct Attempt {
+    /// The job.
     pub job: JobIndex,
+    /// Number of the task within the job.
     pub task: u32,
+    /// Shard of the instance that it was admitted to.
     pub shard: ShardIndex,
-    /// Machine as the holder told, or as this leader guesses.
+    /// Instance as the shard owner has reported it or, before that, as this leader chose it.
     pub machine: Option<InstanceIndex>,
-    /// The holder may still choose a machine for it.
+    /// Whether the shard owner may still choose an instance for it.
     pub may_bind: bool,
+    /// Whether it is to go on; otherwise the shard owner is to stop it.
     pub is_wanted: bool,
+    /// Phase that the shard owner has last reported.
     pub state: ReportedPhase,
+    /// What the task takes of its machine.
     pub demand: Resources,
+    /// Index of the team; `None` if the settings don't have it.
     pub team: Option<usize>,
+    /// How long it has run, as last reported.
     pub ran_ms: Ms,
-    /// Serial of the first message to the holder that named it, under the present
-    /// grant.
+    /// Serial of the first desired state that named it to the shard owner with the present
+    /// fencing token.
     pub first_named_in: Option<u64>,
 }
 
-impl AttemptView {
-    /// Whether it takes, or may take, room and quota.
+impl Attempt {
+    /// Whether it takes, or may take, capacity of its machine and quota of its team.
     pub fn occupies_capacity(&self) -> bool {
-        use ReportedPhase::*;
-        matches!(self.state, Bound | Fetching | Running | Saving)
+        matches!(
+            self.state,
+            ReportedPhase::Bound
+                | ReportedPhase::Fetching
+                | ReportedPhase::Running
+                | ReportedPhase::Saving
+        )
+    }
+
+    /// Marks it as no longer wanted. The shard owner learns of that with its next desired
+    /// state.
+    pub fn stop(&mut self, shards: &mut [ShardAssignment]) {
+        self.is_wanted = false;
+        shards[self.shard.place()].dirty = true;
     }
 }
 
+/// All attempts that the leader knows, by their ids.
 #[derive(Debug, Default)]
 pub struct Attempts {
-    by_id: FxHashMap<u64, AttemptView>,
-    /// (job, task, attempt)
+    by_id: FxHashMap<u64, Attempt>,
+    /// Index of (job, task, id of the attempt).
     by_task: BTreeSet<(JobIndex, u32, u64)>,
 }
 
 impl Attempts {
-    pub fn insert(&mut self, id: u64, a: AttemptView) {
-        self.by_task.insert((a.job, a.task, id));
-        self.by_id.insert(id, a);
+    /// Adds an attempt.
+    pub fn insert(&mut self, id: u64, attempt: Attempt) {
+        self.by_task.insert((attempt.job, attempt.task, id));
+        self.by_id.insert(id, attempt);
     }
 
-    pub fn remove(&mut self, id: u64) -> Option<AttemptView> {
-        let a = self.by_id.remove(&id)?;
-        self.by_task.remove(&(a.job, a.task, id));
-        Some(a)
+    /// Removes an attempt and returns it.
+    pub fn remove(&mut self, id: u64) -> Option<Attempt> {
+        let attempt = self.by_id.remove(&id)?;
+        self.by_task.remove(&(attempt.job, attempt.task, id));
+        Some(attempt)
     }
 
-    pub fn get(&self, id: u64) -> Option<&AttemptView> {
+    /// The attempt with this id.
+    pub fn get(&self, id: u64) -> Option<&Attempt> {
         self.by_id.get(&id)
     }
 
-    pub fn get_mut(&mut self, id: u64) -> Option<&mut AttemptView> {
+    /// The attempt with this id, to be changed. Its job and task must stay.
+    pub fn get_mut(&mut self, id: u64) -> Option<&mut Attempt> {
         self.by_id.get_mut(&id)
     }
 
+    /// Whether an attempt is known.
     pub fn contains(&self, id: u64) -> bool {
         self.by_id.contains_key(&id)
     }
 
+    /// Number of attempts.
     pub fn len(&self) -> usize {
         self.by_id.len()
     }
 
-    pub fn values(&self) -> impl Iterator<Item = &AttemptView> {
+    /// All attempts.
+    pub fn values(&self) -> impl Iterator<Item = &Attempt> {
         self.by_id.values()
     }
 
-    pub fn values_mut(&mut self) -> impl Iterator<Item = &mut AttemptView> {
+    /// All attempts, to be changed. Their jobs and tasks must stay.
+    pub fn values_mut(&mut self) -> impl Iterator<Item = &mut Attempt> {
         self.by_id.values_mut()
     }
 
-    pub fn iter(&self) -> impl Iterator<Item = (u64, &AttemptView)> {
-        self.by_id.iter().map(|(id, a)| (*id, a))
+    /// All attempts with their ids.
+    pub fn iter(&self) -> impl Iterator<Item = (u64, &Attempt)> {
+        self.by_id.iter().map(|(id, attempt)| (*id, attempt))
     }
 
-    pub fn iter_mut(&mut self) -> impl Iterator<Item = (u64, &mut AttemptView)> {
-        self.by_id.iter_mut().map(|(id, a)| (*id, a))
+    /// All attempts with their ids, to be changed. Their jobs and tasks must stay.
+    pub fn iter_mut(&mut self) -> impl Iterator<Item = (u64, &mut Attempt)> {
+        self.by_id.iter_mut().map(|(id, attempt)| (*id, attempt))
     }
 
-    /// Whether any attempt at the task is known.
+    /// Whether any attempt at a task is known.
     pub fn has_task(&self, job: JobIndex, task: u32) -> bool {
         self.by_task.range((job, task, 0)..=(job, task, u64::MAX)).next().is_some()
     }
 
-    /// Whether any attempt at a task of the job is known.
+    /// Whether any attempt at a task of a job is known.
     pub fn has_job(&self, job: JobIndex) -> bool {
         self.by_task.range((job, 0, 0)..=(job, u32::MAX, u64::MAX)).next().is_some()
     }
 
-    pub fn of_job(&self, job: JobIndex) -> Vec<u64> {
+    /// Ids of the attempts at all tasks of a job.
+    pub fn ids_of_job(&self, job: JobIndex) -> Vec<u64> {
         self.by_task.range((job, 0, 0)..=(job, u32::MAX, u64::MAX)).map(|(_, _, id)| *id).collect()
     }
 
-    /// Drops attempts at tasks that have a newer one.
+    /// Removes attempts at tasks that have a newer one.
     pub fn drop_superseded(&mut self) {
         let rows: Vec<(JobIndex, u32, u64)> = self.by_task.iter().copied().collect();
         for id in ledger::superseded(&rows) {
@@ -108,3 +146,39 @@
         }
     }
 }
+
+impl Leader {
+    /// Creates an attempt at a task on an instance.
+    pub fn new_attempt(&mut self, job: JobIndex, task: u32, location: InstanceLocation) {
+        let Some(live) = self.jobs.get(&job) else { return };
+        let attempt = Attempt {
+            job,
+            task,
+            shard: location.shard,
+            machine: Some(location.instance),
+            may_bind: true,
+            is_wanted: true,
+            state: ReportedPhase::Bound,
+            demand: live.spec.demand(),
+            team: Some(live.team),
+            ran_ms: 0,
+            first_named_in: None,
+        };
+        self.attempts.insert(self.next_attempt, attempt);
+        self.next_attempt += 1;
+        self.shards[location.shard.place()].dirty = true;
+    }
+
+    /// Queues a task again after an attempt at it is gone. An old attempt that was still in a
+    /// record may go while a newer one runs; then the task is not queued, as a third attempt
+    /// would run it twice.
+    pub(super) fn requeue(&mut self, job: JobIndex, task: u32) {
+        self.cycle_due = true;
+        if self.attempts.has_task(job, task) {
+            return;
+        }
+        if let Some(live) = self.jobs.get_mut(&job) {
+            live.queue_retry(task);
+        }
+    }
+}
--- a/src/core/leader/cascading_cancellation.rs
+++ b/src/core/leader/cascading_cancellation.rs
@@ -14,6 +14,7 @@
 //! The leader writes these cancellations in batches from its poll. A user API node that is
 //! asked about such a job first has it written, so that no node calls it live again.
 
+use super::write_state::WriteState;
 use super::{Leader, LeaderCall};
 use crate::core::common::watch_cache::job_key;
 use crate::core::common::{context::NodeContext, job_records::RecordSource};
@@ -30,9 +31,7 @@
 #[derive(Debug, Default)]
 pub struct CascadingCancellations {
     pending: BTreeSet<JobIndex>,
-    /// Whether a batch is on its way to the store.
-    is_writing: bool,
-    retry_at: Ms,
+    write: WriteState,
 }
 
 impl Leader {
@@ -46,10 +45,7 @@
     pub(super) fn write_cancellations(&mut self, context: &mut NodeContext) {
         let cancellations = &mut self.cancellations;
         cancellations.pending.retain(|job| context.job(*job).state == JobState::Live);
-        if cancellations.is_writing
-            || cancellations.pending.is_empty()
-            || context.clock.now() < cancellations.retry_at
-        {
+        if cancellations.pending.is_empty() || !cancellations.write.is_ready(context.clock.now()) {
             return;
         }
         let max_mutations = context.platform.cluster.state.txn_ops;
@@ -57,7 +53,7 @@
         if !context.can_write(jobs.len()) {
             return;
         }
-        cancellations.is_writing = true;
+        cancellations.write.start();
         let mut request = CompareAndSwap { compares: vec![self.compare_term()], mutations: Vec::new() };
         for index in &jobs {
             let key = job_key(context.jobs.id(*index));
@@ -79,13 +75,14 @@
         jobs: Vec<JobIndex>,
         response: StoreResponse,
     ) {
-        self.cancellations.is_writing = false;
         let StoreResponse::Committed { revision } = response else {
             // A job that its user or a user API node has cancelled meanwhile fails the whole
             // batch until the watch reports it; the next batch is then without it.
-            self.cancellations.retry_at = context.clock.now() + context.retry_ms(RETRY_MS);
+            let retry_at = context.clock.now() + context.retry_ms(RETRY_MS);
+            self.cancellations.write.finish_and_wait(retry_at);
             return;
         };
+        self.cancellations.write.finish();
         for job in jobs {
             let id = context.jobs.id(job).to_string();
             context.apply_job_record(&id, JobRecord::cancelled(0), revision, RecordSource::Single);
--- /dev/null
+++ b/src/core/leader/desired_states.rs
@@ -0,0 +1,111 @@
+//! Desired states: what the leader wants to be in each shard, sent to the shard's owner.
+//!
+//! Sent soon after a change, and again every so often, so that a lost message doesn't matter.
+
+use super::Leader;
+use crate::core::common::context::NodeContext;
+use crate::core::common::shard_map::KnownOwner;
+use crate::model::{JobIndex, Ms, ShardIndex};
+use crate::wire::peer::{DesiredJob, DesiredState, PeerMessage, WaitingTasks};
+use std::collections::BTreeMap;
+
+/// Least time between two desired states of a shard; more for one with many attempts.
+const CHANGED_GAP_MS: Ms = 30;
+/// Time until a desired state is sent again although nothing has changed.
+const UNCHANGED_GAP_MS: Ms = 500;
+/// How long machines that are gone are listed.
+const GONE_KEPT_MS: Ms = 30_000;
+/// Expected run time of a task whose job is not known, in seconds.
+const UNKNOWN_RUN_S: f64 = 1.0;
+
+/// What a desired state wants of each job, as (task, attempt, may bind).
+type DesiredTasks = BTreeMap<JobIndex, Vec<(u32, u64, bool)>>;
+
+impl Leader {
+    /// Sends the desired states that are due.
+    pub(super) fn send_desired_states(&mut self, context: &mut NodeContext) {
+        let due = self.start_due_states(context);
+        if due.is_empty() {
+            return;
+        }
+        let mut tasks = self.desired_tasks(&due);
+        let mut directives = self.fleet.directives(context);
+        for shard in due {
+            let place = shard.place();
+            let Some(KnownOwner { record: owner, fencing_token }) = context.shards.owner(place).cloned()
+            else {
+                continue;
+            };
+            let tasks = std::mem::take(&mut tasks[place]);
+            let directives = std::mem::take(&mut directives[place]);
+            let assignment = &mut self.shards[place];
+            assignment.attempts_sent = tasks.values().map(Vec::len).sum();
+            let assignment = &self.shards[place];
+            let state = DesiredState {
+                term: self.term,
+                shard: shard.number(),
+                fencing_token,
+                serial: assignment.serial,
+                jobs: self.desired_jobs(context, tasks),
+                waiting: waiting_tasks(context, &assignment.waiting),
+                cordoned: directives.cordoned,
+                decommission: directives.decommission,
+                gone: assignment.gone.iter().map(|(name, _)| name.clone()).collect(),
+                quarantined: directives.quarantined,
+            };
+            context.send(&owner.node, PeerMessage::DesiredState(state));
+        }
+    }
+
+    /// Shards whose desired state is due; each gets its next serial.
+    fn start_due_states(&mut self, context: &NodeContext) -> Vec<ShardIndex> {
+        let now = context.clock.now();
+        let mut due: Vec<ShardIndex> = Vec::new();
+        for (place, shard) in self.shards.iter_mut().enumerate() {
+            let gap = context.load_adjusted_gap(CHANGED_GAP_MS, shard.attempts_sent);
+            let gap = if shard.dirty { gap } else { UNCHANGED_GAP_MS.max(gap) };
+            let is_due = shard.sent_at.is_none_or(|sent_at| now >= sent_at + gap);
+            if !is_due || context.shards.owner(place).is_none() {
+                continue;
+            }
+            shard.dirty = false;
+            shard.sent_at = Some(now);
+            shard.serial += 1;
+            shard.gone.retain(|(_, gone_at)| gone_at + GONE_KEPT_MS > now);
+            due.push(ShardIndex::at(place));
+        }
+        due
+    }
+
+    /// What is wanted in the shards that are due, by the place of the shard. Notes in which
+    /// desired state an attempt is named first: if it is not wanted, then by being left out.
+    fn desired_tasks(&mut self, due: &[ShardIndex]) -> Vec<DesiredTasks> {
+        let mut tasks: Vec<DesiredTasks> = vec![BTreeMap::new(); self.shards.len()];
+        for (id, attempt) in self.attempts.iter_mut().filter(|(_, a)| due.contains(&a.shard)) {
+            let place = attempt.shard.place();
+            attempt.first_named_in.get_or_insert(self.shards[place].serial);
+            if attempt.is_wanted {
+                let wanted = (attempt.task, id, attempt.may_bind);
+                tasks[place].entry(attempt.job).or_default().push(wanted);
+            }
+        }
+        tasks
+    }
+
+    fn desired_jobs(&self, context: &NodeContext, tasks: DesiredTasks) -> Vec<DesiredJob> {
+        let desired_job = |(job, tasks)| DesiredJob {
+            job: context.jobs.id(job).to_string(),
+            expected_s: self.jobs.get(&job).map_or(UNKNOWN_RUN_S, |live| self.expected_s(&live.spec)),
+            tasks,
+        };
+        tasks.into_iter().map(desired_job).collect()
+    }
+}
+
+fn waiting_tasks(context: &NodeContext, waiting: &[(JobIndex, u32)]) -> Vec<WaitingTasks> {
+    let waiting_task = |(job, count): &(JobIndex, u32)| WaitingTasks {
+        job: context.jobs.id(*job).to_string(),
+        count: *count,
+    };
+    waiting.iter().map(waiting_task).collect()
+}
--- /dev/null
+++ b/src/core/leader/job_tracking.rs
@@ -0,0 +1,82 @@
+//! Keeps the leader's live jobs in step with the jobs that every node watches.
+//!
+//! A job enters once all its dependencies are on record as done, and leaves with its final
+//! record or as soon as its cancellation is noticed.
+
+use super::Leader;
+use super::live_jobs::LiveJob;
+use super::progress::{LoadedSegment, ProgressSegment};
+use crate::core::common::context::NodeContext;
+use crate::model::JobIndex;
+use crate::wire::store::JobState;
+use std::collections::BTreeSet;
+
+impl Leader {
+    /// Follows all jobs whose records have changed since the last call.
+    pub(super) fn follow_jobs(&mut self, context: &mut NodeContext) {
+        let mut changed = context.jobs.take_changed();
+        changed.sort_unstable();
+        changed.dedup();
+        for job in changed {
+            self.follow_job(context, job);
+            self.cycle_due = true;
+        }
+    }
+
+    /// Follows the record of one job.
+    pub(super) fn follow_job(&mut self, context: &mut NodeContext, index: JobIndex) {
+        let job = context.job(index);
+        if job.state != JobState::Live || job.cancellation_noticed {
+            return self.remove_job(context, index);
+        }
+        if job.links.has_cancelled_dependency {
+            return self.cancel_later(index);
+        }
+        // Until all its dependencies are on record as done, no task of it may start. Once they
+        // are, that is final.
+        if job.links.unfinished_dependencies > 0 {
+            return;
+        }
+        match self.jobs.get_mut(&index) {
+            Some(known) => known.follow_location(job),
+            None => self.add_job(context, index),
+        }
+    }
+
+    /// Takes up a live job, with the progress of it that has been read from records.
+    fn add_job(&mut self, context: &NodeContext, index: JobIndex) {
+        let job = context.job(index);
+        let id = context.jobs.id(index);
+        let Some(spec) = job.spec.clone() else { return };
+        let teams = &context.platform.cluster.teams;
+        let Some(team) = teams.iter().position(|team| team.name == spec.team) else {
+            tracing::error!(id, "accepted job of an unknown team");
+            return;
+        };
+        let mut live = LiveJob::new(spec, team, context.jobs.ready_at_ms(index));
+        live.follow_location(job);
+        for LoadedSegment { segment, bits, version } in
+            self.unclaimed_progress.remove(id).unwrap_or_default()
+        {
+            live.apply_progress(segment, &bits, version);
+        }
+        self.jobs.insert(index, live);
+    }
+
+    /// Drops a job that is final or about to be: its attempts are stopped and its records of
+    /// progress deleted. A job of many tasks has more of these than its final write deletes.
+    fn remove_job(&mut self, context: &NodeContext, index: JobIndex) {
+        let id = context.jobs.id(index);
+        let live = self.jobs.remove(&index);
+        let unclaimed = self.unclaimed_progress.remove(id);
+        for attempt in self.attempts.ids_of_job(index) {
+            if let Some(attempt) = self.attempts.get_mut(attempt) {
+                attempt.stop(&mut self.shards);
+            }
+        }
+        let mut segments: BTreeSet<ProgressSegment> =
+            live.map(|live| live.progress.into_segments()).unwrap_or_default();
+        segments.extend(unclaimed.into_iter().flatten().map(|loaded| loaded.segment));
+        self.deletions.extend(segments.into_iter().map(|segment| segment.key(id)));
+    }
+}
--- a/src/core/leader/live_jobs.rs
+++ b/src/core/leader/live_jobs.rs
@@ -1,95 +1,102 @@
-//! Live jobs that may run, as the leader keeps them.
+//! A live job as the leader keeps it: which of its tasks are done, have an attempt or wait,
+//! and what its place in the order of jobs follows from.
+//!
+//! Holds no reference to attempts or machines and writes no records.
 
-use super::Leader;
-use super::attempts::AttemptView;
-use super::progress::ProgressSegment;
-use crate::core::common::context::NodeContext;
+use super::progress::{JobProgress, ProgressSegment};
+use super::write_state::WriteState;
 use crate::core::common::job_table::Job;
-use crate::model::{InstanceIndex, JobIndex, JobSpec, Ms, Priority, ShardIndex, TaskSet};
-use crate::wire::peer::ReportedPhase;
-use crate::wire::store::JobState;
+use crate::model::{InstanceIndex, JobSpec, Ms, Priority, TaskSet};
 use rustc_hash::FxHashSet;
-use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
+/// Machines on which a job's tasks have to fail until the job itself is taken to be at fault.
+const FAULTY_JOB_MACHINES: usize = 3;
+/// First pause of a job that is at fault. Each further failure doubles it, up to a limit.
+const FAULTY_JOB_BACKOFF_MS: Ms = 2_000;
+/// Failures that the pause doesn't grow with.
+const FAILURES_BEFORE_DOUBLING: u32 = 3;
+/// How often the pause is doubled at most.
+const MAX_BACKOFF_DOUBLINGS: u32 = 5;
+
 /// Which cell runs a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum JobLocation {
-    /// This one, whose job it is.
+    /// This cell, which the job belongs to.
     Local,
-    /// Another one; so many of its tasks run there.
-    Away { running: u32 },
-    /// This one, for the cell that it belongs to.
+    /// Another cell.
+    Away {
+        /// Number of its tasks that run there.
+        running: u32,
+    },
+    /// This cell, for the cell that the job belongs to.
     Hosted {
-        /// The newest message of that cell lists it.
+        /// Whether the newest message of that cell lists the job.
         is_listed: bool,
     },
 }
 
+/// A job that is live and whose dependencies are all done.
 #[derive(Debug)]
 pub struct LiveJob {
+    /// The job as it was submitted.
     pub spec: Arc<JobSpec>,
+    /// Index of its team in the settings.
     pub team: usize,
+    /// Tasks that are done.
     pub done: TaskSet,
-    pub(super) recorded: TaskSet,
-    /// Done but not yet in a record.
-    pub(super) unrecorded: Vec<u32>,
-    pub(super) recording: bool,
-    pub(super) rereading: bool,
-    /// Records of its progress, with the version that each has; none: in doubt.
-    pub(super) segments: BTreeMap<ProgressSegment, Option<u64>>,
-    /// Tasks with an attempt, or waiting in `retry`.
-    pub issued: TaskSet,
-    pub(super) next: u32,
-    pub retry: Vec<u32>,
-    /// Times that tasks failed without any having succeeded since.
-    pub failures: u32,
-    pub failed_on: FxHashSet<InstanceIndex>,
+    /// What of that is on record.
+    pub(super) progress: JobProgress,
+    /// Tasks that have had an attempt. They get another one only by way of the retries.
+    attempted: TaskSet,
+    /// No task below this number is without an attempt.
+    next_new_task: u32,
+    /// Tasks whose attempt is gone without success; the last one comes first.
+    retries: Vec<u32>,
+    /// Failures of its tasks since the last success.
+    failures: u32,
+    /// Machines on which its tasks have failed since the last success.
+    failed_on: FxHashSet<InstanceIndex>,
+    /// Until when no task of it is admitted; `Ms::MAX` until that is taken back.
     pub backoff_until: Ms,
-    /// Within its team's guarantee, with the team's earlier jobs.
+    /// Whether it is within its team's guarantee, counted with the team's earlier jobs.
     pub is_within_guarantee: bool,
-    /// Time of day since when it could be started.
+    /// Time of day from which on it could be started.
     pub ready_at_ms: u64,
-    /// Its own priority, or a higher one of a job that needs it.
+    /// Its own priority, or a higher one of a job that depends on it.
     pub priority: Priority,
-    pub(super) finish_busy: bool,
-    pub(super) finish_at: Ms,
+    /// The write of its final record.
+    pub(super) final_write: WriteState,
     /// Which cell runs it.
     pub location: JobLocation,
 }
 
 impl LiveJob {
+    /// A job of which nothing is known but its description.
     pub(super) fn new(spec: Arc<JobSpec>, team: usize, ready_at_ms: u64) -> LiveJob {
-        let n = spec.tasks;
+        let tasks = spec.tasks;
         LiveJob {
             team,
-            done: TaskSet::with_room(n),
-            recorded: TaskSet::with_room(n),
-            unrecorded: Vec::new(),
-            recording: false,
-            rereading: false,
-            segments: BTreeMap::new(),
-            issued: TaskSet::with_room(n),
-            next: 0,
-            retry: Vec::new(),
+            done: TaskSet::with_room(tasks),
+            progress: JobProgress::new(tasks),
+            attempted: TaskSet::with_room(tasks),
+            next_new_task: 0,
+            retries: Vec::new(),
             failures: 0,
             failed_on: FxHashSet::default(),
             backoff_until: 0,
             is_within_guarantee: false,
             ready_at_ms,
             priority: spec.priority,
-            finish_busy: false,
-            finish_at: 0,
+            final_write: WriteState::default(),
             location: JobLocation::Local,
             spec,
         }
     }
 
-    /// Takes in a record of its progress.
-    pub(super) fn read_chunk(&mut self, segment: ProgressSegment, bits: &str, version: u64) {
-        self.done.add_hex(segment.first_word(), bits);
-        self.recorded.add_hex(segment.first_word(), bits);
-        self.segments.insert(segment, Some(version));
+    /// Whether all tasks are done.
+    pub fn is_complete(&self) -> bool {
+        self.done.len() == self.spec.tasks
     }
 
     /// Seconds since the job could be started, at a time of day in milliseconds.
@@ -107,13 +114,13 @@
         matches!(self.location, JobLocation::Hosted { .. })
     }
 
-    /// Whether tasks may be granted as far as other cells are concerned.
+    /// Whether its tasks may be admitted here, as far as other cells are concerned.
     pub fn is_schedulable(&self) -> bool {
         matches!(self.location, JobLocation::Local | JobLocation::Hosted { is_listed: true })
     }
 
-    /// Follows the job's record.
-    fn follow_location(&mut self, job: &Job) {
+    /// Takes over from the job's record which cell runs it.
+    pub(super) fn follow_location(&mut self, job: &Job) {
         self.location = match (job.is_away(), job.origin(), self.location) {
             (true, _, JobLocation::Away { running }) => JobLocation::Away { running },
             (true, _, _) => JobLocation::Away { running: 0 },
@@ -123,7 +130,13 @@
         };
     }
 
-    /// Takes in tasks that are done in another cell, as hexadecimal bits.
+    /// Takes in a record of its progress, as hexadecimal digits.
+    pub(super) fn apply_progress(&mut self, segment: ProgressSegment, bits: &str, version: u64) {
+        self.done.add_hex(segment.first_word(), bits);
+        self.progress.apply_record(segment, bits, version);
+    }
+
+    /// Takes in tasks that are done in another cell, as hexadecimal digits.
     pub(super) fn take_done_elsewhere(&mut self, bits: &str) {
         let mut done = TaskSet::with_room(self.spec.tasks);
         done.add_hex(0, bits);
@@ -132,148 +145,104 @@
         }
     }
 
-    /// All tasks are done in another cell.
+    /// Takes in that all tasks are done in another cell.
     pub(super) fn take_all_done_elsewhere(&mut self) {
         for task in 0..self.spec.tasks {
             self.finish_task(task);
         }
     }
 
-    fn finish_task(&mut self, task: u32) {
-        if self.done.insert(task) {
-            self.unrecorded.push(task);
+    /// Takes in that a task is done; whether that was not known yet.
+    fn finish_task(&mut self, task: u32) -> bool {
+        let is_new = self.done.insert(task);
+        if is_new {
+            self.progress.add_unrecorded(task);
+        }
+        is_new
+    }
+
+    /// Takes in that an attempt at a task has succeeded; whether the task was not done yet.
+    pub(super) fn on_task_succeeded(&mut self, task: u32) -> bool {
+        let is_new = self.finish_task(task);
+        if is_new {
+            self.failures = 0;
+            self.failed_on.clear();
         }
+        is_new
+    }
+
+    /// Takes in that an attempt has failed on a machine; whether the job itself is taken to be
+    /// at fault. Then it is paused.
+    pub(super) fn on_task_failed(&mut self, now: Ms, machine: InstanceIndex) -> bool {
+        self.failures += 1;
+        self.failed_on.insert(machine);
+        let is_at_fault = self.failed_on.len() >= FAULTY_JOB_MACHINES;
+        if is_at_fault {
+            let repeated = self.failures.saturating_sub(FAILURES_BEFORE_DOUBLING);
+            let factor = 1 << repeated.min(MAX_BACKOFF_DOUBLINGS);
+            self.backoff_until = now + FAULTY_JOB_BACKOFF_MS * factor;
+        }
+        is_at_fault
     }
 
     /// The next task that needs an attempt.
     pub fn next_task(&mut self) -> Option<u32> {
-        while let Some(&t) = self.retry.last() {
-            if !self.done.contains(t) {
-                return Some(t);
+        while let Some(&task) = self.retries.last() {
+            if !self.done.contains(task) {
+                return Some(task);
             }
-            self.retry.pop();
+            self.retries.pop();
         }
-        while self.next < self.spec.tasks {
-            if !self.done.contains(self.next) && !self.issued.contains(self.next) {
-                return Some(self.next);
+        while self.next_new_task < self.spec.tasks {
+            if self.is_untried(self.next_new_task) {
+                return Some(self.next_new_task);
             }
-            self.next += 1;
+            self.next_new_task += 1;
         }
         None
     }
 
-    /// Takes the task that `peek` showed.
+    /// Takes the task that [`LiveJob::next_task`] returns.
     pub fn admit_next_task(&mut self) -> Option<u32> {
-        let t = self.next_task()?;
-        if self.retry.last() == Some(&t) {
-            self.retry.pop();
+        let task = self.next_task()?;
+        if self.retries.last() == Some(&task) {
+            self.retries.pop();
         } else {
-            self.next += 1;
+            self.next_new_task += 1;
         }
-        self.issued.insert(t);
-        Some(t)
+        self.attempted.insert(task);
+        Some(task)
     }
 
-    /// Tasks without an attempt, at most `most`.
-    pub fn waiting(&self, most: u32) -> u32 {
-        let mut n = self.retry.iter().filter(|t| !self.done.contains(**t)).count() as u32;
-        let mut t = self.next;
-        while n < most && t < self.spec.tasks {
-            n += (!self.done.contains(t) && !self.issued.contains(t)) as u32;
-            t += 1;
-        }
-        n.min(most)
+    /// Notes that a task has an attempt that this leader has not made.
+    pub(super) fn note_attempt(&mut self, task: u32) {
+        self.attempted.insert(task);
     }
-}
 
-impl Leader {
-    pub(super) fn follow_jobs(&mut self, context: &mut NodeContext) {
-        let mut changed = context.jobs.take_changed();
-        changed.sort_unstable();
-        changed.dedup();
-        for ix in changed {
-            self.follow_job(context, ix);
-            self.cycle_due = true;
-        }
+    /// Notes that a task has an attempt after all, so that it needs no retry.
+    pub(super) fn cancel_retry(&mut self, task: u32) {
+        self.retries.retain(|queued| *queued != task);
     }
 
-    pub(super) fn follow_job(&mut self, context: &mut NodeContext, ix: JobIndex) {
-        let job = context.job(ix);
-        let id = context.jobs.id(ix).to_string();
-        if job.state != JobState::Live || job.cancellation_noticed {
-            let known = self.jobs.remove(&ix);
-            let left = self.progress.remove(&id);
-            for id in self.attempts.of_job(ix) {
-                if let Some(a) = self.attempts.get_mut(id) {
-                    a.is_wanted = false;
-                    self.shards[a.shard.place()].dirty = true;
-                }
-            }
-            // The bits of a final job are of no use to anyone. A job of many
-            // tasks has more of them than go along with its last record.
-            let mut segments: BTreeSet<ProgressSegment> =
-                known.map(|j| j.segments.into_keys().collect()).unwrap_or_default();
-            segments.extend(left.into_iter().flatten().map(|(c, ..)| c));
-            self.deletions.extend(segments.into_iter().map(|c| c.key(&id)));
-            return;
-        }
-        if job.links.has_cancelled_dependency {
-            return self.cancel_later(ix);
+    /// Queues a task for another attempt, unless it is done or queued.
+    pub(super) fn queue_retry(&mut self, task: u32) {
+        if !self.done.contains(task) && !self.retries.contains(&task) {
+            self.retries.push(task);
         }
-        // Not all that it awaits is on record as done: it takes no part in
-        // anything, and no task of it may start. Once all is, that is final.
-        if job.links.unfinished_dependencies > 0 {
-            return;
-        }
-        if let Some(known) = self.jobs.get_mut(&ix) {
-            return known.follow_location(job);
-        }
-        let Some(spec) = job.spec.clone() else { return };
-        let Some(team) = context.platform.cluster.teams.iter().position(|t| t.name == spec.team) else {
-            tracing::error!(id, "accepted job of an unknown team");
-            return;
-        };
-        let mut j = LiveJob::new(spec, team, context.jobs.ready_at_ms(ix));
-        j.follow_location(job);
-        for (segment, bits, version) in self.progress.remove(&id).unwrap_or_default() {
-            j.read_chunk(segment, &bits, version);
-        }
-        self.jobs.insert(ix, j);
     }
 
-    pub fn new_attempt(&mut self, job: JobIndex, task: u32, machine: InstanceIndex, shard: ShardIndex) {
-        let Some(j) = self.jobs.get(&job) else { return };
-        let a = AttemptView {
-            job,
-            task,
-            shard,
-            machine: Some(machine),
-            may_bind: true,
-            is_wanted: true,
-            state: ReportedPhase::Bound,
-            demand: j.spec.demand(),
-            team: Some(j.team),
-            ran_ms: 0,
-            first_named_in: None,
-        };
-        self.attempts.insert(self.next_attempt, a);
-        self.next_attempt += 1;
-        self.shards[shard.place()].dirty = true;
+    /// Number of tasks that need an attempt, counted up to `most`.
+    pub fn waiting(&self, most: u32) -> u32 {
+        let mut waiting = self.retries.iter().filter(|task| !self.done.contains(**task)).count() as u32;
+        let mut task = self.next_new_task;
+        while waiting < most && task < self.spec.tasks {
+            waiting += u32::from(self.is_untried(task));
+            task += 1;
+        }
+        waiting.min(most)
     }
 
-    /// Puts a task back in line once an attempt at it is gone. An older attempt
-    /// that was still in a record may go while a newer one runs; the task is
-    /// then in good hands, and a third attempt would run it twice.
-    pub(super) fn requeue(&mut self, job: JobIndex, task: u32) {
-        self.cycle_due = true;
-        if self.attempts.has_task(job, task) {
-            return;
-        }
-        if let Some(j) = self.jobs.get_mut(&job)
-            && !j.done.contains(task)
-            && !j.retry.contains(&task)
-        {
-            j.retry.push(task);
-        }
+    fn is_untried(&self, task: u32) -> bool {
+        !self.done.contains(task) && !self.attempted.contains(task)
     }
 }
--- a/src/core/leader/mod.rs
+++ b/src/core/leader/mod.rs
@@ -1,17 +1,22 @@
-//! The leader of a term: owns admission, the fleet and who holds which block.
+//! The leader of a term: it owns admission, the fleet, and the assignment of shards to nodes.
 //!
-//! Everything it decides is written under the condition of its term, and all
-//! that it knows is rebuilt from records and from the holders' state messages, so
-//! that a new leader starts from what is, not from what was meant.
+//! Everything that it writes is compared with the record of its term, so that a leader whose
+//! term has ended changes nothing. All that it knows is rebuilt from records and from the
+//! states that shard owners report: a new leader starts from what is, not from what was meant.
+//!
+//! `Core` polls it after each input. It calls neither workers nor users; shard owners and user
+//! API nodes do.
 
 mod attempts;
 mod cascading_cancellation;
 mod cells;
 mod demand_samples;
+mod desired_states;
 mod fleet;
 pub mod forecast;
 mod free_capacity;
 mod inherited_urgency;
+mod job_tracking;
 mod live_jobs;
 mod order;
 mod persistence;
@@ -24,125 +29,162 @@
 mod scale_out_plan;
 mod scheduling_cycle;
 mod shards;
+mod task_counts;
+mod write_state;
 mod zones;
 
+use crate::core::common::context::NodeContext;
 use crate::core::common::watch_cache::LEADER;
-use crate::core::common::{context::NodeContext, job_records::RecordSource};
 use crate::core::{CloudResponse, StoreResponse};
 use crate::model::{JobIndex, Ms, ShardIndex};
-use crate::wire::store::{Compare, JobRecord};
+use crate::wire::store::Compare;
 use attempts::Attempts;
 use cascading_cancellation::CascadingCancellations;
 use cells::{CellCall, Cells};
 use fleet::Fleet;
 use forecast::History;
 use live_jobs::LiveJob;
-use progress::{DeletionQueue, ProgressSegment};
+use progress::{DeletionQueue, FinalStateWrite, LoadedSegment, ProgressSegment, SegmentWrite};
+use rebuild::{RecordKind, RecordLoading};
 use serde::{Deserialize, Serialize};
 use shards::ShardAssignment;
 use std::collections::{BTreeMap, HashMap};
 
+/// Least time between two polls that look at jobs, machines and attempts.
 const POLL_GAP_MS: Ms = 20;
+/// Least time between two scheduling cycles when something has changed.
 const CYCLE_GAP_MS: Ms = 50;
-const CYCLE_EVERY_MS: Ms = 500;
+/// Time between two scheduling cycles when nothing has changed.
+const IDLE_CYCLE_GAP_MS: Ms = 500;
+/// Attempts and machines that lengthen that time as much as one item elsewhere.
+const CYCLE_ITEMS_PER_UNIT: usize = 8;
+/// Width of the number space of attempts of one term, in bits.
+const ATTEMPT_BITS_PER_TERM: u32 = 20;
+
+/// What a call of the leader to the store is for.
 #[derive(Debug)]
 pub enum LeaderCall {
-    Places,
-    Progress,
-    Fleet,
-    AssignShard { shard: ShardIndex },
-    Record { items: Vec<(JobIndex, Vec<u32>)>, segments: Vec<(JobIndex, ProgressSegment)> },
-    Reread { job: JobIndex, segment: ProgressSegment },
-    Finish { job: JobIndex, done_ms: u64, dropped: Vec<ProgressSegment> },
-    Forget { keys: Vec<String> },
-    WriteCancellations { jobs: Vec<JobIndex> },
+    /// Read records at the start of the term.
+    Load(RecordKind),
+    /// Write the owner of a shard.
+    AssignShard {
+        /// The shard.
+        shard: ShardIndex,
+    },
+    /// Record progress of jobs.
+    Record {
+        /// What is recorded of each job.
+        writes: Vec<SegmentWrite>,
+    },
+    /// Read a record of progress again.
+    Reread {
+        /// The job.
+        job: JobIndex,
+        /// The segment that the record is of.
+        segment: ProgressSegment,
+    },
+    /// Write the final state of a job.
+    WriteFinalState(FinalStateWrite),
+    /// Delete records of progress.
+    DeleteProgress {
+        /// Their keys.
+        keys: Vec<String>,
+    },
+    /// Write that jobs are cancelled since a dependency is.
+    WriteCancellations {
+        /// The jobs.
+        jobs: Vec<JobIndex>,
+    },
+    /// A call concerning other cells.
     Cells(CellCall),
+    /// Write the fleet's record.
     SaveFleet,
+    /// Write the catalog.
     SaveCatalog,
 }
 
-/// `fleet`: one record per window.
+/// `fleet`: what leaders hand on to each other, written once per window.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct FleetRecord {
+    /// Time of day at which the window began.
     #[serde(rename = "at", default)]
     pub at_ms: u64,
+    /// Usable machines, by label of the machine type.
     #[serde(default)]
     pub counts: BTreeMap<String, u32>,
+    /// Bookings of past windows.
     #[serde(default)]
     pub history: History,
-    /// Learned run time over estimate, per class.
+    /// Learned ratio of run time to estimate, by class of jobs.
     #[serde(default)]
     pub ratios: BTreeMap<String, f64>,
 }
 
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Loading {
-    Start,
-    Busy,
-    Done,
-}
-
+/// The leader, for as long as this node's term lasts.
 pub struct Leader {
+    /// Number of the term.
     pub term: u64,
-    pub(super) since: Ms,
-    pub(super) loading: [Loading; 3],
-    pub(super) load_retry: Ms,
+    /// When the term began for this process.
+    term_started_at: Ms,
+    /// Which records have been read.
+    loading: RecordLoading,
+    /// Whether all records have been read. Before that it decides nothing.
     pub is_active: bool,
+    /// When it became active.
     pub activated_at: Ms,
+    /// Live jobs whose dependencies are done.
     pub jobs: BTreeMap<JobIndex, LiveJob>,
+    /// Attempts that are or may be on a machine.
     pub attempts: Attempts,
-    pub(super) next_attempt: u64,
+    /// Id of the next attempt.
+    next_attempt: u64,
+    /// All shards.
     pub shards: Vec<ShardAssignment>,
+    /// The machines, and all calls to the cloud.
     pub fleet: Fleet,
+    /// Learned ratio of run time to estimate, by class of jobs.
     pub ratios: BTreeMap<String, f64>,
-    pub preempt_at: Ms,
-    pub cycles: u64,
-    /// Plans for rents made in this term.
+    /// Until when no task is preempted.
+    preempt_at: Ms,
+    /// Scheduling cycles of this term.
+    cycles: u64,
+    /// Scale-out plans of this term.
     pub plans: u64,
+    /// Whether something has changed that the next scheduling cycle should look at.
     pub cycle_due: bool,
-    pub(super) poll_at: Ms,
-    pub(super) cycle_at: Ms,
-    pub(super) record_at: Ms,
-    pub(super) counts_at: Ms,
-    /// Progress read before its job was known.
-    pub(super) progress: HashMap<String, Vec<(ProgressSegment, String, u64)>>,
+    /// When the next poll is due.
+    poll_at: Ms,
+    /// When the last scheduling cycle began.
+    cycle_at: Ms,
+    /// When progress may be recorded next.
+    record_at: Ms,
+    /// When tasks were last counted.
+    counted_at: Ms,
+    /// Progress that has been read before its job was known, by id of the job.
+    unclaimed_progress: HashMap<String, Vec<LoadedSegment>>,
     /// Records of progress that nobody needs any more.
-    pub(super) deletions: DeletionQueue,
-    /// The state service has shown that it takes no more than the next limits.
-    pub(super) writes_parts: bool,
-    pub(super) cancellations: CascadingCancellations,
-    /// Other cells that share load; none only while they are at work.
-    pub(super) cells: Option<Box<Cells>>,
+    deletions: DeletionQueue,
+    /// Whether the store has shown that its lower limits are in force.
+    has_lowered_limits: bool,
+    /// Jobs to be cancelled since a dependency is.
+    cancellations: CascadingCancellations,
+    /// Other cells that share load; `None` only while they are at work.
+    cells: Option<Box<Cells>>,
 }
 
 impl Leader {
+    /// A leader whose term begins now.
     pub fn new(context: &mut NodeContext, term: u64) -> Leader {
         Leader {
             term,
-            since: context.clock.now(),
-            loading: [Loading::Start; 3],
-            load_retry: 0,
+            term_started_at: context.clock.now(),
+            loading: RecordLoading::default(),
             is_active: false,
             activated_at: 0,
             jobs: BTreeMap::new(),
             attempts: Attempts::default(),
-            next_attempt: term << 20,
-            shards: context
-                .shards
-                .iter()
-                .map(|_| ShardAssignment {
-                    serial: 0,
-                    dirty: true,
-                    sent_at: 0,
-                    size: 0,
-                    fencing_token: 0,
-                    has_reported: false,
-                    gone: Vec::new(),
-                    waiting: Vec::new(),
-                    writing: false,
-                    retry_at: 0,
-                })
-                .collect(),
+            next_attempt: term << ATTEMPT_BITS_PER_TERM,
+            shards: context.shards.iter().map(|_| ShardAssignment::new()).collect(),
             fleet: Fleet::new(context),
             ratios: BTreeMap::new(),
             preempt_at: 0,
@@ -152,19 +194,21 @@
             poll_at: 0,
             cycle_at: 0,
             record_at: 0,
-            counts_at: 0,
-            progress: HashMap::new(),
+            counted_at: 0,
+            unclaimed_progress: HashMap::new(),
             deletions: DeletionQueue::default(),
-            writes_parts: false,
+            has_lowered_limits: false,
             cancellations: CascadingCancellations::default(),
             cells: Some(Box::new(Cells::new(context))),
         }
     }
 
+    /// The compare under which everything is written: this term is the present one.
     pub fn compare_term(&self) -> Compare {
         Compare { key: LEADER.into(), version: self.term }
     }
 
+    /// Does what is due.
     pub fn poll(&mut self, context: &mut NodeContext) {
         if !self.is_active {
             self.load(context);
@@ -173,8 +217,8 @@
             }
         }
         self.assign_shards(context);
-        // All else looks at jobs, machines or attempts one by one, and must not
-        // do so with every input.
+        // All else looks at jobs, machines or attempts one by one, and must not do so with each
+        // input.
         if context.clock.now() < self.poll_at {
             return;
         }
@@ -183,71 +227,54 @@
         self.write_cancellations(context);
         self.cells_poll(context);
         self.fleet_poll(context);
-        // What a scheduling cycle costs grows with what it has to look at.
-        let gap = if self.cycle_due {
-            context
-                .load_adjusted_gap(CYCLE_GAP_MS, (self.attempts.len() + self.fleet.machines.len()) / 8)
-        } else {
-            CYCLE_EVERY_MS
-        };
-        if context.clock.now() >= self.cycle_at + gap {
+        if context.clock.now() >= self.cycle_at + self.cycle_gap(context) {
             self.cycle_at = context.clock.now();
             self.cycle_due = false;
             self.run_cycle(context);
         }
         self.record(context);
         self.send_desired_states(context);
-        self.tell_counts(context);
+        self.announce_task_counts(context);
     }
 
-    pub fn on_result(&mut self, context: &mut NodeContext, call: LeaderCall, result: StoreResponse) {
+    /// Time between two scheduling cycles. What a cycle costs grows with what it has to look
+    /// at.
+    fn cycle_gap(&self, context: &NodeContext) -> Ms {
+        if !self.cycle_due {
+            return IDLE_CYCLE_GAP_MS;
+        }
+        let looked_at = self.attempts.len() + self.fleet.machines.len();
+        context.load_adjusted_gap(CYCLE_GAP_MS, looked_at / CYCLE_ITEMS_PER_UNIT)
+    }
+
+    /// Takes in the response to a call to the store.
+    pub fn on_result(&mut self, context: &mut NodeContext, call: LeaderCall, response: StoreResponse) {
         match call {
-            LeaderCall::Places => self.on_load(context, 0, result),
-            LeaderCall::Progress => self.on_load(context, 1, result),
-            LeaderCall::Fleet => self.on_load(context, 2, result),
-            LeaderCall::AssignShard { shard } => {
-                let wait = context.jitter(300);
-                if let Some(b) = self.shards.get_mut(shard.place()) {
-                    b.writing = false;
-                    b.retry_at = context.clock.now() + wait;
-                }
+            LeaderCall::Load(kind) => self.on_load(context, kind, response),
+            LeaderCall::AssignShard { shard } => self.on_shard_assigned(context, shard),
+            LeaderCall::Record { writes } => self.on_recorded(context, writes, response),
+            LeaderCall::Reread { job, segment } => self.on_reread(context, job, segment, response),
+            LeaderCall::WriteFinalState(write) => {
+                self.on_final_state_written(context, write, response);
             }
-            LeaderCall::Record { items, segments } => self.on_recorded(context, items, segments, result),
-            LeaderCall::Reread { job, segment } => self.on_reread(context, job, segment, result),
-            LeaderCall::Finish { job, done_ms, dropped } => {
-                if let StoreResponse::Committed { revision } = result {
-                    if let Some(j) = self.jobs.get_mut(&job) {
-                        j.segments.retain(|c, _| !dropped.contains(c));
-                    }
-                    let id = context.jobs.id(job).to_string();
-                    context.apply_job_record(
-                        &id,
-                        JobRecord::done(0, done_ms),
-                        revision,
-                        RecordSource::Single,
-                    );
-                } else if let Some(j) = self.jobs.get_mut(&job) {
-                    j.finish_busy = false;
-                    j.finish_at = context.clock.now() + context.retry_ms(250);
-                }
-            }
-            LeaderCall::Cells(call) => self.on_cell_result(context, call, result),
+            LeaderCall::DeleteProgress { keys } => self.on_progress_deleted(context, keys, response),
             LeaderCall::WriteCancellations { jobs } => {
-                self.on_cancellations_written(context, jobs, result);
+                self.on_cancellations_written(context, jobs, response);
+            }
+            LeaderCall::Cells(call) => self.on_cell_result(context, call, response),
+            LeaderCall::SaveFleet => {
+                self.fleet.saved(matches!(response, StoreResponse::Committed { .. }));
             }
-            LeaderCall::SaveFleet => self.fleet.saved(matches!(result, StoreResponse::Committed { .. })),
             LeaderCall::SaveCatalog => {
-                self.writes_parts |= matches!(result, StoreResponse::Malformed);
-                self.fleet.catalog_saved(
-                    context.clock.now(),
-                    matches!(result, StoreResponse::Committed { .. }),
-                );
+                self.has_lowered_limits |= matches!(response, StoreResponse::Malformed);
+                let is_saved = matches!(response, StoreResponse::Committed { .. });
+                self.fleet.catalog_saved(context.clock.now(), is_saved);
             }
-            LeaderCall::Forget { keys } => self.on_forgotten(context, keys, result),
         }
     }
 
-    pub fn on_cloud(&mut self, context: &mut NodeContext, call: u64, result: CloudResponse) {
-        self.fleet_result(context, call, result);
+    /// Takes in the response to a call to the cloud.
+    pub fn on_cloud(&mut self, context: &mut NodeContext, call: u64, response: CloudResponse) {
+        self.fleet_result(context, call, response);
     }
 }
--- a/src/core/leader/persistence.rs
+++ b/src/core/leader/persistence.rs
@@ -1,5 +1,9 @@
-//! Records that the leader keeps for those after it: the catalog and the fleet.
+//! Records that the leader keeps for others: the catalog for every user API node, and the
+//! fleet for the leaders after it.
+//!
+//! Called by the fleet, which also decides when to write again after a failure.
 
+use super::rebuild::FLEET_KEY;
 use super::{FleetRecord, Leader, LeaderCall};
 use crate::core::common::context::NodeContext;
 use crate::core::common::watch_cache::catalog_key;
@@ -8,66 +12,68 @@
 use crate::wire::encoded::Encoded;
 use crate::wire::store::{CompareAndSwap, Mutation};
 
-/// Machine types in as few records as the limit allows.
+/// Mutations of one write of the catalog at most.
+const MAX_CATALOG_MUTATIONS: usize = 8;
+
+/// Divides machine types into as few lists as possible whose JSON texts have at most `limit`
+/// bytes. A type that is too long alone gets a list of its own.
 fn split_catalog(types: &[cloud::MachineType], limit: usize) -> Vec<Encoded> {
-    let mut out: Vec<Vec<Encoded>> = vec![Vec::new()];
-    let mut bytes = 2;
-    for t in types {
-        let value = Encoded::new(&t);
-        let more = value.len() + 1;
-        if bytes + more > limit && bytes > 2 {
-            out.push(Vec::new());
-            bytes = 2;
+    let brackets = 2;
+    let mut lists: Vec<Vec<Encoded>> = vec![Vec::new()];
+    let mut list_bytes = brackets;
+    for machine_type in types {
+        let value = Encoded::new(&machine_type);
+        let bytes_with_comma = value.len() + 1;
+        if list_bytes + bytes_with_comma > limit && list_bytes > brackets {
+            lists.push(Vec::new());
+            list_bytes = brackets;
         }
-        bytes += more;
-        if let Some(last) = out.last_mut() {
+        list_bytes += bytes_with_comma;
+        if let Some(last) = lists.last_mut() {
             last.push(value);
         }
     }
-    out.iter().map(Encoded::new).collect()
+    lists.iter().map(Encoded::new).collect()
 }
 
 impl Leader {
-    /// The machine types, for every user API. In several records only where one would
-    /// be too long: the version before reads the first alone.
+    /// Writes the machine types of the catalog. They go into several records only where one
+    /// would be too long: the version before reads the first record alone.
     pub fn save_catalog(&mut self, context: &mut NodeContext, types: Vec<cloud::MachineType>) {
         let state = &context.platform.cluster.state;
-        let limit = if self.writes_parts { state.value_kb } else { state.today_kb };
-        let records = split_catalog(&types, (limit * 1024.0) as usize);
-        let changes: Vec<Mutation> = records
+        let limit_kb = if self.has_lowered_limits { state.value_kb } else { state.today_kb };
+        let max_mutations = state.txn_ops.min(MAX_CATALOG_MUTATIONS);
+        let records = split_catalog(&types, (limit_kb * 1024.0) as usize);
+        let mutations: Vec<Mutation> = records
             .into_iter()
             .enumerate()
-            .map(|(n, value)| Mutation::Put { key: catalog_key(n), value, lease: None })
+            .map(|(number, value)| Mutation::Put { key: catalog_key(number), value, lease: None })
             .collect();
-        for some in changes.chunks(state.txn_ops.min(8)) {
-            let txn = CompareAndSwap { compares: vec![self.compare_term()], mutations: some.to_vec() };
-            context.send_store_request(
-                StoreCallOwner::Leader(LeaderCall::SaveCatalog),
-                StoreRequest::CompareAndSwap(txn),
-            );
+        for batch in mutations.chunks(max_mutations) {
+            self.send_write(context, LeaderCall::SaveCatalog, batch.to_vec());
         }
     }
 
-    pub fn save_fleet(&mut self, context: &mut NodeContext, mut rec: FleetRecord) {
-        // Many kinds of machines, or hundreds of each, make the history long; a
-        // record past the limit would be rejected window after window.
+    /// Writes the record of the fleet, shortened to the limit on values: a record beyond it
+    /// would be rejected window after window. With many machine types, or hundreds of machines
+    /// of each, the history gets long.
+    pub fn save_fleet(&mut self, context: &mut NodeContext, mut record: FleetRecord) {
         let limit = context.platform.cluster.state.value_bytes();
-        let too_long = |rec: &FleetRecord| serde_json::to_string(rec).map_or(0, |s| s.len()) > limit;
-        while too_long(&rec) && rec.history.shorten() {}
-        // Users name classes as they like; learned run times are the least loss.
-        while too_long(&rec) && rec.ratios.pop_last().is_some() {}
-        while too_long(&rec) && rec.counts.pop_last().is_some() {}
-        let txn = CompareAndSwap {
-            compares: vec![self.compare_term()],
-            mutations: vec![Mutation::Put {
-                key: "fleet".into(),
-                value: Encoded::new(&rec),
-                lease: None,
-            }],
-        };
-        context.send_store_request(
-            StoreCallOwner::Leader(LeaderCall::SaveFleet),
-            StoreRequest::CompareAndSwap(txn),
-        );
+        let is_too_long =
+            |record: &FleetRecord| serde_json::to_string(record).map_or(0, |text| text.len()) > limit;
+        while is_too_long(&record) && record.history.shorten() {}
+        // There may be any number of classes, as users name them; of all that is stored, the
+        // learned run times are the least loss.
+        while is_too_long(&record) && record.ratios.pop_last().is_some() {}
+        while is_too_long(&record) && record.counts.pop_last().is_some() {}
+        let value = Encoded::new(&record);
+        let mutation = Mutation::Put { key: FLEET_KEY.into(), value, lease: None };
+        self.send_write(context, LeaderCall::SaveFleet, vec![mutation]);
+    }
+
+    /// Sends a write that is executed only while this leader's term lasts.
+    fn send_write(&self, context: &mut NodeContext, call: LeaderCall, mutations: Vec<Mutation>) {
+        let request = CompareAndSwap { compares: vec![self.compare_term()], mutations };
+        context.send_store_request(StoreCallOwner::Leader(call), StoreRequest::CompareAndSwap(request));
     }
 }
--- a/src/core/leader/preemption.rs
+++ b/src/core/leader/preemption.rs
@@ -6,7 +6,7 @@
 //! marks attempts as no longer wanted; their capacity is admitted anew by a later cycle.
 
 use super::Leader;
-use super::attempts::AttemptView;
+use super::attempts::Attempt;
 use super::free_capacity::{FreeCapacity, FreeMachine, may_use};
 use super::live_jobs::LiveJob;
 use super::zones::ZoneConstraints;
@@ -65,7 +65,7 @@
         waiting: &[(JobIndex, u32)],
         used_by_team: Vec<Resources>,
     ) {
-        let is_stopping = |a: &AttemptView| !a.is_wanted && a.occupies_capacity();
+        let is_stopping = |a: &Attempt| !a.is_wanted && a.occupies_capacity();
         if context.clock.now() < self.preempt_at || self.attempts.values().any(is_stopping) {
             return;
         }
@@ -218,8 +218,7 @@
     fn stop_victims(&mut self, context: &NodeContext, state: &mut PreemptionState, victims: &Victims) {
         for id in &victims.attempts {
             let Some(attempt) = self.attempts.get_mut(*id) else { continue };
-            attempt.is_wanted = false;
-            self.shards[attempt.shard.place()].dirty = true;
+            attempt.stop(&mut self.shards);
             if let Some(used) = attempt.team.and_then(|team| state.used_by_team.get_mut(team)) {
                 used.sub(&attempt.demand);
             }
--- a/src/core/leader/rebuild.rs
+++ b/src/core/leader/rebuild.rs
@@ -1,171 +1,265 @@
-//! What a new leader starts from: the records, and what they say of jobs, of
-//! attempts and of the fleet.
+//! Rebuilds what a new leader starts from: the records of placements, of progress and of the
+//! fleet.
+//!
+//! All three are read at once. The leader becomes active when it has them all; until then it
+//! decides nothing. A read that fails is repeated from its beginning.
 
-use super::attempts::AttemptView;
-use super::progress::ProgressSegment;
-use super::{FleetRecord, Leader, LeaderCall, Loading};
+use super::attempts::Attempt;
+use super::progress::{LoadedSegment, ProgressSegment};
+use super::{FleetRecord, Leader, LeaderCall};
 use crate::core::common::context::NodeContext;
 use crate::core::{StoreCallOwner, StoreRequest, StoreResponse};
-use crate::model::{Resources, ShardIndex};
+use crate::model::{InstanceIndex, Ms, Resources, ShardIndex};
 use crate::wire::peer::ReportedPhase;
-use crate::wire::store::{PlacementRecord, RecordedMachine};
+use crate::wire::store::{KeyValue, Page, PlacementRecord, RecordedJob, RecordedMachine};
 use woadlever_recovery::ledger::{self, AttemptDisposition};
 
+/// Records of one page.
+const PAGE_RECORDS: u32 = 1_000;
+/// Pause after a read that failed.
+const RETRY_MS: Ms = 200;
+/// Key of the fleet's record.
+pub(super) const FLEET_KEY: &str = "fleet";
+
+/// The records that a new leader reads.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum RecordKind {
+    /// Where attempts have been placed, by shard.
+    Placements,
+    /// Which tasks of live jobs are done.
+    Progress,
+    /// The fleet's history.
+    Fleet,
+}
+
+impl RecordKind {
+    const ALL: [RecordKind; 3] = [RecordKind::Placements, RecordKind::Progress, RecordKind::Fleet];
+}
+
+/// How far the records of one kind have been read.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
+enum LoadState {
+    #[default]
+    Due,
+    InFlight,
+    Loaded,
+}
+
+/// How far the records of all kinds have been read.
+#[derive(Debug, Default)]
+pub struct RecordLoading {
+    placements: LoadState,
+    progress: LoadState,
+    fleet: LoadState,
+    retry_at: Ms,
+}
+
+impl RecordLoading {
+    fn state_mut(&mut self, kind: RecordKind) -> &mut LoadState {
+        match kind {
+            RecordKind::Placements => &mut self.placements,
+            RecordKind::Progress => &mut self.progress,
+            RecordKind::Fleet => &mut self.fleet,
+        }
+    }
+
+    fn is_complete(&self) -> bool {
+        [self.placements, self.progress, self.fleet].iter().all(|state| *state == LoadState::Loaded)
+    }
+}
+
 impl Leader {
+    /// Reads the records that have not been read, and activates the leader once all have been.
     pub(super) fn load(&mut self, context: &mut NodeContext) {
-        if context.clock.now() < self.load_retry {
+        if context.clock.now() < self.loading.retry_at {
             return;
         }
-        for i in 0..3 {
-            if self.loading[i] != Loading::Start {
-                continue;
-            }
-            self.loading[i] = Loading::Busy;
-            match i {
-                0 => self.list(context, LeaderCall::Places, "place/", None),
-                1 => self.list(context, LeaderCall::Progress, "progress/", None),
-                _ => context.send_store_request(
-                    StoreCallOwner::Leader(LeaderCall::Fleet),
-                    StoreRequest::Get("fleet".into()),
-                ),
+        for kind in RecordKind::ALL {
+            let state = self.loading.state_mut(kind);
+            if *state == LoadState::Due {
+                *state = LoadState::InFlight;
+                read_records(context, kind, None);
             }
         }
-        if self.loading.iter().all(|l| *l == Loading::Done) {
-            self.is_active = true;
-            self.activated_at = context.clock.now();
-            for ix in context.jobs.indices() {
-                self.follow_job(context, ix);
-            }
-            // What is left belongs to final jobs that are not in memory.
-            for id in self.progress.keys() {
-                context.job_index_or_lookup(id);
-            }
-            context.jobs.clear_changed();
-            self.settle_inherited();
-            tracing::info!(
-                term = self.term,
-                jobs = self.jobs.len(),
-                attempts = self.attempts.len(),
-                took_ms = context.clock.now() - self.since,
-                "leader has read the records"
-            );
+        if self.loading.is_complete() {
+            self.activate(context);
         }
     }
 
-    pub(super) fn list(
+    /// Starts to lead, with all records read.
+    fn activate(&mut self, context: &mut NodeContext) {
+        self.is_active = true;
+        self.activated_at = context.clock.now();
+        for job in context.jobs.indices() {
+            self.follow_job(context, job);
+        }
+        // What is left belongs to final jobs that are not in memory.
+        for id in self.unclaimed_progress.keys() {
+            context.job_index_or_lookup(id);
+        }
+        context.jobs.clear_changed();
+        self.settle_recorded_attempts();
+        tracing::info!(
+            term = self.term,
+            jobs = self.jobs.len(),
+            attempts = self.attempts.len(),
+            took_ms = context.clock.now() - self.term_started_at,
+            "leader has read the records"
+        );
+    }
+
+    /// Takes in a response to a read of records.
+    pub(super) fn on_load(
         &mut self,
         context: &mut NodeContext,
-        call: LeaderCall,
-        prefix: &str,
-        since: Option<String>,
+        kind: RecordKind,
+        response: StoreResponse,
     ) {
-        let prefix = prefix.to_string();
-        context.send_store_request(
-            StoreCallOwner::Leader(call),
-            StoreRequest::List { prefix, since, most: 1000 },
-        );
+        match (kind, response) {
+            (RecordKind::Placements | RecordKind::Progress, StoreResponse::Page(page)) => {
+                if let Some(last_key) = self.apply_page(context, kind, page) {
+                    return read_records(context, kind, Some(last_key));
+                }
+            }
+            (RecordKind::Fleet, StoreResponse::KeyValue(item)) => {
+                let record: FleetRecord = item.value.decode().unwrap_or_default();
+                self.ratios = record.ratios;
+                self.fleet.resume(context, record.at_ms, record.history);
+            }
+            // No window has ever begun: there is no fleet to wait for.
+            (RecordKind::Fleet, StoreResponse::NotFound) => self.fleet.first(context),
+            _ => {
+                *self.loading.state_mut(kind) = LoadState::Due;
+                self.loading.retry_at = context.clock.now() + context.jitter(RETRY_MS);
+                return;
+            }
+        }
+        *self.loading.state_mut(kind) = LoadState::Loaded;
     }
 
-    /// What the records list is taken over, unless it is done.
-    pub(super) fn settle_inherited(&mut self) {
-        self.attempts.drop_superseded();
-        for a in self.attempts.values_mut() {
-            let job = self.jobs.get_mut(&a.job).filter(|job| !job.is_away());
-            let is_done = job.as_ref().is_some_and(|job| job.done.contains(a.task));
-            a.is_wanted = ledger::from_record(job.is_some(), is_done) == AttemptDisposition::Keep;
-            if let Some(job) = job {
-                job.issued.insert(a.task);
+    /// Takes in a page of records; its last key if another page follows.
+    fn apply_page(&mut self, context: &mut NodeContext, kind: RecordKind, page: Page) -> Option<String> {
+        let last_key = page.items.last().map(|item| item.key.clone());
+        for item in page.items {
+            match kind {
+                RecordKind::Placements => self.apply_placement_item(context, &item),
+                RecordKind::Progress => self.apply_progress_item(&item),
+                RecordKind::Fleet => {}
             }
         }
+        last_key.filter(|_| page.more)
+    }
+
+    fn apply_progress_item(&mut self, item: &KeyValue) {
+        let Some((id, segment)) = ProgressSegment::of_key(&item.key) else { return };
+        let Ok(bits) = item.value.decode::<String>() else { return };
+        // Parts are written only under the lower limits.
+        self.has_lowered_limits |= segment.is_part();
+        let loaded = LoadedSegment { segment, bits, version: item.version };
+        self.unclaimed_progress.entry(id.to_string()).or_default().push(loaded);
+    }
+
+    fn apply_placement_item(&mut self, context: &mut NodeContext, item: &KeyValue) {
+        match item.value.decode() {
+            Ok(record) => self.apply_placement_record(context, &item.key, &record),
+            Err(error) => tracing::error!(key = item.key, %error, "unreadable record"),
+        }
     }
 
-    pub(super) fn take_placement_record(
+    /// Takes in the machines and attempts of a placement record.
+    fn apply_placement_record(
         &mut self,
         context: &mut NodeContext,
         key: &str,
-        rec: PlacementRecord,
+        record: &PlacementRecord,
     ) {
-        let Some(shard) = key.split('/').nth(1) else { return };
-        let Some(b) = context.shards.iter().position(|b| b.name == shard) else { return };
-        let zone = context.shards[b].zone.clone();
-        for m in &rec.machines {
-            let type_name = rec.types.get(m.1 as usize).map_or("", String::as_str);
-            let ix =
-                self.fleet.find_or_add(context, &m.0, type_name, &zone, m.is(RecordedMachine::SPOT));
-            if let Some(known) = self.fleet.machines.get_mut(ix) {
-                known.cordoned |= m.is(RecordedMachine::CORDONED);
-                known.confirmed = true;
-                known.recorded |= !m.3.is_empty();
-            }
-            for (job, task, id) in m.tasks(rec.base) {
-                let Some(j) = rec.jobs.get(job) else { continue };
-                // A job not in memory is final, but its tasks still use their machines
-                // and their team's share until they are proven gone.
-                let job = context.job_index_or_lookup(&j.0);
-                self.attempts.insert(
-                    id,
-                    AttemptView {
-                        job,
-                        task,
-                        shard: ShardIndex::at(b),
-                        machine: Some(ix),
-                        may_bind: false,
-                        is_wanted: true,
-                        state: ReportedPhase::Bound,
-                        demand: Resources { cpus: j.2, gpus: j.3, mem: j.4 },
-                        team: context.platform.cluster.teams.iter().position(|t| t.name == j.1),
-                        ran_ms: 0,
-                        first_named_in: None,
-                    },
-                );
+        let Some(shard) = key.split('/').nth(1).and_then(|name| context.shards.index_of(name)) else {
+            return;
+        };
+        for machine in &record.machines {
+            let index = self.apply_recorded_machine(context, shard, machine, &record.types);
+            for (job, task, id) in machine.tasks(record.base) {
+                let Some(job) = record.jobs.get(job) else { continue };
+                let attempt = recorded_attempt(context, ShardIndex::at(shard), index, job, task);
+                self.attempts.insert(id, attempt);
             }
         }
     }
 
-    pub(super) fn on_load(&mut self, context: &mut NodeContext, i: usize, result: StoreResponse) {
-        match result {
-            StoreResponse::Page(p) => {
-                let last = p.items.last().map(|i| i.key.clone());
-                for item in p.items {
-                    if i == 0 {
-                        match item.value.decode() {
-                            Ok(rec) => self.take_placement_record(context, &item.key, rec),
-                            Err(e) => tracing::error!(key = item.key, %e, "unreadable record"),
-                        }
-                    } else {
-                        let Some((id, segment)) = ProgressSegment::of_key(&item.key) else { continue };
-                        let Ok(bits) = item.value.decode::<String>() else { continue };
-                        // Only ever written once the smaller limits were met.
-                        self.writes_parts |= segment.is_fine();
-                        let list = self.progress.entry(id.to_string()).or_default();
-                        list.push((segment, bits, item.version));
-                    }
-                }
-                if p.more && last.is_some() {
-                    if i == 0 {
-                        self.list(context, LeaderCall::Places, "place/", last);
-                    } else {
-                        self.list(context, LeaderCall::Progress, "progress/", last);
-                    }
-                    return;
-                }
-                self.loading[i] = Loading::Done;
-            }
-            StoreResponse::KeyValue(item) if i == 2 => {
-                let rec: FleetRecord = item.value.decode().unwrap_or_default();
-                self.ratios = rec.ratios;
-                self.fleet.resume(context, rec.at_ms, rec.history);
-                self.loading[2] = Loading::Done;
-            }
-            StoreResponse::NotFound if i == 2 => {
-                // No window has ever begun: there is no fleet to wait for.
-                self.fleet.first(context);
-                self.loading[2] = Loading::Done;
-            }
-            _ => {
-                self.loading[i] = Loading::Start;
-                self.load_retry = context.clock.now() + context.jitter(200);
+    fn apply_recorded_machine(
+        &mut self,
+        context: &NodeContext,
+        shard: usize,
+        machine: &RecordedMachine,
+        types: &[String],
+    ) -> InstanceIndex {
+        let RecordedMachine(name, machine_type, _, attempts) = machine;
+        let type_name = types.get(*machine_type as usize).map_or("", String::as_str);
+        let zone = &context.shards[shard].zone;
+        let is_spot = machine.is(RecordedMachine::SPOT);
+        let index = self.fleet.find_or_add(context, name, type_name, zone, is_spot);
+        if let Some(known) = self.fleet.machines.get_mut(index) {
+            known.cordoned |= machine.is(RecordedMachine::CORDONED);
+            known.confirmed = true;
+            known.recorded |= !attempts.is_empty();
+        }
+        index
+    }
+
+    /// Decides which of the recorded attempts go on.
+    fn settle_recorded_attempts(&mut self) {
+        self.attempts.drop_superseded();
+        for attempt in self.attempts.values_mut() {
+            let live = self.jobs.get_mut(&attempt.job).filter(|live| !live.is_away());
+            let is_done = live.as_ref().is_some_and(|live| live.done.contains(attempt.task));
+            let disposition = ledger::from_record(live.is_some(), is_done);
+            attempt.is_wanted = disposition == AttemptDisposition::Keep;
+            if let Some(live) = live {
+                live.note_attempt(attempt.task);
             }
         }
     }
 }
+
+/// Reads records of a kind; of those that come in pages the one after a key.
+fn read_records(context: &mut NodeContext, kind: RecordKind, after: Option<String>) {
+    let list = |prefix: &str| StoreRequest::List {
+        prefix: prefix.to_string(),
+        since: after,
+        most: PAGE_RECORDS,
+    };
+    let request = match kind {
+        RecordKind::Placements => list("place/"),
+        RecordKind::Progress => list("progress/"),
+        RecordKind::Fleet => StoreRequest::Get(FLEET_KEY.into()),
+    };
+    context.send_store_request(StoreCallOwner::Leader(LeaderCall::Load(kind)), request);
+}
+
+/// An attempt as a placement record has it.
+fn recorded_attempt(
+    context: &mut NodeContext,
+    shard: ShardIndex,
+    machine: InstanceIndex,
+    job: &RecordedJob,
+    task: u32,
+) -> Attempt {
+    let RecordedJob(id, team, cpus, gpus, mem) = job;
+    let teams = &context.platform.cluster.teams;
+    let team = teams.iter().position(|known| known.name == *team);
+    Attempt {
+        // A job that is not in memory is final, but its tasks use their machines and their
+        // team's quota until they are proven gone.
+        job: context.job_index_or_lookup(id),
+        task,
+        shard,
+        machine: Some(machine),
+        may_bind: false,
+        is_wanted: true,
+        state: ReportedPhase::Bound,
+        demand: Resources { cpus: *cpus, gpus: *gpus, mem: *mem },
+        team,
+        ran_ms: 0,
+        first_named_in: None,
+    }
+}
--- a/src/core/leader/reconciliation.rs
+++ b/src/core/leader/reconciliation.rs
@@ -1,264 +1,208 @@
-//! The leader's side of the state messages: what holders have, taken in, and what it
-//! wants there, sent out.
+//! Reconciliation with the states that shard owners report: which attempts there are, how far
+//! they are, and which are gone.
+//!
+//! A reported state lists everything that may be in a shard. Attempts that the leader doesn't
+//! know are adopted or stopped, known ones are updated, and one that is not listed is gone once
+//! the report answers a desired state that named it.
 
 use super::Leader;
-use super::attempts::AttemptView;
-use super::live_jobs::JobLocation;
+use super::attempts::Attempt;
 use super::run_times::learn_run_time;
 use crate::core::common::context::NodeContext;
-use crate::core::common::shard_map::KnownOwner;
-use crate::core::common::task_counts::TaskCount;
-use crate::model::{InstanceIndex, JobIndex, Ms, Resources, ShardIndex};
-use crate::wire::peer::{
-    DesiredJob, DesiredState, PeerMessage, ReportedJob, ReportedPhase, ReportedState, ReportedTask,
-};
-use rustc_hash::{FxHashMap, FxHashSet};
-use std::collections::BTreeMap;
+use crate::model::{InstanceIndex, JobIndex, Resources, ShardIndex};
+use crate::wire::peer::{ReportedJob, ReportedPhase, ReportedState, ReportedTask};
+use rustc_hash::FxHashSet;
 use woadlever_recovery::ledger::{self, AttemptDisposition};
 
-const DESIRED_GAP_MS: Ms = 30;
-const DESIRED_EVERY_MS: Ms = 500;
-/// Jobs whose task counts one heartbeat tells.
-const MAX_TASK_COUNTS: usize = 2_000;
-
-/// What a block's state message wants of each job: (task, attempt, bind).
-type DesiredJobs = BTreeMap<JobIndex, Vec<(u32, u64, bool)>>;
-
-/// A job of a holder's state message, looked up once for all its tasks.
-pub(super) struct TaskOf {
+/// A job of a reported state, looked up once for all its tasks.
+struct JobOfReport {
     job: JobIndex,
     team: Option<usize>,
     demand: Resources,
 }
 
-impl TaskOf {
-    pub(super) fn new(context: &mut NodeContext, j: &ReportedJob) -> TaskOf {
-        TaskOf {
-            job: context.job_index_or_lookup(&j.job),
-            team: context.platform.cluster.teams.iter().position(|t| t.name == j.team),
-            demand: Resources { cpus: j.cpus, gpus: j.gpus, mem: j.memory_gb },
-        }
+impl JobOfReport {
+    fn new(context: &mut NodeContext, reported: &ReportedJob) -> JobOfReport {
+        let teams = &context.platform.cluster.teams;
+        let team = teams.iter().position(|team| team.name == reported.team);
+        let demand = Resources { cpus: reported.cpus, gpus: reported.gpus, mem: reported.memory_gb };
+        JobOfReport { job: context.job_index_or_lookup(&reported.job), team, demand }
     }
 }
 
+/// An attempt of a reported state, and where it is.
+struct ReportedAttempt<'a> {
+    shard: ShardIndex,
+    machine: InstanceIndex,
+    job: &'a JobOfReport,
+    task: &'a ReportedTask,
+}
+
 impl Leader {
-    pub fn on_reported_state(&mut self, context: &mut NodeContext, from: &str, h: ReportedState) {
-        let shard = ShardIndex::new(h.shard);
-        let Some(b) = self.shards.get(shard.place()) else { return };
-        let shard_owner = context.shards.owner(shard.place());
-        if !self.is_active
-            || h.term != self.term
-            || h.fencing_token != b.fencing_token
-            || shard_owner.is_none_or(|owner| owner.record.node != from)
-        {
+    /// Takes in a state that a shard owner reports. Ignored if it is meant for another term, or
+    /// if the sender is not the owner with the present fencing token.
+    pub fn on_reported_state(&mut self, context: &mut NodeContext, from: &str, reported: ReportedState) {
+        let shard = ShardIndex::new(reported.shard);
+        if !self.accepts_report(context, from, &reported) {
             return;
         }
-        if !b.has_reported {
-            self.shards[shard.place()].has_reported = true;
+        let assignment = &mut self.shards[shard.place()];
+        if !assignment.has_reported {
+            assignment.has_reported = true;
             self.cycle_due = true;
         }
+        let listed = self.apply_report(context, shard, &reported);
+        self.remove_gone_attempts(shard, &listed, reported.echo);
+    }
+
+    fn accepts_report(&self, context: &NodeContext, from: &str, reported: &ReportedState) -> bool {
+        let place = ShardIndex::new(reported.shard).place();
+        let Some(assignment) = self.shards.get(place) else { return false };
+        let owner = context.shards.owner(place);
+        self.is_active
+            && reported.term == self.term
+            && reported.fencing_token == assignment.fencing_token
+            && owner.is_some_and(|owner| owner.record.node == from)
+    }
+
+    /// Takes in all machines and tasks of a report; the ids of the attempts that it lists.
+    fn apply_report(
+        &mut self,
+        context: &mut NodeContext,
+        shard: ShardIndex,
+        reported: &ReportedState,
+    ) -> FxHashSet<u64> {
         let mut listed: FxHashSet<u64> = FxHashSet::default();
         let zone = context.shards[shard.place()].zone.clone();
-        let jobs: Vec<TaskOf> = h.jobs.iter().map(|j| TaskOf::new(context, j)).collect();
-        for m in &h.machines {
-            let type_name = h.types.get(m.machine_type as usize).map_or("", String::as_str);
-            let ix = self.fleet.on_reported_machine(context, m, type_name, &zone);
-            if let Some(m) = self.fleet.machines.get(ix)
-                && m.shard != shard
-            {
+        let jobs: Vec<JobOfReport> =
+            reported.jobs.iter().map(|job| JobOfReport::new(context, job)).collect();
+        for reported_machine in &reported.machines {
+            let type_name =
+                reported.types.get(reported_machine.machine_type as usize).map_or("", String::as_str);
+            let machine = self.fleet.on_reported_machine(context, reported_machine, type_name, &zone);
+            let known = self.fleet.machines.get(machine);
+            if known.is_some_and(|instance| instance.shard != shard) {
                 continue;
             }
-            for t in &m.tasks {
-                let Some(of) = jobs.get(t.job as usize) else { continue };
-                listed.insert(t.attempt);
-                self.take_task(context, shard, ix, of, t);
+            for task in &reported_machine.tasks {
+                let Some(job) = jobs.get(task.job as usize) else { continue };
+                listed.insert(task.attempt);
+                self.apply_reported_attempt(context, &ReportedAttempt { shard, machine, job, task });
             }
         }
+        listed
+    }
+
+    /// Removes the attempts of a shard that a report proves to be gone.
+    fn remove_gone_attempts(&mut self, shard: ShardIndex, listed: &FxHashSet<u64>, echo: u64) {
         let gone: Vec<u64> = self
             .attempts
             .iter()
-            .filter(|(_, a)| a.shard == shard)
-            .filter(|(id, a)| ledger::is_gone(listed.contains(id), a.first_named_in, h.echo))
+            .filter(|(_, attempt)| attempt.shard == shard)
+            .filter(|(id, attempt)| ledger::is_gone(listed.contains(id), attempt.first_named_in, echo))
             .map(|(id, _)| id)
             .collect();
         for id in gone {
-            if let Some(a) = self.attempts.remove(id) {
-                self.requeue(a.job, a.task);
+            if let Some(attempt) = self.attempts.remove(id) {
+                self.requeue(attempt.job, attempt.task);
             }
         }
     }
 
-    pub(super) fn take_task(
-        &mut self,
-        context: &mut NodeContext,
-        shard: ShardIndex,
-        machine: InstanceIndex,
-        of: &TaskOf,
-        t: &ReportedTask,
-    ) {
-        let job = of.job;
-        if !self.attempts.contains(t.attempt) {
-            // Bound for an earlier leader, and not in the records that we
-            // read: gone already, or known under a newer attempt.
-            let has_attempt = self.attempts.has_task(job, t.task);
-            let known = self.jobs.get(&job).filter(|known| !known.is_away());
-            let is_done = known.is_some_and(|j| j.done.contains(t.task));
-            let standing = ledger::from_shard_owner(known.is_some(), is_done, has_attempt);
-            let want = standing == AttemptDisposition::Keep;
-            if want && let Some(j) = self.jobs.get_mut(&job) {
-                j.issued.insert(t.task);
-                j.retry.retain(|x| *x != t.task);
-            }
-            self.attempts.insert(
-                t.attempt,
-                AttemptView {
-                    job,
-                    task: t.task,
-                    shard,
-                    machine: Some(machine),
-                    may_bind: false,
-                    is_wanted: want,
-                    state: t.state,
-                    demand: of.demand,
-                    team: of.team,
-                    ran_ms: t.ran_ms,
-                    first_named_in: None,
-                },
-            );
-            self.shards[shard.place()].dirty = true;
+    fn apply_reported_attempt(&mut self, context: &NodeContext, reported: &ReportedAttempt) {
+        if !self.attempts.contains(reported.task.attempt) {
+            self.adopt_attempt(reported);
         }
-        let Some(a) = self.attempts.get_mut(t.attempt) else { return };
-        if a.machine != Some(machine) || a.may_bind {
-            self.cycle_due = true;
-        }
-        a.machine = Some(machine);
-        a.may_bind = false;
-        a.ran_ms = t.ran_ms;
-        let before = a.state;
-        a.state = t.state;
-        if before == t.state {
+        if !self.update_attempt(reported) {
             return;
         }
         self.cycle_due = true;
-        match t.state {
-            ReportedPhase::Done => {
-                let Some(j) = self.jobs.get_mut(&job) else { return };
-                if j.done.insert(t.task) {
-                    j.unrecorded.push(t.task);
-                    j.failures = 0;
-                    j.failed_on.clear();
-                    self.fleet.succeeded(machine);
-                    learn_run_time(&mut self.ratios, &j.spec, t.ran_ms);
-                } else if j.recorded.contains(t.task) {
-                    a.is_wanted = false;
-                    self.shards[shard.place()].dirty = true;
-                }
-            }
-            ReportedPhase::Failed => {
-                a.is_wanted = false;
-                self.shards[shard.place()].dirty = true;
-                if let Some(j) = self.jobs.get_mut(&job) {
-                    j.failures += 1;
-                    j.failed_on.insert(machine);
-                    // Failing on several machines, the job itself is at
-                    // fault; it must not take the machines with it.
-                    if j.failed_on.len() >= 3 {
-                        let factor = 1 << j.failures.saturating_sub(3).min(5);
-                        j.backoff_until = context.clock.now() + 2_000 * factor;
-                    } else {
-                        self.fleet.failed(context.clock.now(), machine, job);
-                    }
-                }
-            }
+        match reported.task.state {
+            ReportedPhase::Done => self.on_attempt_done(reported),
+            ReportedPhase::Failed => self.on_attempt_failed(context, reported),
             ReportedPhase::Stopped | ReportedPhase::Refused => {
-                a.is_wanted = false;
-                self.shards[shard.place()].dirty = true;
+                self.stop_attempt(reported.task.attempt);
             }
-            _ => {}
+            ReportedPhase::Bound
+            | ReportedPhase::Fetching
+            | ReportedPhase::Running
+            | ReportedPhase::Saving => {}
         }
     }
 
-    pub(super) fn send_desired_states(&mut self, context: &mut NodeContext) {
-        let now = context.clock.now();
-        let mut due: Vec<ShardIndex> = Vec::new();
-        for (b, lb) in self.shards.iter_mut().enumerate() {
-            let gap = context.load_adjusted_gap(DESIRED_GAP_MS, lb.size);
-            let at = lb.sent_at + if lb.dirty { gap } else { DESIRED_EVERY_MS.max(gap) };
-            if (now >= at || lb.sent_at == 0) && context.shards.owner(b).is_some() {
-                lb.dirty = false;
-                lb.sent_at = now;
-                lb.serial += 1;
-                lb.gone.retain(|(_, at)| at + 30_000 > now);
-                due.push(ShardIndex::at(b));
-            }
+    /// Adds an attempt that the leader doesn't know. It was bound for an earlier leader and is
+    /// not in the records that this one has read: gone already, or known under a newer attempt.
+    fn adopt_attempt(&mut self, reported: &ReportedAttempt) {
+        let ReportedAttempt { shard, machine, job: &JobOfReport { job, team, demand }, task } =
+            *reported;
+        let task_has_attempt = self.attempts.has_task(job, task.task);
+        let live = self.jobs.get_mut(&job).filter(|live| !live.is_away());
+        let is_done = live.as_ref().is_some_and(|live| live.done.contains(task.task));
+        let disposition = ledger::from_shard_owner(live.is_some(), is_done, task_has_attempt);
+        let is_wanted = disposition == AttemptDisposition::Keep;
+        if let Some(live) = live.filter(|_| is_wanted) {
+            live.note_attempt(task.task);
+            live.cancel_retry(task.task);
         }
-        if due.is_empty() {
-            return;
-        }
-        let mut jobs: Vec<DesiredJobs> = vec![BTreeMap::new(); self.shards.len()];
-        for (id, a) in self.attempts.iter_mut().filter(|(_, a)| due.contains(&a.shard)) {
-            let b = a.shard.place();
-            a.first_named_in.get_or_insert(self.shards[b].serial);
-            if a.is_wanted {
-                jobs[b].entry(a.job).or_default().push((a.task, id, a.may_bind));
-            }
+        let attempt = Attempt {
+            job,
+            task: task.task,
+            shard,
+            machine: Some(machine),
+            may_bind: false,
+            is_wanted,
+            state: task.state,
+            demand,
+            team,
+            ran_ms: task.ran_ms,
+            first_named_in: None,
+        };
+        self.attempts.insert(task.attempt, attempt);
+        self.shards[shard.place()].dirty = true;
+    }
+
+    /// Takes over where an attempt is and how far; whether its phase has changed.
+    fn update_attempt(&mut self, reported: &ReportedAttempt) -> bool {
+        let ReportedAttempt { machine, task, .. } = *reported;
+        let Some(attempt) = self.attempts.get_mut(task.attempt) else { return false };
+        if attempt.machine != Some(machine) || attempt.may_bind {
+            self.cycle_due = true;
         }
-        let mut wishes = self.fleet.directives(context);
-        for b in due.into_iter().map(ShardIndex::place) {
-            let wishes = std::mem::take(&mut wishes[b]);
-            let Some(KnownOwner { record: rec, fencing_token }) = context.shards.owner(b).cloned()
-            else {
-                continue;
-            };
-            let serial = self.shards[b].serial;
-            let jobs = std::mem::take(&mut jobs[b]);
-            self.shards[b].size = jobs.values().map(Vec::len).sum();
-            let want = DesiredState {
-                term: self.term,
-                shard: b as u32,
-                fencing_token,
-                serial,
-                jobs: jobs
-                    .into_iter()
-                    .map(|(job, tasks)| DesiredJob {
-                        job: context.jobs.id(job).to_string(),
-                        expected_s: self.jobs.get(&job).map_or(1.0, |j| self.expected_s(&j.spec)),
-                        tasks,
-                    })
-                    .collect(),
-                waiting: self.shards[b]
-                    .waiting
-                    .iter()
-                    .map(|(j, n)| crate::wire::peer::WaitingTasks {
-                        job: context.jobs.id(*j).to_string(),
-                        count: *n,
-                    })
-                    .collect(),
-                cordoned: wishes.cordoned,
-                decommission: wishes.decommission,
-                gone: self.shards[b].gone.iter().map(|(n, _)| n.clone()).collect(),
-                quarantined: wishes.quarantined,
-            };
-            context.send(&rec.node, PeerMessage::DesiredState(want));
+        attempt.machine = Some(machine);
+        attempt.may_bind = false;
+        attempt.ran_ms = task.ran_ms;
+        let has_changed = attempt.state != task.state;
+        attempt.state = task.state;
+        has_changed
+    }
+
+    /// Takes in a success. The attempt is kept until the success is on record.
+    fn on_attempt_done(&mut self, reported: &ReportedAttempt) {
+        let ReportedAttempt { machine, job, task, .. } = *reported;
+        let Some(live) = self.jobs.get_mut(&job.job) else { return };
+        if live.on_task_succeeded(task.task) {
+            self.fleet.succeeded(machine);
+            learn_run_time(&mut self.ratios, &live.spec, task.ran_ms);
+        } else if live.progress.is_recorded(task.task) {
+            self.stop_attempt(task.attempt);
         }
     }
 
-    pub(super) fn tell_counts(&mut self, context: &mut NodeContext) {
-        if context.clock.now() < self.counts_at + 500 {
-            return;
+    /// Takes in a failure. After failures on several machines the job itself is at fault and is
+    /// paused; otherwise the machine is.
+    fn on_attempt_failed(&mut self, context: &NodeContext, reported: &ReportedAttempt) {
+        let ReportedAttempt { machine, job, task, .. } = *reported;
+        self.stop_attempt(task.attempt);
+        let now = context.clock.now();
+        let Some(live) = self.jobs.get_mut(&job.job) else { return };
+        if !live.on_task_failed(now, machine) {
+            self.fleet.failed(now, machine, job.job);
         }
-        self.counts_at = context.clock.now();
-        let mut running: FxHashMap<JobIndex, u32> = FxHashMap::default();
-        for a in self.attempts.values().filter(|a| a.state == ReportedPhase::Running) {
-            *running.entry(a.job).or_default() += 1;
+    }
+
+    fn stop_attempt(&mut self, id: u64) {
+        if let Some(attempt) = self.attempts.get_mut(id) {
+            attempt.stop(&mut self.shards);
         }
-        let counts = self.jobs.iter().map(|(index, job)| {
-            let here = running.get(index).copied().unwrap_or(0);
-            let running = if let JobLocation::Away { running } = job.location { running } else { here };
-            TaskCount { job: context.jobs.id(*index).to_string(), done: job.done.len(), running }
-        });
-        let known = counts.filter(|count| count.done > 0 || count.running > 0);
-        let announced = known.take(MAX_TASK_COUNTS).collect();
-        context.task_counts.announce(announced);
     }
 }
--- a/src/core/leader/scheduling_cycle.rs
+++ b/src/core/leader/scheduling_cycle.rs
@@ -141,7 +141,7 @@
         if let Some(live) = self.jobs.get_mut(&job) {
             live.admit_next_task();
         }
-        self.new_attempt(job, task, location.instance, location.shard);
+        self.new_attempt(job, task, location);
     }
 
     /// Jobs that get tasks ahead of all others in this cycle: those that have waited long
--- a/src/core/leader/shards.rs
+++ b/src/core/leader/shards.rs
@@ -1,6 +1,10 @@
-//! Who holds which block: the leader gives blocks to living nodes, and moves them
-//! when a node is lost or back.
+//! Assignment of shards to nodes: each shard has one owner, and is moved when that node is
+//! lost or when its home node is back.
+//!
+//! The leader decides and writes the record; a node becomes the owner by seeing the record. Its
+//! version is the fencing token. Called from the leader's poll.
 
+use super::write_state::WriteState;
 use super::{Leader, LeaderCall};
 use crate::core::common::context::NodeContext;
 use crate::core::common::shard_map::KnownOwner;
@@ -10,145 +14,200 @@
 use crate::wire::encoded::Encoded;
 use crate::wire::store::{Compare, CompareAndSwap, Mutation, ShardRecord};
 
-/// How long a new leader waits for the recorded holders to show themselves.
-const HOLDER_GRACE_MS: Ms = 2_500;
-/// A node must have been heard for so long before blocks move to it for
-/// balance alone.
+/// How long a new leader waits to hear from the recorded owners before it replaces them.
+const OWNER_GRACE_MS: Ms = 2_500;
+/// How long a node must have been heard before shards move back to it.
 const SETTLED_MS: Ms = 6_000;
-/// A holder whose state service calls fail for so long, while ours succeed,
-/// can't place anything.
-const HOLDER_STATE_MS: u64 = 4_000;
+/// A node that the store has not answered for this long, while it answers the leader, can't
+/// own shards, as it can record no placement.
+const OWNER_STORE_SILENCE_MS: Ms = 4_000;
+/// Silence of the store towards the leader beyond which that says nothing about a node.
+const LEADER_STORE_SILENCE_MS: Ms = 1_500;
+/// Pause after a write of an assignment.
+const ASSIGNMENT_GAP_MS: Ms = 300;
 
+/// What the leader knows of a shard, and what it has told the owner.
 #[derive(Debug)]
 pub struct ShardAssignment {
+    /// Serial of the last desired state.
     pub(super) serial: u64,
+    /// Whether the desired state has changed since it was last sent.
     pub dirty: bool,
-    pub(super) sent_at: Ms,
-    /// Attempts in its last state message.
-    pub(super) size: usize,
+    /// When the desired state was last sent, if it was.
+    pub(super) sent_at: Option<Ms>,
+    /// Attempts in the last desired state.
+    pub(super) attempts_sent: usize,
+    /// Version of the shard's record; 0 if there is none.
     pub(super) fencing_token: u64,
-    /// The present holder has shown its whole state message.
+    /// Whether the owner with this token has reported its whole state.
     pub has_reported: bool,
+    /// Machines whose termination the cloud has confirmed, and when.
     pub gone: Vec<(String, Ms)>,
+    /// Waiting tasks that the owner counts in its projection of load, by job.
     pub waiting: Vec<(JobIndex, u32)>,
-    pub(super) writing: bool,
-    pub(super) retry_at: Ms,
+    /// The write of the shard's record.
+    pub(super) write: WriteState,
 }
 
-impl Leader {
-    pub(super) fn node_alive(
-        &self,
-        context: &NodeContext,
-        node: &str,
-        incarnation: Option<u64>,
-    ) -> bool {
-        if node == context.node {
-            return incarnation.is_none_or(|i| i == context.incarnation);
+impl ShardAssignment {
+    /// A shard of which nothing is known yet, at the start of a term.
+    pub(super) fn new() -> ShardAssignment {
+        ShardAssignment {
+            serial: 0,
+            dirty: true,
+            sent_at: None,
+            attempts_sent: 0,
+            fencing_token: 0,
+            has_reported: false,
+            gone: Vec::new(),
+            waiting: Vec::new(),
+            write: WriteState::default(),
         }
-        let silence = (context.operator.node_silence_s * 1000.0) as Ms;
-        context.peers.get(node).is_some_and(|p| {
-            p.heard_at + silence > context.clock.now()
-                && p.receives_our_frames
-                && incarnation.is_none_or(|i| i == p.incarnation)
-                && (p.store_silence_ms < HOLDER_STATE_MS || context.store_silence_ms() > 1500)
-        })
     }
+}
 
-    /// Gives blocks to living nodes: home first, then the zone, then anyone
-    /// with few blocks.
+impl Leader {
+    /// Assigns shards that have no owner, a lost one, or one that is not their home, to nodes
+    /// that are alive.
     pub(super) fn assign_shards(&mut self, context: &mut NodeContext) {
-        for b in 0..self.shards.len() {
-            let rec = context.shards.owner(b).cloned();
-            let fencing_token = rec.as_ref().map_or(0, |owner| owner.fencing_token);
-            if self.shards[b].fencing_token != fencing_token {
-                self.shards[b].fencing_token = fencing_token;
-                self.shards[b].has_reported = false;
-                self.shards[b].dirty = true;
-                for a in self.attempts.values_mut().filter(|a| a.shard.place() == b) {
-                    // The new holder knows only what is in the records.
-                    a.may_bind = false;
-                    a.first_named_in = None;
-                }
-            }
-            if self.shards[b].writing || context.clock.now() < self.shards[b].retry_at {
+        for shard in (0..self.shards.len()).map(ShardIndex::at) {
+            let owner = context.shards.owner(shard.place()).cloned();
+            let fencing_token = owner.as_ref().map_or(0, |owner| owner.fencing_token);
+            self.follow_fencing_token(shard, fencing_token);
+            if !self.shards[shard.place()].write.is_ready(context.clock.now()) {
                 continue;
             }
-            let home = context.shards[b].home.clone();
-            let target = match &rec {
-                None => self.choose_shard_owner(context, b, None),
-                Some(KnownOwner { record: r, .. }) => {
-                    let alive = self.node_alive(context, &r.node, Some(r.incarnation));
-                    let restarted =
-                        context.peers.get(&r.node).is_some_and(|p| p.incarnation > r.incarnation)
-                            || (r.node == context.node && r.incarnation != context.incarnation);
-                    if !alive && (restarted || context.clock.now() > self.activated_at + HOLDER_GRACE_MS)
-                    {
-                        let except = (!restarted).then_some(r.node.as_str());
-                        self.choose_shard_owner(context, b, except)
-                    } else if alive
-                        && home.as_ref().is_some_and(|h| *h != r.node && self.settled(context, h))
-                    {
-                        home
-                    } else {
-                        None
-                    }
-                }
-            };
-            let Some(node) = target else { continue };
+            let Some(node) = self.choose_move(context, shard, owner.as_ref()) else { continue };
             let incarnation = if node == context.node {
                 context.incarnation
             } else {
-                context.peers.get(&node).map_or(0, |p| p.incarnation)
+                context.peers.get(&node).map_or(0, |peer| peer.incarnation)
             };
-            if rec.as_ref().is_some_and(|owner| {
-                owner.record.node == node && owner.record.incarnation == incarnation
-            }) {
-                continue;
+            let assignment = ShardRecord { node, incarnation };
+            if owner.is_none_or(|owner| owner.record != assignment) {
+                self.write_assignment(context, shard, fencing_token, &assignment);
             }
-            tracing::debug!(shard = context.shards[b].name, node, "granting block");
-            let key = shard_key(&context.shards[b].name);
-            let value = Encoded::new(&ShardRecord { node, incarnation });
-            let txn = CompareAndSwap {
-                compares: vec![
-                    self.compare_term(),
-                    Compare { key: key.clone(), version: fencing_token },
-                ],
-                mutations: vec![Mutation::Put { key, value, lease: None }],
-            };
-            self.shards[b].writing = true;
-            context.send_store_request(
-                StoreCallOwner::Leader(LeaderCall::AssignShard { shard: ShardIndex::at(b) }),
-                StoreRequest::CompareAndSwap(txn),
-            );
         }
     }
 
-    pub(super) fn settled(&self, context: &NodeContext, node: &str) -> bool {
-        node == context.node
-            || (self.node_alive(context, node, None)
-                && context
-                    .peers
-                    .get(node)
-                    .is_some_and(|p| p.heard_since + SETTLED_MS < context.clock.now()))
+    /// Notes the fencing token of a shard. With a new one the owner knows only what is in the
+    /// records, so that it is told everything again.
+    fn follow_fencing_token(&mut self, index: ShardIndex, fencing_token: u64) {
+        let shard = &mut self.shards[index.place()];
+        if shard.fencing_token == fencing_token {
+            return;
+        }
+        shard.fencing_token = fencing_token;
+        shard.has_reported = false;
+        shard.dirty = true;
+        for attempt in self.attempts.values_mut().filter(|attempt| attempt.shard == index) {
+            attempt.may_bind = false;
+            attempt.first_named_in = None;
+        }
+    }
+
+    /// The node that a shard should be assigned to now; `None` to leave it as it is.
+    fn choose_move(
+        &self,
+        context: &NodeContext,
+        shard: ShardIndex,
+        owner: Option<&KnownOwner>,
+    ) -> Option<String> {
+        let Some(KnownOwner { record: owner, .. }) = owner else {
+            return self.choose_shard_owner(context, shard, None);
+        };
+        if self.is_node_alive(context, &owner.node, Some(owner.incarnation)) {
+            let home = context.shards[shard.place()].home.as_ref()?;
+            let may_move = *home != owner.node && self.is_settled(context, home);
+            return may_move.then(|| home.clone());
+        }
+        let newest = context.peers.get(&owner.node).map(|peer| peer.incarnation);
+        let has_restarted = newest.is_some_and(|newest| newest > owner.incarnation)
+            || (owner.node == context.node && owner.incarnation != context.incarnation);
+        if has_restarted {
+            return self.choose_shard_owner(context, shard, None);
+        }
+        let is_grace_over = context.clock.now() > self.activated_at + OWNER_GRACE_MS;
+        if is_grace_over { self.choose_shard_owner(context, shard, Some(&owner.node)) } else { None }
+    }
+
+    /// Writes the record that makes a node the owner of a shard.
+    fn write_assignment(
+        &mut self,
+        context: &mut NodeContext,
+        shard: ShardIndex,
+        fencing_token: u64,
+        assignment: &ShardRecord,
+    ) {
+        let name = &context.shards[shard.place()].name;
+        tracing::debug!(shard = name, node = assignment.node, "assigning shard");
+        let key = shard_key(name);
+        let value = Encoded::new(assignment);
+        let request = CompareAndSwap {
+            compares: vec![self.compare_term(), Compare { key: key.clone(), version: fencing_token }],
+            mutations: vec![Mutation::Put { key, value, lease: None }],
+        };
+        self.shards[shard.place()].write.start();
+        context.send_store_request(
+            StoreCallOwner::Leader(LeaderCall::AssignShard { shard }),
+            StoreRequest::CompareAndSwap(request),
+        );
+    }
+
+    /// Takes in that the write of a shard's record has been answered. The outcome is seen in
+    /// the record.
+    pub(super) fn on_shard_assigned(&mut self, context: &mut NodeContext, shard: ShardIndex) {
+        let pause = context.jitter(ASSIGNMENT_GAP_MS);
+        if let Some(shard) = self.shards.get_mut(shard.place()) {
+            shard.write.finish_and_wait(context.clock.now() + pause);
+        }
+    }
+
+    /// Whether a node, in a certain incarnation if one is given, is able to own shards.
+    fn is_node_alive(&self, context: &NodeContext, node: &str, incarnation: Option<u64>) -> bool {
+        if node == context.node {
+            return incarnation.is_none_or(|expected| expected == context.incarnation);
+        }
+        let max_silence_ms = (context.operator.node_silence_s * 1000.0) as Ms;
+        context.peers.get(node).is_some_and(|peer| {
+            let reaches_store = peer.store_silence_ms < OWNER_STORE_SILENCE_MS
+                || context.store_silence_ms() > LEADER_STORE_SILENCE_MS;
+            peer.heard_at + max_silence_ms > context.clock.now()
+                && peer.receives_our_frames
+                && incarnation.is_none_or(|expected| expected == peer.incarnation)
+                && reaches_store
+        })
+    }
+
+    /// Whether a node has been alive long enough for shards to move back to it.
+    fn is_settled(&self, context: &NodeContext, node: &str) -> bool {
+        if node == context.node {
+            return true;
+        }
+        let peer = context.peers.get(node);
+        self.is_node_alive(context, node, None)
+            && peer.is_some_and(|peer| peer.heard_since + SETTLED_MS < context.clock.now())
     }
 
-    pub(super) fn choose_shard_owner(
+    /// The node that should own a shard, among those that are alive: its home, then nodes in
+    /// the shard's zone, then those that own the fewest shards.
+    fn choose_shard_owner(
         &self,
         context: &NodeContext,
-        shard: usize,
+        shard: ShardIndex,
         except: Option<&str>,
     ) -> Option<String> {
-        let mut nodes: Vec<(&str, &str)> =
-            context.platform.peers.iter().map(|p| (p.node.as_str(), p.zone.as_str())).collect();
-        nodes.push((&context.node, &context.platform.zone));
-        let b = &context.shards[shard];
-        nodes
-            .into_iter()
-            .filter(|(n, _)| Some(*n) != except && self.node_alive(context, n, None))
-            .min_by_key(|(n, z)| {
-                let holds = context.shards.count_owned_by(n);
-                (b.home.as_deref() != Some(*n), *z != b.zone, holds, n.to_string())
+        let shard = &context.shards[shard.place()];
+        let peers = context.platform.peers.iter().map(|p| (p.node.as_str(), p.zone.as_str()));
+        let this_node = (context.node.as_str(), context.platform.zone.as_str());
+        peers
+            .chain([this_node])
+            .filter(|(node, _)| Some(*node) != except && self.is_node_alive(context, node, None))
+            .min_by_key(|(node, zone)| {
+                let is_home = shard.home.as_deref() == Some(*node);
+                let is_in_zone = *zone == shard.zone;
+                (!is_home, !is_in_zone, context.shards.count_owned_by(node), node.to_string())
             })
-            .map(|(n, _)| n.to_string())
+            .map(|(node, _)| node.to_string())
     }
 }
--- /dev/null
+++ b/src/core/leader/task_counts.rs
@@ -0,0 +1,41 @@
+//! Announces how many tasks of each live job are done and running. All nodes answer users by
+//! that; it goes along with the leader's heartbeats.
+
+use super::Leader;
+use super::live_jobs::JobLocation;
+use crate::core::common::context::NodeContext;
+use crate::core::common::task_counts::TaskCount;
+use crate::model::{JobIndex, Ms};
+use crate::wire::peer::ReportedPhase;
+use rustc_hash::FxHashMap;
+
+/// Time between two counts.
+const COUNT_INTERVAL_MS: Ms = 500;
+/// Jobs whose counts are announced at most.
+const MAX_TASK_COUNTS: usize = 2_000;
+
+impl Leader {
+    /// Counts the tasks anew, if that is due, for the next heartbeat.
+    pub(super) fn announce_task_counts(&mut self, context: &mut NodeContext) {
+        if context.clock.now() < self.counted_at + COUNT_INTERVAL_MS {
+            return;
+        }
+        self.counted_at = context.clock.now();
+        let mut running_here: FxHashMap<JobIndex, u32> = FxHashMap::default();
+        for attempt in self.attempts.values().filter(|a| a.state == ReportedPhase::Running) {
+            *running_here.entry(attempt.job).or_default() += 1;
+        }
+        let counts = self.jobs.iter().map(|(index, live)| {
+            let running = match live.location {
+                JobLocation::Away { running } => running,
+                JobLocation::Local | JobLocation::Hosted { .. } => {
+                    running_here.get(index).copied().unwrap_or(0)
+                }
+            };
+            TaskCount { job: context.jobs.id(*index).to_string(), done: live.done.len(), running }
+        });
+        let known = counts.filter(|count| count.done > 0 || count.running > 0);
+        let announced = known.take(MAX_TASK_COUNTS).collect();
+        context.task_counts.announce(announced);
+    }
+}
--- a/tests/units.rs
+++ b/tests/units.rs
@@ -99,7 +99,7 @@
 fn keys_of_progress_are_read_in_both_layouts() {
     use woadlever::core::progress::ProgressSegment;
     let read = |key: &str| {
-        ProgressSegment::of_key(key).map(|(id, c)| (id.to_string(), c.first_word(), c.is_fine()))
+        ProgressSegment::of_key(key).map(|(id, c)| (id.to_string(), c.first_word(), c.is_part()))
     };
     let id = "run-000001".to_string();
     assert_eq!(read("progress/run-000001/2"), Some((id.clone(), 512, false)));
