--- a/src/core/leader/forecast.rs
+++ b/src/core/leader/forecast.rs
@@ -1,102 +1,125 @@
 //! The demand forecast per window: a smoothed seasonal average.
 //!
-//! For each kind of machine the history holds, per window, how many machines'
-//! room was booked. Without a season's worth of windows there is no forecast,
-//! and present need alone decides.
+//! For each kind of machine, named by its label, the history holds how many machines were
+//! booked in each window. As long as it is too short for a forecast, present need alone
+//! decides. The window rule feeds the history and asks for the forecast; it is stored with the
+//! fleet record.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Seasons kept, and windows in all: the record has to fit its limit.
-const KEEP_SEASONS: usize = 3;
-const KEEP_WINDOWS: usize = 240;
-/// Windows that make a level worth following.
-const ENOUGH: usize = 3;
+/// Seasons that are kept.
+const KEPT_SEASONS: usize = 3;
+/// Windows that are kept at most: the record has to stay within the limit on values.
+const MAX_KEPT_WINDOWS: usize = 240;
+/// Windows that a forecast needs at least.
+const MIN_WINDOWS: usize = 3;
+/// Weight of an earlier season against the newer ones, as a share of what the smoothing leaves
+/// to earlier windows.
+const SEASON_WEIGHT: f64 = 0.5;
+/// Weight of the season in the forecast; the level has the rest.
+const SEASON_SHARE: f64 = 0.5;
 
 /// Bookings of past windows, by kind of machine.
 #[derive(Debug, Clone, Default, Serialize, Deserialize, PartialEq)]
 pub struct History {
-    /// Kind of machine -> machines' worth of bookings, oldest window first.
+    /// Machines booked in each window, the oldest first.
     #[serde(rename = "h", default)]
-    kinds: BTreeMap<String, Vec<f64>>,
-    /// Windows seen in all.
+    bookings: BTreeMap<String, Vec<f64>>,
+    /// Number of windows ever recorded.
     #[serde(rename = "n", default)]
     windows: u64,
 }
 
 impl History {
-    /// Takes in the window that has just ended.
+    /// Adds the window that has just ended, with the machines booked in it. `season` is the
+    /// number of windows in a season.
     pub fn record(&mut self, booked: &BTreeMap<String, f64>, season: usize) {
         for kind in booked.keys() {
-            let n = self.longest();
-            self.kinds.entry(kind.clone()).or_insert_with(|| vec![0.0; n]);
+            let earlier_windows = self.longest();
+            self.bookings.entry(kind.clone()).or_insert_with(|| vec![0.0; earlier_windows]);
         }
-        let keep = (season * KEEP_SEASONS).clamp(ENOUGH, KEEP_WINDOWS);
-        for (kind, list) in &mut self.kinds {
-            let v = booked.get(kind).copied().unwrap_or(0.0);
-            // Two decimals, as text too: in single precision they would be written
-            // with all the digits of their error.
-            list.push((v * 100.0).round() / 100.0);
-            let extra = list.len().saturating_sub(keep);
-            list.drain(..extra);
+        let max_windows = (season * KEPT_SEASONS).clamp(MIN_WINDOWS, MAX_KEPT_WINDOWS);
+        for (kind, windows) in &mut self.bookings {
+            let machines = booked.get(kind).copied().unwrap_or(0.0);
+            windows.push(round_to_hundredths(machines));
+            let excess = windows.len().saturating_sub(max_windows);
+            windows.drain(..excess);
         }
         self.windows += 1;
     }
 
-    /// Drops the oldest quarter; false when there is nothing left to drop.
+    /// Drops the oldest quarter of the windows; `false` if there was nothing to drop.
     pub fn shorten(&mut self) -> bool {
-        let drop = self.longest().div_ceil(4);
-        for list in self.kinds.values_mut() {
-            list.drain(..drop.min(list.len()));
+        let dropped = self.longest().div_ceil(4);
+        for windows in self.bookings.values_mut() {
+            windows.drain(..dropped.min(windows.len()));
         }
-        drop > 0
+        dropped > 0
     }
 
     fn longest(&self) -> usize {
-        self.kinds.values().map(Vec::len).max().unwrap_or(0)
+        self.bookings.values().map(Vec::len).max().unwrap_or(0)
     }
 
-    /// How far windows stray from the level, smoothed.
+    /// How far windows deviate from the level, in machines, smoothed. `smoothing` is the
+    /// weight of the newest window, from 0 to 1.
     pub fn deviation(&self, kind: &str, smoothing: f64) -> f64 {
-        let Some(list) = self.kinds.get(kind) else { return 0.0 };
-        let (mut level, mut stray) = (list.first().copied().unwrap_or(0.0), 0.0);
-        for v in list {
-            let off = *v - level;
-            stray += smoothing * (off.abs() - stray);
-            level += smoothing * off;
+        let Some(windows) = self.bookings.get(kind) else { return 0.0 };
+        let mut level = windows.first().copied().unwrap_or(0.0);
+        let mut deviation = 0.0;
+        for machines in windows {
+            let difference = *machines - level;
+            deviation += smoothing * (difference.abs() - deviation);
+            level += smoothing * difference;
         }
-        stray
+        deviation
     }
 
-    /// Machines' worth of bookings expected in the next window; none without
-    /// enough history. The season counts once it has been seen twice: from
-    /// less, any rise and fall of the last minutes would pass for one.
+    /// Machines expected to be booked in the next window; `None` without enough history. The
+    /// season counts once it has been seen twice: with less, any rise and fall of the last
+    /// minutes would pass for one.
     pub fn expect(&self, kind: &str, season: usize, smoothing: f64) -> Option<f64> {
-        let list = self.kinds.get(kind)?;
-        if list.len() < ENOUGH {
+        let windows = self.bookings.get(kind)?;
+        if windows.len() < MIN_WINDOWS {
             return None;
         }
-        let mut level = list[0];
-        for v in &list[1..] {
-            level += smoothing * (*v - level);
-        }
-        if list.len() < 2 * season {
+        let level = smoothed_level(windows, smoothing);
+        if windows.len() < 2 * season {
             return Some(level);
         }
-        // The same place in earlier seasons, newest heaviest.
-        let mut seasonal = None;
-        let mut at = list.len() as i64 - season as i64;
-        while at >= 0 {
-            let v = list[at as usize];
-            seasonal = Some(match seasonal {
-                None => v,
-                Some(s) => s + (1.0 - smoothing) * 0.5 * (v - s),
-            });
-            at -= season as i64;
-        }
-        Some(match seasonal {
-            Some(s) => 0.5 * (level + s),
+        Some(match seasonal_average(windows, season, smoothing) {
+            Some(seasonal) => SEASON_SHARE * (level + seasonal),
             None => level,
         })
     }
 }
+
+/// Keeps the stored text short. Not in single precision, whose text would show all the digits
+/// of its error.
+fn round_to_hundredths(value: f64) -> f64 {
+    (value * 100.0).round() / 100.0
+}
+
+/// Exponentially smoothed level of all windows.
+fn smoothed_level(windows: &[f64], smoothing: f64) -> f64 {
+    let mut levels = windows.iter().copied();
+    let first = levels.next().unwrap_or(0.0);
+    levels.fold(first, |level, machines| level + smoothing * (machines - level))
+}
+
+/// Average of the windows at the next window's place in earlier seasons, the last season
+/// first.
+fn seasonal_average(windows: &[f64], season: usize, smoothing: f64) -> Option<f64> {
+    let mut average = None;
+    let mut place = windows.len().checked_sub(season);
+    while let Some(index) = place {
+        let machines = windows[index];
+        average = Some(match average {
+            None => machines,
+            Some(newer) => newer + (1.0 - smoothing) * SEASON_WEIGHT * (machines - newer),
+        });
+        place = index.checked_sub(season);
+    }
+    average
+}
