--- a/src/core/common/leadership.rs
+++ b/src/core/common/leadership.rs
@@ -35,13 +35,12 @@
         self.current.as_ref().is_some_and(|leader| leader.record.node == node)
     }
 
-    /// Whether a change of the record to this version is not older than what is known.
-    pub(crate) fn is_current(&self, version: u64) -> bool {
-        version >= self.newest_version
-    }
-
-    /// Takes in the record as of this version; none if it was deleted.
+    /// Takes in the record as of this version; none if it was deleted. Older versions are
+    /// ignored: reads and watch events cross each other.
     pub(crate) fn update(&mut self, record: Option<LeaderRecord>, version: u64) {
+        if version < self.newest_version {
+            return;
+        }
         self.newest_version = version;
         self.current = record.map(|record| KnownLeader { record, term: version });
     }
--- a/src/core/common/watch_cache.rs
+++ b/src/core/common/watch_cache.rs
@@ -183,10 +183,7 @@
 ) {
     match WatchedRecord::of_key(key) {
         Some(WatchedRecord::Leader) => {
-            if context.leadership.is_current(version) {
-                let record = decode::<LeaderRecord>(key, value);
-                context.leadership.update(record, version);
-            }
+            context.leadership.update(decode::<LeaderRecord>(key, value), version);
         }
         Some(WatchedRecord::Shard(name)) => {
             let index = context.shards.index_of(name);
