--- a/src/core/common/context.rs
+++ b/src/core/common/context.rs
@@ -334,7 +334,7 @@
     }
 
     /// Takes in a job's record; whether it may be relied on (see
-    /// [`JobTable::apply_record`]).
+    /// `JobTable::apply_record`).
     pub fn apply_job_record(
         &mut self,
         id: &str,
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -5,8 +5,8 @@
 //! (time, random seed, incarnation) comes in from outside, so that a scenario
 //! plays the same way every time.
 //!
-//! A node plays up to three roles: the user API ([`user_api`]), the owner of shards
-//! ([`shard_owner`]) and, on one node, the leader ([`leader`]). What they have in common
+//! A node plays up to three roles: the user API (`user_api`), the owner of shards
+//! (`shard_owner`) and, on one node, the leader (`leader`). What they have in common
 //! is in [`common`]; this module hands each input to the role that it concerns.
 
 pub mod common;
