--- a/src/core/common/mod.rs
+++ b/src/core/common/mod.rs
@@ -16,6 +16,8 @@
 pub mod named_table;
 pub mod outbox;
 pub mod peers;
+pub mod placement;
+pub mod projection;
 pub mod recent_names;
 pub mod shard_map;
 pub mod store_calls;
--- a/src/model/job_order.rs
+++ b/src/model/job_order.rs
@@ -7,8 +7,8 @@
 pub struct JobOrder {
     /// Higher priorities come first.
     pub priority: std::cmp::Reverse<Priority>,
-    /// Every aim that it could be started for is missed.
+    /// Every service-level objective that it could be started for is missed.
     pub late: bool,
-    /// Time left until the job can no longer be started for its next aim.
+    /// Time left until the job can no longer be started for its next objective.
     pub slack_ms: i64,
 }
--- a/src/model/job_spec.rs
+++ b/src/model/job_spec.rs
@@ -26,13 +26,13 @@
     /// Class of jobs that it belongs to.
     #[serde(rename = "k", default)]
     pub class: String,
-    /// Team whose guarantee and limit apply.
+    /// Team whose guarantee and quota apply.
     #[serde(rename = "m")]
     pub team: String,
     /// The job's own priority.
     #[serde(rename = "p")]
     pub priority: Priority,
-    /// Number of tasks.
+    /// Number of tasks: a job of more than one is a job array.
     #[serde(rename = "n")]
     pub tasks: u32,
     /// CPUs of one task.
@@ -74,16 +74,16 @@
     /// Time that a task needs to save when it is stopped.
     #[serde(rename = "v", default)]
     pub save_s: f64,
-    /// When the job should be done, counted from its submission.
+    /// When the job should be done, in seconds from its submission.
     #[serde(rename = "d", default, skip_serializing_if = "Option::is_none")]
     pub deadline_s: Option<f64>,
-    /// Time of day of the acceptance.
+    /// Time of day of the acceptance, in milliseconds.
     #[serde(rename = "a", default)]
     pub accepted_at_ms: u64,
 }
 
 impl JobSpec {
-    /// What one task takes of its machine.
+    /// What one task takes of its machine, for bin packing.
     pub fn demand(&self) -> Resources {
         Resources { cpus: self.cpus, gpus: self.gpus, mem: self.memory_gb }
     }
--- a/src/model/machine_type.rs
+++ b/src/model/machine_type.rs
@@ -9,9 +9,9 @@
     pub name: String,
     /// What one machine has.
     pub capacity: Resources,
-    /// Room for images.
+    /// Space for images, in GB.
     pub cache_gb: f64,
-    /// Rate at which images are fetched.
+    /// Rate at which images are fetched, in GB a second.
     pub fetch_gb_per_s: f64,
     /// Price of an ordinary machine per hour.
     pub price: f64,
--- a/src/model/resources.rs
+++ b/src/model/resources.rs
@@ -1,6 +1,6 @@
 //! Amounts of CPU, GPU and memory, and what fits into what.
 
-/// An amount of machine: what a task takes, what a machine has.
+/// An amount of each resource: what a task demands, what a machine has or has free.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct Resources {
     /// CPUs.
@@ -12,42 +12,46 @@
 }
 
 /// Sums of decimals drift; a machine must not count as full for a rounding.
-const EPS: f64 = 1e-6;
+const EPSILON: f64 = 1e-6;
 
 impl Resources {
-    /// Whether this much fits into `room`.
+    /// Whether this much fits into a capacity.
     pub fn fits_within(&self, capacity: &Resources) -> bool {
-        self.cpus <= capacity.cpus + EPS
-            && self.gpus <= capacity.gpus + EPS
-            && self.mem <= capacity.mem + EPS
+        self.cpus <= capacity.cpus + EPSILON
+            && self.gpus <= capacity.gpus + EPSILON
+            && self.mem <= capacity.mem + EPSILON
     }
 
     /// Adds another amount.
-    pub fn add(&mut self, o: &Resources) {
-        self.cpus += o.cpus;
-        self.gpus += o.gpus;
-        self.mem += o.mem;
+    pub fn add(&mut self, other: &Resources) {
+        self.cpus += other.cpus;
+        self.gpus += other.gpus;
+        self.mem += other.mem;
     }
 
     /// Takes another amount away.
-    pub fn sub(&mut self, o: &Resources) {
-        self.cpus -= o.cpus;
-        self.gpus -= o.gpus;
-        self.mem -= o.mem;
+    pub fn sub(&mut self, other: &Resources) {
+        self.cpus -= other.cpus;
+        self.gpus -= other.gpus;
+        self.mem -= other.mem;
     }
 
     /// The larger of both in each dimension.
-    pub fn max(&self, o: &Resources) -> Resources {
-        Resources { cpus: self.cpus.max(o.cpus), gpus: self.gpus.max(o.gpus), mem: self.mem.max(o.mem) }
+    pub fn max(&self, other: &Resources) -> Resources {
+        Resources {
+            cpus: self.cpus.max(other.cpus),
+            gpus: self.gpus.max(other.gpus),
+            mem: self.mem.max(other.mem),
+        }
     }
 
-    /// So many times this.
-    pub fn times(&self, n: u32) -> Resources {
-        let n = f64::from(n);
-        Resources { cpus: self.cpus * n, gpus: self.gpus * n, mem: self.mem * n }
+    /// The demand of this many tasks.
+    pub fn times(&self, count: u32) -> Resources {
+        let count = f64::from(count);
+        Resources { cpus: self.cpus * count, gpus: self.gpus * count, mem: self.mem * count }
     }
 
-    /// The largest share of `room` taken in any dimension.
+    /// The largest share of a capacity that this takes in any dimension.
     pub fn dominant_share(&self, capacity: &Resources) -> f64 {
         let part = |a: f64, b: f64| if b > 0.0 { a / b } else { 0.0 };
         part(self.cpus, capacity.cpus)
@@ -55,9 +59,9 @@
             .max(part(self.mem, capacity.mem))
     }
 
-    /// How many tasks of this size go into `room`.
+    /// How many tasks of this demand fit into a capacity.
     pub fn count_fitting(&self, capacity: &Resources) -> u32 {
-        let part = |a: f64, b: f64| if a > 0.0 { ((b + EPS) / a).floor().max(0.0) } else { 1e6 };
+        let part = |a: f64, b: f64| if a > 0.0 { ((b + EPSILON) / a).floor().max(0.0) } else { 1e6 };
         part(self.cpus, capacity.cpus)
             .min(part(self.gpus, capacity.gpus))
             .min(part(self.mem, capacity.mem)) as u32
--- a/src/model/task_set.rs
+++ b/src/model/task_set.rs
@@ -1,12 +1,14 @@
 //! Sets of task numbers, and names of tasks.
 
-/// `run-000412/3` -> (`run-000412`, 3)
+/// The job's id and the number of a task by its name: `run-000412/3` is (`run-000412`, 3).
 pub fn split_task(name: &str) -> Option<(&str, u32)> {
     let (job, task) = name.rsplit_once('/')?;
     Some((job, task.parse().ok()?))
 }
 
-/// A set of task numbers that are done.
+const WORD_BITS: u32 = u64::BITS;
+
+/// A set of task numbers of one job.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct TaskSet {
     words: Vec<u64>,
@@ -16,22 +18,24 @@
 impl TaskSet {
     /// An empty set for tasks 0 to `tasks` - 1.
     pub fn with_room(tasks: u32) -> Self {
-        TaskSet { words: vec![0; tasks.div_ceil(64) as usize], count: 0 }
+        TaskSet { words: vec![0; tasks.div_ceil(WORD_BITS) as usize], count: 0 }
     }
 
     /// Adds a task; whether it was new.
     pub fn insert(&mut self, task: u32) -> bool {
-        let Some(word) = self.words.get_mut((task / 64) as usize) else { return false };
-        let bit = 1 << (task % 64);
-        let new = *word & bit == 0;
+        let Some(word) = self.words.get_mut((task / WORD_BITS) as usize) else { return false };
+        let bit = 1 << (task % WORD_BITS);
+        let is_new = *word & bit == 0;
         *word |= bit;
-        self.count += new as u32;
-        new
+        self.count += u32::from(is_new);
+        is_new
     }
 
     /// Whether the task is in the set.
     pub fn contains(&self, task: u32) -> bool {
-        self.words.get((task / 64) as usize).is_some_and(|w| w & (1 << (task % 64)) != 0)
+        self.words
+            .get((task / WORD_BITS) as usize)
+            .is_some_and(|word| word & (1 << (task % WORD_BITS)) != 0)
     }
 
     /// Number of tasks in the set.
@@ -45,25 +49,23 @@
     }
 
     /// The part of the set in words `from..to`, as hexadecimal text with the
-    /// trailing zeros left out.
+    /// trailing zeros left out: bytes from the lowest on, the high digit of each first.
     pub fn to_hex(&self, from: usize, to: usize) -> String {
         let words = &self.words[from.min(self.words.len())..to.min(self.words.len())];
-        let mut s: String = words.iter().map(|w| format!("{:016x}", w.swap_bytes())).collect();
-        s.truncate(s.trim_end_matches('0').len());
-        s
+        let mut text: String = words.iter().map(|word| format!("{:016x}", word.swap_bytes())).collect();
+        text.truncate(text.trim_end_matches('0').len());
+        text
     }
 
-    /// Adds what `to_hex` wrote. Anything unreadable adds nothing.
+    /// Adds what `to_hex` wrote from word `from` on. What follows an unreadable digit adds
+    /// nothing.
     pub fn add_hex(&mut self, from: usize, text: &str) {
-        for (i, c) in text.chars().enumerate() {
-            let Some(v) = c.to_digit(16) else { return };
-            for bit in 0..4 {
-                if v & (1 << bit) != 0 {
-                    // High digit first within a byte, low byte first.
-                    let byte = i / 2;
-                    let pos = byte * 8 + if i % 2 == 0 { 4 } else { 0 } + bit;
-                    self.insert((from * 64 + pos) as u32);
-                }
+        let first_task = from * WORD_BITS as usize;
+        for (place, digit) in text.chars().enumerate() {
+            let Some(digit) = digit.to_digit(16) else { return };
+            let first_bit = place / 2 * 8 + if place % 2 == 0 { 4 } else { 0 };
+            for bit in (0..4).filter(|bit| digit & (1 << bit) != 0) {
+                self.insert((first_task + first_bit + bit) as u32);
             }
         }
     }
