--- /dev/null
+++ b/src/core/leader/fleet/overload_scale_out.rs
@@ -0,0 +1,78 @@
+//! One more instance for each overloaded machine, between the starts of forecast windows.
+
+use super::instance::{InstancePhase, OverloadScaleOut};
+use super::offer::InstanceKind;
+use crate::core::common::context::NodeContext;
+use crate::core::leader::Leader;
+use crate::core::leader::plan::Plan;
+use crate::model::InstanceIndex;
+use rustc_hash::{FxHashMap, FxHashSet};
+
+impl Leader {
+    /// Gets one instance of the plan for each machine that is projected to be overloaded, and
+    /// none more while that instance is requested or boots. Never more than the plan holds.
+    pub(super) fn scale_out_for_overload(&mut self, context: &NodeContext, mut plan: Plan) {
+        let overloaded = self.overloaded_machines();
+        if overloaded.is_empty() || plan.is_empty() {
+            return;
+        }
+        let mut spares = self.cordoned_by_kind();
+        for index in overloaded {
+            let Some(offer) = plan.take_first() else { break };
+            // Rather one that is cordoned than a new one.
+            let spare = spares.get_mut(&offer.kind()).and_then(Vec::pop);
+            if let Some(spare) = spare {
+                if let Some(instance) = self.fleet.machines.get_mut(spare) {
+                    instance.cordoned = false;
+                }
+                continue;
+            }
+            let number = self.fleet.scale_out.add(offer, context.clock.now());
+            if let Some(instance) = self.fleet.machines.get_mut(index) {
+                instance.overload_scale_out = Some(OverloadScaleOut::Requested(number));
+            }
+        }
+    }
+
+    /// Overloaded machines for which nothing is requested or boots.
+    fn overloaded_machines(&mut self) -> Vec<InstanceIndex> {
+        let requested: FxHashSet<u64> =
+            self.fleet.scale_out.iter().map(|request| request.number).collect();
+        let booting: FxHashSet<InstanceIndex> = self
+            .fleet
+            .machines
+            .iter()
+            .filter(|(_, instance)| instance.phase == InstancePhase::Booting)
+            .map(|(index, _)| index)
+            .collect();
+        let mut overloaded = Vec::new();
+        for (index, instance) in self.fleet.machines.iter_mut() {
+            let is_under_way = match instance.overload_scale_out {
+                Some(OverloadScaleOut::Requested(number)) => requested.contains(&number),
+                Some(OverloadScaleOut::Created(machine)) => booting.contains(&machine),
+                None => false,
+            };
+            if !is_under_way {
+                instance.overload_scale_out = None;
+            }
+            if instance.is_overloaded && !is_under_way && instance.phase == InstancePhase::Ready {
+                overloaded.push(index);
+            }
+        }
+        overloaded
+    }
+
+    /// Cordoned machines that are up, by kind; the oldest last.
+    fn cordoned_by_kind(&self) -> FxHashMap<InstanceKind, Vec<InstanceIndex>> {
+        let mut by_kind: FxHashMap<InstanceKind, Vec<InstanceIndex>> = FxHashMap::default();
+        for (index, instance) in self.fleet.machines.iter() {
+            if instance.cordoned && instance.phase == InstancePhase::Ready {
+                by_kind.entry(instance.kind()).or_default().push(index);
+            }
+        }
+        for indices in by_kind.values_mut() {
+            indices.reverse();
+        }
+        by_kind
+    }
+}
--- a/src/core/leader/fleet/window_rule.rs
+++ b/src/core/leader/fleet/window_rule.rs
@@ -1,7 +1,9 @@
-//! The window rule and the drain that goes with it.
+//! The window rule: at the start of each forecast window the instances of each kind are brought
+//! to a target, and idle ones below the drain level are cordoned.
 
-use super::machine::{Instance, InstancePhase};
-use super::{Fleet, InstanceOffer, MIN_CHARGE_MS, machine_type_label};
+use super::instance::InstancePhase;
+use super::offer::InstanceKind;
+use super::{Fleet, InstanceOffer, mark_changed};
 use crate::core::common::context::NodeContext;
 use crate::core::leader::plan::Plan;
 use crate::core::leader::{FleetRecord, Leader};
@@ -9,176 +11,201 @@
 use rustc_hash::{FxHashMap, FxHashSet};
 use std::collections::BTreeMap;
 
+/// What one application of the window rule works with.
+struct WindowScaling {
+    /// What the waiting tasks need; requested instances are taken out of it.
+    plan: Plan,
+    /// Present bookings in whole instances' worth, by the label of the kind.
+    bookings: BTreeMap<String, f64>,
+    /// Instances that tasks run on.
+    busy: FxHashSet<InstanceIndex>,
+    /// Instances by offer, those that this window requests among them.
+    instances: FxHashMap<InstanceOffer, u32>,
+}
+
 impl Leader {
-    /// The window rule: N per kind from the forecast, floored at present
-    /// need; isolated machines restored first, the rest rented, or surplus
-    /// drained.
-    pub(super) fn window_start(&mut self, context: &mut NodeContext, mut plan: Plan) {
-        self.fleet.window_at = Some(context.clock.now());
-        self.fleet.drained = false;
-        let booked: BTreeMap<String, f64> = std::mem::take(&mut self.fleet.booked)
-            .into_iter()
-            .map(|(k, (sum, n))| (k, if n > 0 { sum / f64::from(n) } else { 0.0 }))
-            .collect();
-        self.fleet.history.record(&booked, context.operator.season);
-        let present = self.bookings(context);
-        let busy: FxHashSet<InstanceIndex> =
-            self.attempts.values().filter(|a| a.occupies_capacity()).filter_map(|a| a.machine).collect();
-        let mut zones = self.fleet.zone_counts();
+    /// Begins a window: the target of each kind is its forecast, or its present demand if that
+    /// is more. Cordoned instances are restored first, the rest is requested; a surplus is
+    /// cordoned.
+    pub(super) fn start_window(&mut self, context: &mut NodeContext, plan: Plan) {
+        self.fleet.window.begin(context.clock.now(), context.operator.season);
+        let mut scaling = WindowScaling {
+            plan,
+            bookings: self.bookings(context),
+            busy: self.busy_instances(),
+            instances: self.fleet.count_by_offer(),
+        };
         let mut counts = BTreeMap::new();
-        for machine_type in 0..context.machine_types.len() {
-            for is_spot in [false, true] {
-                let name = machine_type_label(context, machine_type, is_spot);
-                let waiting = plan.machines_of(machine_type, is_spot);
-                let booked = present.get(&name).copied().unwrap_or(0.0);
-                let target = self.fleet.target(context, &name, is_spot, booked + f64::from(waiting));
-                let mut have = self.fleet.usable(machine_type, is_spot);
-                // Waiting tasks may need machines that bookings don't show,
-                // as room is free in pieces too small for them.
-                let wanted = target.max(have + waiting);
-                let mut missing = if target > have || waiting > 0 { wanted - have } else { 0 };
-                let restored = self.restore_isolated(machine_type, is_spot, missing);
-                missing -= restored;
-                have += restored;
-                (0..restored).for_each(|_| drop(plan.take(machine_type, is_spot)));
-                for _ in 0..missing {
-                    let planned = plan.take(machine_type, is_spot);
-                    let offer =
-                        planned.or_else(|| self.fleet.offer(context, machine_type, is_spot, &zones));
-                    let Some(offer) = offer else { break };
-                    *zones.entry(offer.clone()).or_default() += 1;
-                    self.fleet.rent(context, offer);
-                }
-                // Right after an outage nothing is known of what machines could
-                // take: idle ones may only not have been heard yet.
-                let heard = context.clock.now() > context.control_lease.valid_since() + context.fresh_ms;
-                if have > target && waiting == 0 && heard {
-                    self.isolate_idle(context, machine_type, is_spot, have - target, &busy);
-                }
-                counts.insert(name, have);
-            }
+        for kind in InstanceKind::all(context.machine_types.len()) {
+            let count = self.scale_kind(context, kind, &mut scaling);
+            counts.insert(kind.label(context), count);
         }
-        self.drain_low(context);
-        tracing::info!(?counts, waiting = self.fleet.waiting.len(), "window");
+        self.cordon_below_drain_level(context);
+        tracing::info!(?counts, waiting = self.fleet.waiting.len(), "forecast window started");
         self.record_window(context, counts);
     }
 
-    /// Takes isolated machines into use again, `most` at the most; how many.
-    fn restore_isolated(&mut self, machine_type: usize, is_spot: bool, most: u32) -> u32 {
-        let cordoned = |m: &&mut Instance| m.is_usable(machine_type, is_spot) && m.cordoned;
+    /// Brings one kind to its target. Returns its usable instances without those that are
+    /// newly requested or cordoned.
+    fn scale_kind(
+        &mut self,
+        context: &NodeContext,
+        kind: InstanceKind,
+        scaling: &mut WindowScaling,
+    ) -> u32 {
+        let label = kind.label(context);
+        let waiting = scaling.plan.machines_of(kind.machine_type, kind.is_spot);
+        let booked = scaling.bookings.get(&label).copied().unwrap_or(0.0);
+        let target = self.fleet.target(context, kind, booked + f64::from(waiting));
+        let mut usable = self.fleet.count_usable(kind);
+        // Waiting tasks may need instances that bookings don't show, as capacity is free in
+        // pieces too small for them.
+        let missing = target.max(usable + waiting) - usable;
+        let restored = self.uncordon(kind, missing);
+        for _ in 0..restored {
+            scaling.plan.take(kind.machine_type, kind.is_spot);
+        }
+        usable += restored;
+        self.request_instances(context, kind, missing - restored, scaling);
+        // Right after an outage nothing is known of what machines could take: idle ones may
+        // only not have been heard yet.
+        let control_lease_since = context.control_lease.valid_since();
+        let is_well_informed = context.clock.now() > control_lease_since + context.fresh_ms;
+        if usable > target && waiting == 0 && is_well_informed {
+            self.cordon_idle(context, kind, usable - target, &scaling.busy);
+        }
+        usable
+    }
+
+    /// Requests instances of a kind: first what the plan names, then wherever there are the
+    /// fewest.
+    fn request_instances(
+        &mut self,
+        context: &NodeContext,
+        kind: InstanceKind,
+        count: u32,
+        scaling: &mut WindowScaling,
+    ) {
+        for _ in 0..count {
+            let planned = scaling.plan.take(kind.machine_type, kind.is_spot);
+            let offer =
+                planned.or_else(|| self.fleet.least_used_offer(context, kind, &scaling.instances));
+            let Some(offer) = offer else { break };
+            *scaling.instances.entry(offer.clone()).or_default() += 1;
+            self.fleet.scale_out.add(offer, context.clock.now());
+        }
+    }
+
+    /// Instances that tasks run on, or may run on.
+    fn busy_instances(&self) -> FxHashSet<InstanceIndex> {
+        let running = self.attempts.values().filter(|attempt| attempt.occupies_capacity());
+        running.filter_map(|attempt| attempt.machine).collect()
+    }
+
+    /// Takes at most `limit` cordoned instances into use again. Returns how many.
+    fn uncordon(&mut self, kind: InstanceKind, limit: u32) -> u32 {
         let mut restored = 0;
-        for m in self.fleet.machines.values_mut().filter(cordoned).take(most as usize) {
-            m.cordoned = false;
+        let instances = self.fleet.machines.values_mut();
+        let cordoned = instances.filter(|instance| instance.is_live(kind) && instance.cordoned);
+        for instance in cordoned.take(limit as usize) {
+            instance.cordoned = false;
             restored += 1;
-            if let Some(b) = self.shards.get_mut(m.shard.place()) {
-                b.dirty = true;
-            }
+            mark_changed(&mut self.shards, instance.shard);
         }
         restored
     }
 
-    /// Isolates surplus machines that nothing runs on, `most` at the most.
-    fn isolate_idle(
+    /// Cordons at most `limit` surplus instances that nothing runs on.
+    fn cordon_idle(
         &mut self,
         context: &NodeContext,
-        machine_type: usize,
-        is_spot: bool,
-        most: u32,
+        kind: InstanceKind,
+        limit: u32,
         busy: &FxHashSet<InstanceIndex>,
     ) {
-        let idle = |(ix, m): &(InstanceIndex, &mut Instance)| {
-            m.is_usable(machine_type, is_spot)
-                && m.phase == InstancePhase::Ready
-                && !m.cordoned
-                && !busy.contains(ix)
-                && context.clock.now() > m.since + MIN_CHARGE_MS - 8_000
-        };
-        for (_, m) in self.fleet.machines.iter_mut().filter(idle).take(most as usize) {
-            m.cordoned = true;
-            if let Some(b) = self.shards.get_mut(m.shard.place()) {
-                b.dirty = true;
+        let now = context.clock.now();
+        let idle = self.fleet.machines.iter_mut().filter(|(index, instance)| {
+            instance.kind() == kind
+                && instance.phase == InstancePhase::Ready
+                && !instance.cordoned
+                && !busy.contains(index)
+                && instance.is_past_minimum_charge(now)
+        });
+        for (_, instance) in idle.take(limit as usize) {
+            instance.cordoned = true;
+            mark_changed(&mut self.shards, instance.shard);
+        }
+    }
+
+    /// If all machines are below the drain level, cordons as many as leaves the projected
+    /// peaks of all to fill the rest up to that level, those with the lowest peaks first.
+    fn cordon_below_drain_level(&mut self, context: &NodeContext) {
+        let level = context.operator.drain_level;
+        if level <= 0.0 || !self.fleet.waiting.is_empty() {
+            return;
+        }
+        let in_use = self.fleet.machines.iter().filter(|(_, instance)| instance.takes_tasks(context));
+        let mut peaks: Vec<(f64, InstanceIndex)> =
+            in_use.map(|(index, instance)| (instance.projected_peak, index)).collect();
+        if peaks.is_empty() || peaks.iter().any(|(peak, _)| *peak >= level) {
+            return;
+        }
+        peaks.sort_by(|(peak, _), (other, _)| peak.total_cmp(other));
+        let kept = (peaks.iter().map(|(peak, _)| peak).sum::<f64>() / level).ceil() as usize;
+        let surplus = peaks.len().saturating_sub(kept);
+        for (_, index) in peaks.into_iter().take(surplus) {
+            let Some(instance) = self.fleet.machines.get_mut(index) else { continue };
+            if instance.is_past_minimum_charge(context.clock.now()) {
+                instance.cordoned = true;
+                mark_changed(&mut self.shards, instance.shard);
             }
         }
     }
 
+    /// Puts the window on record, unless the record of an earlier one is still being written.
     fn record_window(&mut self, context: &mut NodeContext, counts: BTreeMap<String, u32>) {
-        if self.fleet.save_busy {
+        if !self.fleet.window.begin_record() {
             return;
         }
-        self.fleet.save_busy = true;
-        let rec = FleetRecord {
+        let record = FleetRecord {
             at_ms: context.clock.wall(),
             counts,
-            history: self.fleet.history.clone(),
+            history: self.fleet.window.history().clone(),
             ratios: self.ratios.clone(),
         };
-        self.save_fleet(context, rec);
-    }
-
-    /// Below the drain level everywhere, isolates running machines minus (sum
-    /// of projected peaks / level), once per window.
-    fn drain_low(&mut self, context: &NodeContext) {
-        let level = context.operator.drain_level;
-        if level <= 0.0 || self.fleet.drained || !self.fleet.waiting.is_empty() {
-            return;
-        }
-        let mut running: Vec<(f64, InstanceIndex)> = self
-            .fleet
-            .machines
-            .iter()
-            .filter(|(_, m)| m.takes_tasks(context))
-            .map(|(ix, m)| (m.peak, ix))
-            .collect();
-        if running.is_empty() || running.iter().any(|(p, _)| *p >= level) {
-            return;
-        }
-        running.sort_by(|a, b| a.0.total_cmp(&b.0));
-        let keep = (running.iter().map(|(p, _)| p).sum::<f64>() / level).ceil() as usize;
-        self.fleet.drained = true;
-        for (_, ix) in running.iter().take(running.len().saturating_sub(keep)) {
-            if let Some(m) = self.fleet.machines.get_mut(*ix)
-                && context.clock.now() > m.since + MIN_CHARGE_MS - 8_000
-            {
-                m.cordoned = true;
-                if let Some(b) = self.shards.get_mut(m.shard.place()) {
-                    b.dirty = true;
-                }
-            }
-        }
+        self.save_fleet(context, record);
     }
 }
 
 impl Fleet {
-    /// Machines of a kind that the window rule wants, given the present need for them.
-    fn target(&self, context: &NodeContext, machine_type: &str, is_spot: bool, demand: f64) -> u32 {
-        let mut forecast =
-            self.history.expect(machine_type, context.operator.season, context.operator.smoothing);
-        // Cheap machines are kept for what demand strays by.
-        if is_spot && let Some(forecast) = &mut forecast {
-            *forecast += context.operator.headroom
-                * self.history.deviation(machine_type, context.operator.smoothing);
+    /// Instances of a kind that the window rule wants, given the present demand for them.
+    fn target(&self, context: &NodeContext, kind: InstanceKind, demand: f64) -> u32 {
+        let (season, smoothing) = (context.operator.season, context.operator.smoothing);
+        let label = kind.label(context);
+        let history = self.window.history();
+        let mut forecast = history.expect(&label, season, smoothing);
+        // Spot instances are kept for what demand strays by.
+        if kind.is_spot
+            && let Some(forecast) = &mut forecast
+        {
+            *forecast += context.operator.headroom * history.deviation(&label, smoothing);
         }
-        // A forecast of a small part of a machine is no reason to rent
-        // one; present need is.
+        // A forecast of a small part of an instance is no reason to request one; present
+        // demand is.
         (demand.ceil() as u32).max(forecast.unwrap_or(0.0).round() as u32)
     }
 
-    /// Machines of a kind that are there, boot or are asked for, isolated ones left out.
-    fn usable(&self, machine_type: usize, is_spot: bool) -> u32 {
-        let there =
-            self.machines.values().filter(|m| m.is_usable(machine_type, is_spot) && !m.cordoned).count();
-        let asked = self
-            .rents
-            .iter()
-            .filter(|r| r.offer.machine_type == machine_type && r.offer.is_spot == is_spot);
-        there as u32 + asked.map(|r| r.count).sum::<u32>()
+    /// Instances of a kind that are up, boot or are requested; cordoned ones left out.
+    fn count_usable(&self, kind: InstanceKind) -> u32 {
+        let in_use = self.machines.values().filter(|m| m.is_live(kind) && !m.cordoned);
+        in_use.count() as u32 + self.scale_out.count_instances(kind)
     }
 
-    /// Machines by type, zone and kind.
-    fn zone_counts(&self) -> FxHashMap<InstanceOffer, u32> {
+    /// All instances by the offer that they come from.
+    fn count_by_offer(&self) -> FxHashMap<InstanceOffer, u32> {
         let mut counts: FxHashMap<InstanceOffer, u32> = FxHashMap::default();
-        for m in self.machines.values() {
-            *counts.entry(m.offer()).or_default() += 1;
+        for instance in self.machines.values() {
+            *counts.entry(instance.offer()).or_default() += 1;
         }
         counts
     }
