--- a/src/core/leader/cells/capacity.rs
+++ b/src/core/leader/cells/capacity.rs
@@ -107,12 +107,8 @@
     for (machine_type, known_type) in context.machine_types.iter().enumerate() {
         for zone in &known_type.zones {
             for is_spot in [false, true] {
-                let refused = leader.fleet.refused.get(&InstanceOffer {
-                    machine_type,
-                    zone: zone.clone(),
-                    is_spot,
-                });
-                let is_refused = refused.is_some_and(|(until, _)| *until > context.clock.now());
+                let offer = InstanceOffer { machine_type, zone: zone.clone(), is_spot };
+                let is_refused = leader.fleet.refused_offers.is_refused(&offer, context.clock.now());
                 capacity.push(ClassCapacity {
                     machine_type: known_type.name.clone(),
                     zone: zone.clone(),
--- a/src/core/leader/mod.rs
+++ b/src/core/leader/mod.rs
@@ -23,9 +23,9 @@
 mod shards;
 mod zones;
 
+use crate::core::StoreResponse;
 use crate::core::common::watch_cache::LEADER;
 use crate::core::common::{context::NodeContext, job_records::RecordSource};
-use crate::core::{CloudResponse, StoreResponse};
 use crate::model::{JobIndex, Ms, ShardIndex};
 use crate::wire::store::{Compare, JobRecord};
 use attempts::Attempts;
@@ -179,7 +179,7 @@
         self.follow_jobs(context);
         self.cascade_due(context);
         self.cells_poll(context);
-        self.fleet_poll(context);
+        self.poll_fleet(context);
         // What a scheduling cycle costs grows with what it has to look at.
         let gap = if self.cycle_due {
             context
@@ -230,7 +230,7 @@
             }
             LeaderCall::Cells(call) => self.on_cell_result(context, call, result),
             LeaderCall::Cascade { list } => self.on_cascaded(context, list, result),
-            LeaderCall::SaveFleet => self.fleet.saved(matches!(result, StoreResponse::Committed { .. })),
+            LeaderCall::SaveFleet => self.fleet.on_window_record_written(),
             LeaderCall::SaveCatalog => {
                 self.writes_parts |= matches!(result, StoreResponse::Malformed);
                 self.fleet.catalog_saved(
@@ -241,8 +241,4 @@
             LeaderCall::Forget { keys } => self.on_forgotten(context, keys, result),
         }
     }
-
-    pub fn on_cloud(&mut self, context: &mut NodeContext, call: u64, result: CloudResponse) {
-        self.fleet_result(context, call, result);
-    }
 }
--- a/src/core/leader/plan.rs
+++ b/src/core/leader/plan.rs
@@ -38,21 +38,16 @@
     pub(super) fn sample(&mut self, context: &NodeContext, plan: &Plan) {
         let now = self.bookings(context);
         for (machine_type, v) in now {
-            let e = self.fleet.booked.entry(machine_type).or_default();
-            e.0 += v;
+            self.fleet.window.add_bookings(machine_type, v);
         }
         for (offer, n) in plan.iter() {
-            let e = self
-                .fleet
-                .booked
-                .entry(machine_type_label(context, offer.machine_type, offer.is_spot))
-                .or_default();
-            e.0 += f64::from(n);
+            let label = machine_type_label(context, offer.machine_type, offer.is_spot);
+            self.fleet.window.add_bookings(label, f64::from(n));
         }
         for machine_type in 0..context.machine_types.len() {
             for is_spot in [false, true] {
                 let label = machine_type_label(context, machine_type, is_spot);
-                self.fleet.booked.entry(label).or_default().1 += 1;
+                self.fleet.window.count_sample(label);
             }
         }
     }
@@ -132,7 +127,7 @@
                 );
             }
         }
-        for r in &self.fleet.rents {
+        for r in self.fleet.scale_out.iter() {
             let Some(t) = context.machine_types.get(r.offer.machine_type) else { continue };
             let class =
                 free_capacity.class_of(r.offer.machine_type, &r.offer.zone, r.offer.is_spot, t.capacity);
@@ -154,8 +149,7 @@
             for zone in &t.zones {
                 for is_spot in [false, true] {
                     let offer = InstanceOffer { machine_type, zone: zone.clone(), is_spot };
-                    let refused = self.fleet.refused.get(&offer);
-                    if refused.is_some_and(|(until, _)| *until > context.clock.now()) {
+                    if self.fleet.refused_offers.is_refused(&offer, context.clock.now()) {
                         continue;
                     }
                     offers.push(OpenOffer {
--- a/src/core/leader/rebuild.rs
+++ b/src/core/leader/rebuild.rs
@@ -159,7 +159,7 @@
             }
             StoreResponse::NotFound if i == 2 => {
                 // No window has ever begun: there is no fleet to wait for.
-                self.fleet.first(context);
+                self.fleet.start_without_predecessor(context);
                 self.loading[2] = Loading::Done;
             }
             _ => {
--- a/src/core/leader/reconciliation.rs
+++ b/src/core/leader/reconciliation.rs
@@ -146,7 +146,7 @@
                     j.unrecorded.push(t.task);
                     j.failures = 0;
                     j.failed_on.clear();
-                    self.fleet.succeeded(machine);
+                    self.fleet.on_task_succeeded(machine);
                     if t.ran_ms > 0 && j.spec.estimate_s > 0.0 {
                         let ratio = (t.ran_ms as f64 / 1000.0 / j.spec.estimate_s).clamp(0.1, 10.0);
                         let r = self.ratios.entry(j.spec.class.clone()).or_insert(1.0);
@@ -169,7 +169,7 @@
                         let factor = 1 << j.failures.saturating_sub(3).min(5);
                         j.backoff_until = context.clock.now() + 2_000 * factor;
                     } else {
-                        self.fleet.failed(context.clock.now(), machine, job);
+                        self.fleet.on_task_failed(context.clock.now(), machine, job);
                     }
                 }
             }
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -100,7 +100,7 @@
             Input::Store { call, response } => self.on_store_response(call, response),
             Input::Cloud { call, response } => {
                 if let Some(leader) = &mut self.leader {
-                    leader.on_cloud(&mut self.context, call, response);
+                    leader.on_cloud_response(&mut self.context, call, response);
                 }
             }
             Input::Frame(frame) => self.on_frame(frame),
