--- a/src/core/leader/fleet/mod.rs
+++ b/src/core/leader/fleet/mod.rs
@@ -45,8 +45,9 @@
 pub(in crate::core::leader) const NO_INSTANCE: InstanceIndex = InstanceIndex::new(u32::MAX);
 /// Pause between two looks at the whole fleet; more where it is large.
 const POLL_GAP_MS: Ms = 500;
-/// Attempts and instances that one look may pass over, per unit of load.
-const INSPECTED_PER_LOAD_UNIT: usize = 8;
+/// Attempts or instances that are looked at in the time that one item of a message to a shard
+/// owner takes.
+const INSPECTED_PER_ITEM: usize = 8;
 /// Pause between two looks for overloaded machines or a surge.
 const OVERLOAD_GAP_MS: Ms = 1_000;
 /// Pause between two windows that begin before their time.
@@ -245,7 +246,7 @@
             return;
         }
         let inspected = self.fleet.machines.len() + self.attempts.len();
-        let gap = context.load_adjusted_gap(POLL_GAP_MS, inspected / INSPECTED_PER_LOAD_UNIT);
+        let gap = context.load_adjusted_gap(POLL_GAP_MS, inspected / INSPECTED_PER_ITEM);
         self.fleet.timers.poll.set(now + gap);
         self.check_health(context);
         self.plans += 1;
