--- a/src/core/leader/cells/capacity.rs
+++ b/src/core/leader/cells/capacity.rs
@@ -1,4 +1,4 @@
-//! What this cell has room for, as it tells the others.
+//! What this cell has capacity for, as it tells the others.
 
 use super::Cells;
 use crate::core::common::context::NodeContext;
@@ -9,18 +9,18 @@
 use crate::model::{JobSpec, Ms, Resources};
 use woadlever_cells::routing::{Amount, ClassCapacity, JobShape};
 
-/// Machines of each class that may be rented, as is told to other cells, at the least: as
+/// Instances of each class that may be requested, as is told to other cells, at the least: as
 /// many as one call asks for. A larger fleet is taken to be able to double.
-const MIN_RENTABLE: u32 = 50;
-/// Pause between two looks at all machines; more where there are many.
+const MIN_REQUESTABLE: u32 = 50;
+/// Pause between two counts, which look at all machines; more where there are many.
 const REFRESH_MS: Ms = 1_000;
 
-/// An amount as cells speak of it.
-fn amount(res: &Resources) -> Amount {
-    Amount { cpus: res.cpus, gpus: res.gpus, memory_gb: res.mem }
+/// An amount of resources as cells speak of it.
+fn amount(resources: &Resources) -> Amount {
+    Amount { cpus: resources.cpus, gpus: resources.gpus, memory_gb: resources.mem }
 }
 
-/// What a job needs, as cells speak of it.
+/// What a job demands, as cells speak of it.
 pub(super) fn shape_of(spec: &JobSpec) -> JobShape<'_> {
     JobShape {
         demand: amount(&spec.demand()),
@@ -34,17 +34,18 @@
 }
 
 impl Cells {
-    /// Counts free room anew. What waits here has the first claim on it.
+    /// Counts the capacity anew. What waits here has the first claim on it.
     pub(super) fn refresh_capacity(&mut self, leader: &Leader, context: &NodeContext) {
-        self.capacity_at =
-            context.clock.now() + context.load_adjusted_gap(REFRESH_MS, leader.fleet.machines.len());
+        let instances = leader.fleet.machines.len();
+        let gap = context.load_adjusted_gap(REFRESH_MS, instances);
+        self.timers.capacity.set(context.clock.now() + gap);
         self.team_use = leader.team_use(context);
         self.capacity.clear();
         if !context.operator.cells.accept || context.machine_types.is_empty() {
             return;
         }
-        let machines = MIN_RENTABLE.max(leader.fleet.machines.len() as u32);
-        self.capacity = upcoming_class_capacity(leader, context, machines);
+        let requestable = MIN_REQUESTABLE.max(instances as u32);
+        self.capacity = upcoming_class_capacity(leader, context, requestable);
         for (job, tasks) in &leader.fleet.waiting {
             let Some(job) = leader.jobs.get(job) else { continue };
             let waiting = JobShape { tasks: *tasks, ..shape_of(&job.spec) };
@@ -52,24 +53,24 @@
         }
     }
 
-    /// Whether a job of another cell finds room here, within its team's limit.
-    pub(super) fn has_room_for(&self, context: &NodeContext, spec: &JobSpec) -> bool {
+    /// Whether there is capacity for a job of another cell, within its team's quota.
+    pub(super) fn has_capacity_for(&self, context: &NodeContext, spec: &JobSpec) -> bool {
         let teams = &context.platform.cluster.teams;
         let Some(team) = teams.iter().position(|team| team.name == spec.team) else { return false };
         let Some(used) = self.team_use.get(team) else { return false };
-        let within_limit = quota_tasks(&teams[team], used, &spec.demand()) > 0;
-        within_limit && shape_of(spec).fits_within(&self.capacity, context.operator.cells.fit_share)
+        let is_within_quota = quota_tasks(&teams[team], used, &spec.demand()) > 0;
+        is_within_quota && shape_of(spec).fits_within(&self.capacity, context.operator.cells.fit_share)
     }
 }
 
-/// Room by class that is free, or on machines that boot or are asked for, and so many
-/// machines to be rented beside them where the cloud has not refused some a moment ago.
+/// Capacity by class: free, or on instances that boot or are requested, and `requestable`
+/// instances beside them where the cloud has not refused some a moment ago.
 pub(super) fn upcoming_class_capacity(
     leader: &Leader,
     context: &NodeContext,
-    rentable: u32,
+    requestable: u32,
 ) -> Vec<ClassCapacity> {
-    let mut capacity = rentable_capacity(leader, context, rentable);
+    let mut capacity = requestable_capacity(leader, context, requestable);
     add_free_capacity(context, &leader.upcoming_capacity(context), &mut capacity);
     capacity
 }
@@ -79,18 +80,16 @@
     free_capacity: &FreeCapacity,
     capacity: &mut [ClassCapacity],
 ) {
-    let place_of = |class: &MachineClass| {
+    let position_of = |class: &MachineClass| {
         let name = &context.machine_types[class.machine_type].name;
-        let is_it = |known: &ClassCapacity| {
+        capacity.iter().position(|known| {
             known.is_spot == class.is_spot && known.zone == class.zone && known.machine_type == *name
-        };
-        capacity.iter().position(is_it)
+        })
     };
-    let places: Vec<Option<usize>> = free_capacity.classes.iter().map(place_of).collect();
+    let positions: Vec<Option<usize>> = free_capacity.classes.iter().map(position_of).collect();
     for machine in &free_capacity.list {
-        let Some(class) = places[machine.class].and_then(|place| capacity.get_mut(place)) else {
-            continue;
-        };
+        let class = positions[machine.class].and_then(|position| capacity.get_mut(position));
+        let Some(class) = class else { continue };
         let free = amount(&machine.free);
         class.free.add(&free);
         class.largest = Amount {
@@ -101,8 +100,8 @@
     }
 }
 
-/// Machines that the cloud may have, by class.
-fn rentable_capacity(leader: &Leader, context: &NodeContext, rentable: u32) -> Vec<ClassCapacity> {
+/// Instances that the cloud may have, by class.
+fn requestable_capacity(leader: &Leader, context: &NodeContext, requestable: u32) -> Vec<ClassCapacity> {
     let mut capacity = Vec::new();
     for (machine_type, known_type) in context.machine_types.iter().enumerate() {
         for zone in &known_type.zones {
@@ -116,7 +115,7 @@
                     machine: amount(&known_type.capacity),
                     free: Amount::default(),
                     largest: Amount::default(),
-                    rentable: if is_refused { 0 } else { rentable },
+                    rentable: if is_refused { 0 } else { requestable },
                 });
             }
         }
--- /dev/null
+++ b/src/core/leader/cells/forwarded_jobs.rs
@@ -0,0 +1,173 @@
+//! Jobs of this cell that others host: followed until they are done or back.
+
+use super::Cells;
+use super::forward_writes::dependency_ids;
+use super::move_log::log_move;
+use super::record_writes::RecordChange;
+use crate::core::common::context::NodeContext;
+use crate::core::leader::Leader;
+use crate::core::leader::live_jobs::JobLocation;
+use crate::model::{JobIndex, Ms};
+use crate::wire::store::JobRecord;
+use woadlever_cells::event::MoveEvent;
+use woadlever_cells::message::{FOR_GOOD, HostedJob, HostedPhase};
+use woadlever_cells::origin::{ForwardView, OriginLimits, OriginStep, next_step};
+use woadlever_cells::record::Forwarding;
+
+/// Since when a forwarded job has been as it is, as far as this leader has seen.
+#[derive(Debug)]
+pub(super) struct Observed {
+    /// Version of the job's record.
+    version: u64,
+    /// Since when the record has had it.
+    since: Ms,
+    /// Since when the host has shown nothing of it running or done.
+    idle_since: Ms,
+    /// The host's refusal has been counted.
+    is_refusal_counted: bool,
+}
+
+impl Observed {
+    fn new(version: u64, now: Ms) -> Observed {
+        Observed { version, since: now, idle_since: now, is_refusal_counted: false }
+    }
+
+    /// Takes in the version that the record has now.
+    fn update(&mut self, version: u64, now: Ms) {
+        if self.version != version {
+            self.version = version;
+            self.since = now;
+        }
+    }
+}
+
+impl Cells {
+    /// Takes in what a host says of one of our jobs.
+    pub(super) fn on_hosted_elsewhere(
+        &mut self,
+        leader: &mut Leader,
+        context: &NodeContext,
+        cell: &str,
+        reported: &HostedJob,
+    ) {
+        let Some(index) = context.job_index(&reported.id) else { return };
+        let forwarding = context.job(index).forwarding();
+        let is_ours = |f: &Forwarding| f.is_away() && f.cell == cell && f.epoch == reported.epoch;
+        if !forwarding.is_some_and(is_ours) {
+            return;
+        }
+        let Some(job) = leader.jobs.get_mut(&index) else { return };
+        job.take_done_elsewhere(&reported.done);
+        let mut running_now = 0;
+        match reported.phase {
+            HostedPhase::Done => {
+                if job.done.len() < job.spec.tasks {
+                    log_move(&reported.id, cell, reported.epoch, MoveEvent::Done);
+                }
+                job.take_all_done_elsewhere();
+            }
+            HostedPhase::Live { running, .. } => running_now = running,
+            HostedPhase::Refused { .. } | HostedPhase::Released => {}
+        }
+        job.location = JobLocation::Away { running: running_now };
+        if running_now > 0 {
+            self.note_running(context, index, cell);
+        }
+    }
+
+    /// A host runs tasks of one of our jobs.
+    fn note_running(&mut self, context: &NodeContext, index: JobIndex, cell: &str) {
+        if let Some(observed) = self.observed.get_mut(&index) {
+            observed.idle_since = context.clock.now();
+        }
+        if let Some(neighbor) = self.neighbors.get_mut(cell) {
+            neighbor.note_success();
+        }
+    }
+
+    /// Takes the next step with each job that another cell hosts.
+    pub(super) fn follow_forwarded(&mut self, leader: &mut Leader, context: &mut NodeContext) {
+        let away = leader.jobs.iter().filter(|(_, job)| job.is_away()).map(|(index, _)| *index);
+        for index in away.collect::<Vec<JobIndex>>() {
+            let Some(forwarding) = context.job(index).forwarding().cloned() else { continue };
+            let (forwarding, event) = match self.next_step(leader, context, index, &forwarding) {
+                OriginStep::Wait => continue,
+                OriginStep::Finish => {
+                    // The scheduler writes the end of a job all of whose tasks are done.
+                    if let Some(job) = leader.jobs.get_mut(&index) {
+                        job.take_all_done_elsewhere();
+                    }
+                    continue;
+                }
+                OriginStep::Recall(reason) => (forwarding.recalled(reason), reason.into()),
+                OriginStep::Return { is_confirmed: true } => {
+                    (forwarding.returned(), MoveEvent::Returned)
+                }
+                OriginStep::Return { is_confirmed: false } => {
+                    (forwarding.returned(), MoveEvent::Reclaimed)
+                }
+            };
+            let Some(spec) = context.job(index).spec.clone() else { continue };
+            let dependencies = dependency_ids(context, index);
+            let record = JobRecord::forwarded((*spec).clone(), &dependencies, forwarding);
+            self.change_record(leader, context, RecordChange { job: index, record, event });
+        }
+    }
+
+    fn next_step(
+        &mut self,
+        leader: &Leader,
+        context: &NodeContext,
+        index: JobIndex,
+        forwarding: &Forwarding,
+    ) -> OriginStep {
+        let settings = &context.operator.cells;
+        let limits = OriginLimits {
+            silence_ms: settings.silence_ms,
+            idle_ms: settings.idle_ms,
+            reclaim_after_ms: context.cell_leases.timing().reclaim_after_ms(),
+        };
+        let view = self.forward_view(leader, context, index, forwarding);
+        if let Some(HostedPhase::Refused { retry_after_ms }) = view.reported {
+            self.count_refusal(context, index, &forwarding.cell, retry_after_ms);
+        }
+        next_step(&view, &limits)
+    }
+
+    /// A forwarded job as it is known now.
+    fn forward_view(
+        &mut self,
+        leader: &Leader,
+        context: &NodeContext,
+        index: JobIndex,
+        forwarding: &Forwarding,
+    ) -> ForwardView {
+        let now = context.clock.now();
+        let version = context.job(index).version;
+        let observed = self.observed.entry(index).or_insert_with(|| Observed::new(version, now));
+        observed.update(version, now);
+        let has_begun = leader.jobs.get(&index).is_some_and(|job| !job.done.is_empty());
+        let neighbor = self.neighbors.get(&forwarding.cell);
+        let id = context.jobs.id(index);
+        // A cell that the settings no longer name is silent from the start of the term.
+        let host_silent_ms =
+            neighbor.map_or(now - leader.activated_at, |neighbor| neighbor.silent_ms(now));
+        ForwardView {
+            phase: forwarding.phase,
+            in_phase_ms: now - observed.since,
+            reported: neighbor.and_then(|neighbor| neighbor.phase_of(id, forwarding.epoch)),
+            host_silent_ms,
+            idle_ms: if has_begun { 0 } else { now - observed.idle_since },
+        }
+    }
+
+    /// Counts the refusal of a job, once, with the cell that refused it.
+    fn count_refusal(&mut self, context: &NodeContext, index: JobIndex, cell: &str, retry_after_ms: Ms) {
+        let Some(observed) = self.observed.get_mut(&index) else { return };
+        let Some(neighbor) = self.neighbors.get_mut(cell) else { return };
+        let is_counted = std::mem::replace(&mut observed.is_refusal_counted, true);
+        if !is_counted && retry_after_ms != FOR_GOOD {
+            neighbor.note_refusal(context.clock.now(), retry_after_ms);
+        }
+    }
+}
--- /dev/null
+++ b/src/core/leader/cells/offers.rs
@@ -0,0 +1,106 @@
+//! Which waiting jobs of this cell are forwarded, and to which cell.
+
+use super::Cells;
+use super::capacity::{shape_of, upcoming_class_capacity};
+use crate::core::common::context::NodeContext;
+use crate::core::leader::Leader;
+use crate::core::leader::live_jobs::{JobLocation, LiveJob};
+use crate::model::{JobIndex, JobSpec, Ms};
+use std::collections::BTreeMap;
+use woadlever_cells::routing;
+
+/// A job for which instances boot or are requested here is offered to other cells after this
+/// many times the ordinary wait.
+const LONG_WAIT_FACTOR: Ms = 3;
+/// All tasks of a job.
+const ALL_TASKS: f64 = 1.0;
+
+/// Numbers of jobs that other cells host for this one, by cell.
+type HostedCounts = BTreeMap<String, usize>;
+
+impl Cells {
+    /// Forwards jobs that have waited for long to cells that have capacity for them.
+    pub(super) fn offer_waiting_jobs(&mut self, leader: &mut Leader, context: &mut NodeContext) {
+        let mut hosted_counts = count_hosted_elsewhere(leader, context);
+        let mut upcoming = upcoming_class_capacity(leader, context, 0);
+        let waiting: Vec<JobIndex> = leader.fleet.waiting.iter().map(|(job, _)| *job).collect();
+        for index in waiting {
+            let Some(job) = leader.jobs.get(&index) else { continue };
+            let shape = shape_of(&job.spec);
+            if shape.fits_within(&upcoming, ALL_TASKS) && !is_long_wait(context, job) {
+                shape.reserve(&mut upcoming);
+                continue;
+            }
+            let is_pending = self.pending_forwards.contains_key(&index);
+            if is_pending || !may_be_forwarded(leader, context, index, job) {
+                continue;
+            }
+            let spec = job.spec.clone();
+            let cell = self.choose_cell(context, index, &spec, &hosted_counts);
+            let Some(cell) = cell else { continue };
+            if !self.may_write(context) {
+                return;
+            }
+            if self.forward(leader, context, index, &spec, &cell) {
+                *hosted_counts.entry(cell).or_default() += 1;
+            }
+        }
+    }
+
+    /// The cell that the job is forwarded to, if one has capacity.
+    fn choose_cell(
+        &self,
+        context: &NodeContext,
+        index: JobIndex,
+        spec: &JobSpec,
+        hosted_counts: &HostedCounts,
+    ) -> Option<String> {
+        let settings = &context.operator.cells;
+        let timing = context.cell_leases.timing();
+        let tried = context.job(index).forwarding().map(|f| f.tried.as_slice()).unwrap_or_default();
+        let offers = self.neighbors.iter().filter_map(|(cell, neighbor)| {
+            let hosted = neighbor.hosted()?;
+            let stops_in_time = timing.grant_ms(hosted.stop_within_ms).is_some();
+            let is_below_limit =
+                hosted_counts.get(cell).is_none_or(|jobs| *jobs < settings.max_forwarded);
+            let may_be_offered = neighbor.may_be_offered(context.clock.now(), settings.silence_ms)
+                && stops_in_time
+                && is_below_limit
+                && !tried.contains(cell);
+            may_be_offered.then_some((cell.as_str(), hosted.capacity.as_slice()))
+        });
+        routing::choose(&shape_of(spec), offers, settings.fit_share).map(str::to_string)
+    }
+}
+
+fn count_hosted_elsewhere(leader: &Leader, context: &NodeContext) -> HostedCounts {
+    let mut counts = HostedCounts::new();
+    for (index, _) in leader.jobs.iter().filter(|(_, job)| job.is_away()) {
+        if let Some(forwarding) = context.job(*index).forwarding() {
+            *counts.entry(forwarding.cell.clone()).or_default() += 1;
+        }
+    }
+    counts
+}
+
+/// Whether a job may be offered to other cells: it has waited for long, no task of it was ever
+/// admitted, and it belongs here.
+fn may_be_forwarded(leader: &Leader, context: &NodeContext, index: JobIndex, job: &LiveJob) -> bool {
+    job.location == JobLocation::Local
+        && waited_ms(context, job) >= context.operator.cells.spill_after_ms
+        && job.backoff_until <= context.clock.now()
+        && job.done.is_empty()
+        && !leader.attempts.has_job(index)
+        && !context.must_stop(index)
+}
+
+/// Whether a job has waited for so long that it is offered to other cells even if this one is
+/// getting instances for it.
+fn is_long_wait(context: &NodeContext, job: &LiveJob) -> bool {
+    waited_ms(context, job) >= context.operator.cells.spill_after_ms * LONG_WAIT_FACTOR
+}
+
+/// Time since the job could have begun.
+fn waited_ms(context: &NodeContext, job: &LiveJob) -> Ms {
+    context.clock.wall().saturating_sub(job.ready_at_ms)
+}
--- a/src/core/leader/fleet/cloud_calls/mod.rs
+++ b/src/core/leader/fleet/cloud_calls/mod.rs
@@ -9,10 +9,10 @@
 mod scale_out;
 mod termination;
 
-use super::timer::Timer;
 use crate::core::common::context::NodeContext;
 use crate::core::common::token_bucket::TokenBucket;
 use crate::core::leader::Leader;
+use crate::core::leader::timer::Timer;
 use crate::core::{CloudRequest, CloudResponse};
 use crate::model::{InstanceIndex, Ms};
 use catalog::CatalogPoll;
--- a/src/core/leader/fleet/mod.rs
+++ b/src/core/leader/fleet/mod.rs
@@ -18,7 +18,6 @@
 mod overload_scale_out;
 mod refused_offers;
 mod scale_out_requests;
-mod timer;
 mod window_rule;
 
 pub use instance::InstancePhase;
@@ -28,6 +27,7 @@
 use super::forecast::History;
 use super::plan::Plan;
 use super::shards::ShardAssignment;
+use super::timer::Timer;
 use crate::core::common::context::NodeContext;
 use crate::core::common::named_table::NamedTable;
 use crate::core::common::recent_names::RecentNames;
@@ -39,7 +39,6 @@
 use refused_offers::RefusedOffers;
 use rustc_hash::FxHashMap;
 use scale_out_requests::ScaleOutRequests;
-use timer::Timer;
 
 /// The index of a machine that is not part of the fleet, or not yet.
 pub(in crate::core::leader) const NO_INSTANCE: InstanceIndex = InstanceIndex::new(u32::MAX);
--- a/src/core/leader/fleet/scale_out_requests.rs
+++ b/src/core/leader/fleet/scale_out_requests.rs
@@ -6,7 +6,7 @@
 
 use super::InstanceOffer;
 use super::offer::InstanceKind;
-use super::timer::Timer;
+use crate::core::leader::timer::Timer;
 use crate::model::Ms;
 
 /// Instances that one request asks for at the most.
--- a/src/core/leader/fleet/timer.rs
+++ b/src/core/leader/timer.rs
@@ -1,21 +1,21 @@
-//! A timer of the fleet's periodic work.
+//! A timer of the leader's periodic work.
 
 use crate::model::Ms;
 
 /// A time from which something is due. A new timer is due at once.
 #[derive(Debug, Clone, Copy, Default)]
-pub(super) struct Timer {
+pub(in crate::core::leader) struct Timer {
     due_at: Ms,
 }
 
 impl Timer {
     /// Whether the time has come.
-    pub(super) fn is_due(self, now: Ms) -> bool {
+    pub(in crate::core::leader) fn is_due(self, now: Ms) -> bool {
         now >= self.due_at
     }
 
     /// Makes it due at this time, whatever was set before.
-    pub(super) fn set(&mut self, due_at: Ms) {
+    pub(in crate::core::leader) fn set(&mut self, due_at: Ms) {
         self.due_at = due_at;
     }
 }
