--- a/src/core/leader/mod.rs
+++ b/src/core/leader/mod.rs
@@ -21,6 +21,7 @@
 mod reconciliation;
 mod scheduling_cycle;
 mod shards;
+mod timer;
 mod zones;
 
 use crate::core::StoreResponse;
@@ -178,7 +179,7 @@
         self.poll_at = context.clock.now() + POLL_GAP_MS;
         self.follow_jobs(context);
         self.cascade_due(context);
-        self.cells_poll(context);
+        self.poll_cells(context);
         self.poll_fleet(context);
         // What a scheduling cycle costs grows with what it has to look at.
         let gap = if self.cycle_due {
