--- a/src/core/leader/mod.rs
+++ b/src/core/leader/mod.rs
@@ -21,11 +21,12 @@
 mod reconciliation;
 mod scheduling_cycle;
 mod shards;
+mod timer;
 mod zones;
 
+use crate::core::StoreResponse;
 use crate::core::common::watch_cache::LEADER;
 use crate::core::common::{context::NodeContext, job_records::RecordSource};
-use crate::core::{CloudResponse, StoreResponse};
 use crate::model::{JobIndex, Ms, ShardIndex};
 use crate::wire::store::{Compare, JobRecord};
 use attempts::Attempts;
@@ -178,8 +179,8 @@
         self.poll_at = context.clock.now() + POLL_GAP_MS;
         self.follow_jobs(context);
         self.cascade_due(context);
-        self.cells_poll(context);
-        self.fleet_poll(context);
+        self.poll_cells(context);
+        self.poll_fleet(context);
         // What a scheduling cycle costs grows with what it has to look at.
         let gap = if self.cycle_due {
             context
@@ -230,7 +231,7 @@
             }
             LeaderCall::Cells(call) => self.on_cell_result(context, call, result),
             LeaderCall::Cascade { list } => self.on_cascaded(context, list, result),
-            LeaderCall::SaveFleet => self.fleet.saved(matches!(result, StoreResponse::Committed { .. })),
+            LeaderCall::SaveFleet => self.fleet.on_window_record_written(),
             LeaderCall::SaveCatalog => {
                 self.writes_parts |= matches!(result, StoreResponse::Malformed);
                 self.fleet.catalog_saved(
@@ -241,8 +242,4 @@
             LeaderCall::Forget { keys } => self.on_forgotten(context, keys, result),
         }
     }
-
-    pub fn on_cloud(&mut self, context: &mut NodeContext, call: u64, result: CloudResponse) {
-        self.fleet_result(context, call, result);
-    }
 }
