--- a/src/core/leader/cascading_cancellation.rs
+++ b/src/core/leader/cascading_cancellation.rs
@@ -16,7 +16,7 @@
 
 use super::write_state::WriteState;
 use super::{Leader, LeaderCall};
-use crate::core::common::watch_cache::job_key;
+use crate::core::common::store_keys::job_key;
 use crate::core::common::{context::NodeContext, job_records::RecordSource};
 use crate::core::{StoreCallOwner, StoreRequest, StoreResponse};
 use crate::model::{JobIndex, Ms};
--- a/src/core/leader/demand_samples.rs
+++ b/src/core/leader/demand_samples.rs
@@ -30,22 +30,17 @@
 
     /// Adds a sample of the present demand, as booked and as planned.
     pub(super) fn sample(&mut self, context: &NodeContext, plan: &ScaleOutPlan) {
-        let bookings = self.bookings(context);
-        let samples = &mut self.fleet.booked;
-        for (label, machines) in bookings {
-            let (sum, _) = samples.entry(label).or_default();
-            *sum += machines;
+        for (label, machines) in self.bookings(context) {
+            self.fleet.window.add_bookings(label, machines);
         }
         for (offer, machines) in plan.iter() {
             let label = machine_type_label(context, offer.machine_type, offer.is_spot);
-            let (sum, _) = samples.entry(label).or_default();
-            *sum += f64::from(machines);
+            self.fleet.window.add_bookings(label, f64::from(machines));
         }
         for machine_type in 0..context.machine_types.len() {
             for is_spot in [false, true] {
                 let label = machine_type_label(context, machine_type, is_spot);
-                let (_, count) = samples.entry(label).or_default();
-                *count += 1;
+                self.fleet.window.count_sample(label);
             }
         }
     }
--- a/src/core/leader/free_capacity.rs
+++ b/src/core/leader/free_capacity.rs
@@ -8,7 +8,7 @@
 use super::fleet::{InstanceOffer, InstancePhase};
 use super::zones::ZoneConstraints;
 use crate::core::common::context::NodeContext;
-use crate::core::common::window::{allowed, fit_score};
+use crate::core::common::placement::{allowed, fit_score};
 use crate::model::{InstanceIndex, JobSpec, Resources, ShardIndex};
 use rustc_hash::FxHashMap;
 
@@ -248,7 +248,7 @@
             let location = InstanceLocation { instance: index, shard: instance.shard };
             free_capacity.add_instance(class, location, total);
         }
-        for request in &self.fleet.rents {
+        for request in self.fleet.scale_out.iter() {
             let InstanceOffer { machine_type, zone, is_spot } = &request.offer;
             let Some(catalog_entry) = context.machine_types.get(*machine_type) else { continue };
             let class = free_capacity.class_index(*machine_type, zone, *is_spot, catalog_entry.capacity);
--- a/src/core/leader/mod.rs
+++ b/src/core/leader/mod.rs
@@ -30,12 +30,13 @@
 mod scheduling_cycle;
 mod shards;
 mod task_counts;
+mod timer;
 mod write_state;
 mod zones;
 
+use crate::core::StoreResponse;
 use crate::core::common::context::NodeContext;
-use crate::core::common::watch_cache::LEADER;
-use crate::core::{CloudResponse, StoreResponse};
+use crate::core::common::store_keys::LEADER;
 use crate::model::{JobIndex, Ms, ShardIndex};
 use crate::wire::store::Compare;
 use attempts::Attempts;
@@ -225,8 +226,8 @@
         self.poll_at = context.clock.now() + POLL_GAP_MS;
         self.follow_jobs(context);
         self.write_cancellations(context);
-        self.cells_poll(context);
-        self.fleet_poll(context);
+        self.poll_cells(context);
+        self.poll_fleet(context);
         if context.clock.now() >= self.cycle_at + self.cycle_gap(context) {
             self.cycle_at = context.clock.now();
             self.cycle_due = false;
@@ -262,9 +263,7 @@
                 self.on_cancellations_written(context, jobs, response);
             }
             LeaderCall::Cells(call) => self.on_cell_result(context, call, response),
-            LeaderCall::SaveFleet => {
-                self.fleet.saved(matches!(response, StoreResponse::Committed { .. }));
-            }
+            LeaderCall::SaveFleet => self.fleet.on_window_record_written(),
             LeaderCall::SaveCatalog => {
                 self.has_lowered_limits |= matches!(response, StoreResponse::Malformed);
                 let is_saved = matches!(response, StoreResponse::Committed { .. });
@@ -272,9 +271,4 @@
             }
         }
     }
-
-    /// Takes in the response to a call to the cloud.
-    pub fn on_cloud(&mut self, context: &mut NodeContext, call: u64, response: CloudResponse) {
-        self.fleet_result(context, call, response);
-    }
 }
--- a/src/core/leader/persistence.rs
+++ b/src/core/leader/persistence.rs
@@ -6,7 +6,7 @@
 use super::rebuild::FLEET_KEY;
 use super::{FleetRecord, Leader, LeaderCall};
 use crate::core::common::context::NodeContext;
-use crate::core::common::watch_cache::catalog_key;
+use crate::core::common::store_keys::catalog_key;
 use crate::core::{StoreCallOwner, StoreRequest};
 use crate::wire::cloud;
 use crate::wire::encoded::Encoded;
--- a/src/core/leader/rebuild.rs
+++ b/src/core/leader/rebuild.rs
@@ -127,7 +127,9 @@
                 self.fleet.resume(context, record.at_ms, record.history);
             }
             // No window has ever begun: there is no fleet to wait for.
-            (RecordKind::Fleet, StoreResponse::NotFound) => self.fleet.first(context),
+            (RecordKind::Fleet, StoreResponse::NotFound) => {
+                self.fleet.start_without_predecessor(context)
+            }
             _ => {
                 *self.loading.state_mut(kind) = LoadState::Due;
                 self.loading.retry_at = context.clock.now() + context.jitter(RETRY_MS);
--- a/src/core/leader/reconciliation.rs
+++ b/src/core/leader/reconciliation.rs
@@ -181,7 +181,7 @@
         let ReportedAttempt { machine, job, task, .. } = *reported;
         let Some(live) = self.jobs.get_mut(&job.job) else { return };
         if live.on_task_succeeded(task.task) {
-            self.fleet.succeeded(machine);
+            self.fleet.on_task_succeeded(machine);
             learn_run_time(&mut self.ratios, &live.spec, task.ran_ms);
         } else if live.progress.is_recorded(task.task) {
             self.stop_attempt(task.attempt);
@@ -196,7 +196,7 @@
         let now = context.clock.now();
         let Some(live) = self.jobs.get_mut(&job.job) else { return };
         if !live.on_task_failed(now, machine) {
-            self.fleet.failed(now, machine, job.job);
+            self.fleet.on_task_failed(now, machine, job.job);
         }
     }
 
--- a/src/core/leader/scale_out_plan.rs
+++ b/src/core/leader/scale_out_plan.rs
@@ -11,7 +11,7 @@
 use super::quota::quota_tasks;
 use super::zones::ZoneConstraints;
 use crate::core::common::context::NodeContext;
-use crate::core::common::window::allowed;
+use crate::core::common::placement::allowed;
 use crate::model::{JobIndex, JobSpec, Resources};
 use rustc_hash::{FxHashMap, FxHashSet};
 use std::collections::BTreeMap;
@@ -153,8 +153,7 @@
             for zone in &catalog_entry.zones {
                 for is_spot in [false, true] {
                     let offer = InstanceOffer { machine_type, zone: zone.clone(), is_spot };
-                    let refused = self.fleet.refused.get(&offer);
-                    if refused.is_some_and(|(until, _)| *until > context.clock.now()) {
+                    if self.fleet.refused_offers.is_refused(&offer, context.clock.now()) {
                         continue;
                     }
                     let kind = MachineKind { machine_type, zone, is_spot };
--- a/src/core/leader/shards.rs
+++ b/src/core/leader/shards.rs
@@ -8,7 +8,7 @@
 use super::{Leader, LeaderCall};
 use crate::core::common::context::NodeContext;
 use crate::core::common::shard_map::KnownOwner;
-use crate::core::common::watch_cache::shard_key;
+use crate::core::common::store_keys::shard_key;
 use crate::core::{StoreCallOwner, StoreRequest};
 use crate::model::{JobIndex, Ms, ShardIndex};
 use crate::wire::encoded::Encoded;
