--- a/tests/cells.rs
+++ b/tests/cells.rs
@@ -18,7 +18,7 @@
 /// Cells of which the first can rent nothing.
 fn full_origin(count: usize, seed: u64) -> Cells {
     let mut cells = Cells::new(count, seed);
-    cells.worlds[ORIGIN].capacity = 0;
+    cells.worlds[ORIGIN].cloud.capacity = 0;
     cells.run(8_000);
     cells
 }
@@ -61,7 +61,7 @@
     for world in &mut cells.worlds {
         world.run_ms = 20_000;
     }
-    cells.worlds[ORIGIN].capacity = 2;
+    cells.worlds[ORIGIN].cloud.capacity = 2;
     cells.run(8_000);
     let began = cells.now();
     for id in 1..=24 {
@@ -168,11 +168,11 @@
         spilled(&mut cells, 6, 40.0);
         // Reading takes some seconds, and messages come twice a second.
         for node in 0..3 {
-            cells.worlds[cell].slow.insert(node, 1_000);
+            cells.worlds[cell].store_faults.slow.insert(node, 1_000);
         }
         cells.crash_cell(cell, 500);
         cells.run(10_000);
-        cells.worlds[cell].slow.clear();
+        cells.worlds[cell].store_faults.slow.clear();
         assert!(cells.until_done(ORIGIN, JOB, 120_000), "cell {cell}");
         cells.fair();
     }
@@ -185,7 +185,7 @@
         let host = spilled(&mut cells, 6, 300.0);
         // The host goes on inside, workers and all; nobody outside hears of it.
         cells.part(ORIGIN, host);
-        cells.worlds[ORIGIN].capacity = 12;
+        cells.worlds[ORIGIN].cloud.capacity = 12;
         cells.worlds[ORIGIN].run_ms = 10_000;
         assert!(cells.until(60_000, |cells| cells.running(host, JOB) == 0), "the lease ends");
         assert!(cells.until_done(ORIGIN, JOB, 180_000), "seed {seed}");
@@ -206,7 +206,7 @@
     let host = spilled(&mut cells, 6, 300.0);
     cells.crash_cell(host, 150_000);
     let lost_at = cells.now();
-    cells.worlds[ORIGIN].capacity = 12;
+    cells.worlds[ORIGIN].cloud.capacity = 12;
     cells.worlds[ORIGIN].run_ms = 10_000;
     assert!(cells.until(120_000, |cells| cells.running(ORIGIN, JOB) > 0));
     println!("from the loss of the host cell to the first start at home: {} ms", cells.now() - lost_at);
@@ -224,14 +224,14 @@
         world.run_ms = 15_000;
     }
     // Room for four tasks of twelve at a time.
-    cells.worlds[HOST].capacity = 1;
+    cells.worlds[HOST].cloud.capacity = 1;
     cells.accept(ORIGIN, &job(1, "t1", 12, 15.0));
     assert!(cells.until(120_000, |cells| cells.running(HOST, JOB) > 0));
     let some_done = |cells: &Cells| cells.starts(HOST, JOB) > 4;
     assert!(cells.until(120_000, some_done));
     cells.run(1_500);
     cells.part(ORIGIN, HOST);
-    cells.worlds[ORIGIN].capacity = 12;
+    cells.worlds[ORIGIN].cloud.capacity = 12;
     assert!(cells.until_done(ORIGIN, JOB, 240_000));
     let at_origin = cells.starts(ORIGIN, JOB);
     assert!(at_origin <= 8, "{at_origin} of 12 started at the origin, four were done at the host");
@@ -248,12 +248,12 @@
         }
         if seed / 2 == 1 {
             // The host's controllers can't write the withdrawal either.
-            cells.worlds[host].state.down = true;
+            cells.worlds[host].store.down = true;
         }
         assert!(cells.cancel(ORIGIN, JOB));
         cells.run(support::CANCEL_MS + 1_000);
         assert_eq!(cells.running(host, JOB), 0, "seed {seed}");
-        cells.worlds[host].state.down = false;
+        cells.worlds[host].store.down = false;
         cells.join();
         cells.run(60_000);
         assert_eq!(cells.running(host, JOB), 0, "seed {seed}");
@@ -268,7 +268,7 @@
         let mut cells = full_origin(2, seed);
         spilled(&mut cells, 6, 40.0);
         cells.cut.insert(way);
-        cells.worlds[ORIGIN].capacity = 12;
+        cells.worlds[ORIGIN].cloud.capacity = 12;
         assert!(cells.until_done(ORIGIN, JOB, 240_000), "{way:?}");
         cells.join();
         cells.run(60_000);
@@ -284,7 +284,7 @@
     // The origin has heard what the host has room for.
     cells.accept(ORIGIN, &job(1, "t1", 4, 10.0));
     assert!(cells.until(60_000, |cells| cells.forwarded_to(ORIGIN, JOB).is_some()));
-    cells.worlds[ORIGIN].capacity = 12;
+    cells.worlds[ORIGIN].cloud.capacity = 12;
     // The host hears nothing, says nothing of the job, and is recalled for being idle.
     assert!(cells.until_done(ORIGIN, JOB, 240_000), "{:?}", cells.record(ORIGIN, JOB));
     cells.let_go(ORIGIN, HOST);
@@ -326,13 +326,13 @@
         let mut cells = full_origin(2, 150 + seed);
         for world in &mut cells.worlds {
             world.run_ms = 15_000;
-            world.lossy = 0.3;
+            world.store_faults.loss = 0.3;
         }
         for id in 1..=4 {
             cells.accept(ORIGIN, &job(id, "t1", 4, 15.0));
         }
         cells.run(20_000);
-        cells.worlds[ORIGIN].capacity = 4;
+        cells.worlds[ORIGIN].cloud.capacity = 4;
         for id in 1..=4 {
             let id = format!("run-{id:06}");
             assert!(cells.until_done(ORIGIN, &id, 400_000), "seed {seed} {id}");
@@ -348,12 +348,12 @@
     cells.accept(ORIGIN, &job(1, "t1", 4, 30.0));
     cells.hold_writes(ORIGIN, JOB);
     cells.run(20_000);
-    assert!(cells.worlds[ORIGIN].picked > 0, "the forwarding is under way");
-    cells.worlds[ORIGIN].capacity = 12;
+    assert!(cells.worlds[ORIGIN].store_faults.picked > 0, "the forwarding is under way");
+    cells.worlds[ORIGIN].cloud.capacity = 12;
     cells.run(30_000);
     cells.worlds[ORIGIN].carry_out_late();
     cells.run(10_000);
-    cells.worlds[ORIGIN].pick = None;
+    cells.worlds[ORIGIN].store_faults.pick = None;
     assert!(cells.until_done(ORIGIN, JOB, 240_000), "{:?}", cells.record(ORIGIN, JOB));
     assert_each_task_started_once(&cells, JOB, 4);
     cells.fair();
@@ -377,9 +377,9 @@
     cells.hold_writes(HOST, JOB);
     assert!(cells.cancel(ORIGIN, JOB));
     cells.run(support::CANCEL_MS + 1_000);
-    assert!(cells.worlds[HOST].picked > 0, "the withdrawal is under way");
+    assert!(cells.worlds[HOST].store_faults.picked > 0, "the withdrawal is under way");
     assert_eq!(cells.running(HOST, JOB), 0);
-    cells.worlds[HOST].pick = None;
+    cells.worlds[HOST].store_faults.pick = None;
     assert!(cells.until(60_000, |cells| cells.running(HOST, "run-000002") == 4), "the other goes on");
     cells.fair();
 }
@@ -393,15 +393,15 @@
     cells.hold_writes(HOST, JOB);
     cells.accept(ORIGIN, &job(1, "t1", 4, 60.0));
     assert!(cells.until(60_000, |cells| cells.forwarded_to(ORIGIN, JOB).is_some()));
-    cells.worlds[ORIGIN].capacity = 12;
+    cells.worlds[ORIGIN].cloud.capacity = 12;
     cells.worlds[ORIGIN].run_ms = 60_000;
     assert!(cells.until(240_000, |cells| cells.running(ORIGIN, JOB) == 4), "taken back");
-    assert!(cells.worlds[HOST].picked > 0);
+    assert!(cells.worlds[HOST].store_faults.picked > 0);
     // Now the host has a live record of it, a valid lease, and can't write the withdrawal.
     cells.worlds[HOST].carry_out_late();
     cells.run(20_000);
     assert_eq!(cells.starts(HOST, JOB), 0);
-    cells.worlds[HOST].pick = None;
+    cells.worlds[HOST].store_faults.pick = None;
     assert!(cells.until_done(ORIGIN, JOB, 120_000));
     cells.fair();
 }
@@ -409,7 +409,7 @@
 #[test]
 fn an_offer_that_was_refused_is_not_accepted_when_its_copy_comes_late() {
     let mut cells = full_origin(2, 200);
-    cells.worlds[ORIGIN].boot_ms = 500..1_000;
+    cells.worlds[ORIGIN].cloud.boot_ms = 500..1_000;
     for world in &mut cells.worlds {
         world.run_ms = 60_000;
     }
@@ -424,7 +424,7 @@
     let offer =
         recorded.iter().find(|message| message.forwarded.jobs.iter().any(|job| job.spec.is_some()));
     let offer = offer.unwrap().clone();
-    cells.worlds[ORIGIN].capacity = 12;
+    cells.worlds[ORIGIN].cloud.capacity = 12;
     // Room at the host, a new leader that has heard nothing, and then the late copy.
     assert!(cells.cancel(HOST, "run-000008"));
     cells.part(ORIGIN, HOST);
@@ -516,12 +516,12 @@
 #[test]
 fn a_cell_that_takes_no_jobs_is_offered_none() {
     let mut cells = Cells::with_settings(2, 260, "accept=false");
-    cells.worlds[ORIGIN].capacity = 0;
+    cells.worlds[ORIGIN].cloud.capacity = 0;
     cells.run(8_000);
     cells.accept(ORIGIN, &job(1, "t1", 4, 10.0));
     cells.run(60_000);
     assert_eq!(cells.forwarded_to(ORIGIN, JOB), None);
-    cells.worlds[ORIGIN].capacity = 12;
+    cells.worlds[ORIGIN].cloud.capacity = 12;
     assert!(cells.until_done(ORIGIN, JOB, 120_000));
     assert_each_task_started_once(&cells, JOB, 4);
     cells.fair();
@@ -533,7 +533,7 @@
     spilled(&mut cells, 4, 300.0);
     cells.worlds[ORIGIN].operator = Operator::default();
     cells.crash_cell(ORIGIN, 1_000);
-    cells.worlds[ORIGIN].capacity = 12;
+    cells.worlds[ORIGIN].cloud.capacity = 12;
     cells.worlds[ORIGIN].run_ms = 10_000;
     assert!(cells.until_done(ORIGIN, JOB, 200_000));
     assert_eq!(cells.starts(ORIGIN, JOB), 4);
@@ -554,7 +554,7 @@
     cells.crash_cell(HOST, 500);
     cells.run(4_000);
     cells.join();
-    cells.worlds[ORIGIN].capacity = 12;
+    cells.worlds[ORIGIN].cloud.capacity = 12;
     assert!(cells.until_done(ORIGIN, JOB, 120_000));
     assert_eq!(cells.starts(ORIGIN, JOB), 0);
     assert_each_task_started_once(&cells, JOB, 4);
@@ -564,8 +564,8 @@
 #[test]
 fn a_job_that_has_begun_at_home_stays_there() {
     let mut cells = Cells::new(2, 220);
-    cells.worlds[ORIGIN].capacity = 1;
-    cells.worlds[ORIGIN].boot_ms = 500..1_000;
+    cells.worlds[ORIGIN].cloud.capacity = 1;
+    cells.worlds[ORIGIN].cloud.boot_ms = 500..1_000;
     cells.worlds[ORIGIN].run_ms = 60_000;
     cells.accept(ORIGIN, &job(1, "t1", 8, 60.0));
     assert!(cells.until(60_000, |cells| cells.running(ORIGIN, JOB) > 0));
@@ -581,19 +581,19 @@
     let host = spilled(&mut cells, 4, 30.0);
     let request = cells.worlds[host].submit(0, &job(1, "t1", 4, 30.0));
     cells.run(1_000);
-    assert_eq!(cells.worlds[host].answers[&request].status, 422);
+    assert_eq!(cells.worlds[host].users.answers[&request].status, 422);
     let request = cells.worlds[host].ask(0, woadlever::core::HttpRequest::Cancel(JOB.into()));
     cells.run(1_000);
-    assert_eq!(cells.worlds[host].answers[&request].status, 404);
+    assert_eq!(cells.worlds[host].users.answers[&request].status, 404);
     assert!(cells.until_done(ORIGIN, JOB, 120_000));
 
     // The other way round: both cells have a job of this id, and neither is lost.
     let mut cells = Cells::new(2, 161);
-    cells.worlds[ORIGIN].capacity = 0;
+    cells.worlds[ORIGIN].cloud.capacity = 0;
     cells.run(8_000);
     cells.accept(HOST, &job(1, "t1", 2, 5.0));
     cells.accept(ORIGIN, &job(1, "t1", 2, 5.0));
     assert!(cells.until_done(HOST, JOB, 120_000));
-    cells.worlds[ORIGIN].capacity = 12;
+    cells.worlds[ORIGIN].cloud.capacity = 12;
     assert!(cells.until_done(ORIGIN, JOB, 240_000), "{:?}", cells.record(ORIGIN, JOB));
 }
--- a/tests/combined_faults.rs
+++ b/tests/combined_faults.rs
@@ -14,13 +14,13 @@
 }
 
 fn status_of(w: &World, req: u64) -> String {
-    let Some(a) = w.answers.get(&req) else { return "none".into() };
+    let Some(a) = w.users.answers.get(&req) else { return "none".into() };
     let v: Value = serde_json::from_str(&a.body).unwrap_or_default();
     v["status"].as_str().map_or(a.status.to_string(), str::to_string)
 }
 
 fn state_of(w: &World, n: u32) -> String {
-    let rec = w.state.keys.get(&format!("w/job/{}", id(n)));
+    let rec = w.store.keys.get(&format!("w/job/{}", id(n)));
     rec.and_then(|v| v.0["s"].as_str().map(str::to_string)).unwrap_or_default()
 }
 
@@ -35,7 +35,7 @@
         w.accept(0, &j);
     }
     w.run(40_000);
-    assert_eq!(w.starts.len() as u32, 2 * tasks);
+    assert_eq!(w.oracle.starts.len() as u32, 2 * tasks);
     w
 }
 
@@ -52,9 +52,9 @@
 /// The cloud takes nothing back meanwhile, so that nothing but the rules on
 /// authority makes an end of tasks.
 fn run_without_cloud(w: &mut World, ms: u64) {
-    w.cloud_down = true;
+    w.cloud.is_down = true;
     w.run(ms);
-    w.cloud_down = false;
+    w.cloud.is_down = false;
 }
 
 // ---- the gap: authority while cancellations are confirmed elsewhere ----
@@ -66,17 +66,19 @@
 /// only the deadline of authority is left.
 fn gap(seed: u64, refused_ms: u64, drift: f64, hang_ms: u64) {
     let mut w = busy(seed, 8);
-    w.drift = vec![drift, -drift, drift];
+    for (controller, drift) in w.controllers.iter_mut().zip([drift, -drift, drift]) {
+        controller.drift = drift;
+    }
     for round in 0..2 {
         let old = w.leader().unwrap();
         let other = (old + 1) % 3;
-        w.one_way.extend([(0, 1), (0, 2), (1, 0), (1, 2), (2, 0), (2, 1)]);
+        w.network.one_way.extend([(0, 1), (0, 2), (1, 0), (1, 2), (2, 0), (2, 1)]);
         // Where the leader holds a busy machine, that one hangs as well.
         if let Some(m) = (0..w.workers.len()).find(|m| !w.workers[*m].tasks.is_empty()) {
             w.workers[m].hung_until = w.now + 1_500 + hang_ms;
-            w.lose_replies.insert((m + 1) % w.workers.len());
+            w.network.lose_replies.insert((m + 1) % w.workers.len());
         }
-        w.state.refuses.insert(old);
+        w.store.refuses.insert(old);
         w.run(400);
         for n in [1, 2, 3] {
             if state_of(&w, n) != "l" {
@@ -85,12 +87,12 @@
             assert_eq!(w.cancel(other, &id(n)), 200);
         }
         w.run(refused_ms);
-        w.state.down = true;
+        w.store.down = true;
         run_without_cloud(&mut w, CANCEL_MS + 12_000);
-        w.lose_replies.clear();
-        w.state.refuses.clear();
-        w.state.down = false;
-        w.one_way.clear();
+        w.network.lose_replies.clear();
+        w.store.refuses.clear();
+        w.store.down = false;
+        w.network.one_way.clear();
         w.run(12_000);
         if round == 0 {
             let r = w.submit(other, &job(3, "t1", 6, 600.0));
@@ -98,7 +100,7 @@
             assert!(matches!(status_of(&w, r).as_str(), "queued" | "running"));
         }
     }
-    assert_eq!(w.cancelled.len(), 3);
+    assert_eq!(w.users.cancelled.len(), 3);
     w.run(60_000);
     w.fair();
     assert_eq!(on_machines(&w, 1) + on_machines(&w, 2) + on_machines(&w, 3), 0);
@@ -126,20 +128,20 @@
 fn nothing_but_an_answered_read_moves_the_proof() {
     let mut w = busy(504, 4);
     let node = w.leader().unwrap();
-    let proof = |w: &World| w.nodes[node].as_ref().unwrap().0.context.control_lease.renewed_at();
+    let proof = |w: &World| w.core(node).unwrap().context.control_lease.renewed_at();
     w.run(1_000);
-    w.state.refuses.insert(node);
+    w.store.refuses.insert(node);
     w.run(100);
     let before = proof(&w);
     // The watch under way ends without an answer; all else is refused; the others
     // tell that they are served.
     w.run(9_000);
     assert_eq!(proof(&w), before, "refused all the while");
-    w.state.refuses.clear();
+    w.store.refuses.clear();
     w.run(3_000);
     assert!(proof(&w) > before);
     // Writes that lose their answer, and conditions that fail, are no proof.
-    w.slow_watch.insert(node, 20_000);
+    w.store_faults.slow_watch.insert(node, 20_000);
     w.run(2_500);
     let before = proof(&w);
     w.accept(node, &job(9, "t0", 1, 5.0));
@@ -149,9 +151,9 @@
     while proof(&w) == before {
         w.run(25);
     }
-    let age = w.nodes[node].as_ref().unwrap().0.context.clock.now() - proof(&w).unwrap();
+    let age = w.core(node).unwrap().context.clock.now() - proof(&w).unwrap();
     assert!(age >= 20_000, "{age}");
-    w.slow_watch.clear();
+    w.store_faults.slow_watch.clear();
     w.run(25_000);
     w.fair();
 }
@@ -168,7 +170,7 @@
     w.accept(0, &job(1, "t1", 12, 600.0));
     w.run(20_000);
     for n in 0..3 {
-        w.slow_watch.insert(n, 8_000);
+        w.store_faults.slow_watch.insert(n, 8_000);
     }
     w.run(1_000);
     assert!(on_machines(&w, 1) > 0);
@@ -179,11 +181,11 @@
         tasks.filter(|t| t.why.is_none()).count()
     };
     assert_eq!(live(&w), 0, "the watch shows it seconds later, and reports are rare");
-    assert_eq!(w.late_starts, [], "started after the confirmation");
+    assert_eq!(w.oracle.late_starts, [], "started after the confirmation");
     // Bound and on record, its `run` not yet sent: it never is.
     w.accept(0, &job(2, "t1", 12, 600.0));
     let on_record = |w: &World| {
-        let mut places = w.state.keys.iter().filter(|(k, _)| k.starts_with("place/"));
+        let mut places = w.store.keys.iter().filter(|(k, _)| k.starts_with("place/"));
         places.any(|(_, v)| v.0["j"].as_array().unwrap().iter().any(|j| j[0] == id(2)))
     };
     for x in &mut w.workers {
@@ -197,7 +199,7 @@
         x.mute = false;
     }
     w.run(30_000);
-    assert_eq!(w.late_starts, [], "started after the confirmation");
+    assert_eq!(w.oracle.late_starts, [], "started after the confirmation");
     w.fair();
 }
 
@@ -247,13 +249,13 @@
         let shard_owner = w.shard_owner_of(m);
         let other = (shard_owner + 1) % 3;
         for n in (0..3).filter(|n| *n != shard_owner) {
-            w.cuts.insert((shard_owner, n));
+            w.network.cuts.insert((shard_owner, n));
         }
         w.run(wait);
         assert_eq!(w.cancel(other, &id(1)), 200);
         assert_eq!(w.cancel(other, &id(2)), 200);
         w.run(8_000);
-        w.cuts.clear();
+        w.network.cuts.clear();
         w.run(CANCEL_MS);
         assert_eq!(on_machines(&w, 1) + on_machines(&w, 2), 0, "{wait}");
         w.fair();
@@ -277,7 +279,7 @@
             w.run(25);
         }
         w.run(k * 25);
-        w.asked_to_cancel.insert(id(1));
+        w.users.asked_to_cancel.insert(id(1));
         let (a, b, c) = (
             w.ask(1, HttpRequest::Cancel(id(1))),
             w.submit(2, &body),
@@ -312,7 +314,7 @@
     w.run_ms = 5_000;
     w.run(5_000);
     for n in 0..3 {
-        w.slow_watch.insert(n, 1_500);
+        w.store_faults.slow_watch.insert(n, 1_500);
     }
     for n in 1..9 {
         let body = job(n, "t0", 1, 5.0);
@@ -320,8 +322,8 @@
         let first = w.submit(at, &body);
         // The same again before the first is settled: one of them creates it.
         let again = w.submit((at + 1) % 3, &body);
-        while w.answers.get(&first).is_none_or(|a| a.status != 201)
-            && w.answers.get(&again).is_none_or(|a| a.status != 201)
+        while w.users.answers.get(&first).is_none_or(|a| a.status != 201)
+            && w.users.answers.get(&again).is_none_or(|a| a.status != 201)
         {
             w.run(5);
         }
@@ -334,9 +336,9 @@
             }
         }
         if n % 2 == 0 {
-            w.asked_to_cancel.insert(id(n));
+            w.users.asked_to_cancel.insert(id(n));
             let c = w.ask((at + 2) % 3, HttpRequest::Cancel(id(n)));
-            while !w.answers.contains_key(&c) {
+            while !w.users.answers.contains_key(&c) {
                 w.run(5);
             }
             let word = status_of(&w, c);
@@ -379,10 +381,10 @@
     w.run(5_000);
     w.accept(0, &job(1, "t0", 1, 300.0));
     // Read before the cancellation; what was read comes in after it.
-    w.lag.insert(1, 900);
+    w.network.lag.insert(1, 900);
     let asked = w.ask(1, HttpRequest::Status(id(1)));
     w.run(25);
-    w.lag.remove(&1);
+    w.network.lag.remove(&1);
     assert_eq!(w.cancel(1, &id(1)), 200);
     w.run(2_000);
     assert_eq!(status_of(&w, asked), "withdrawn");
@@ -404,7 +406,7 @@
             if prefix != "w/catalog" {
                 w.run(5_000);
             }
-            w.pick = Some((node, prefix.into(), fate));
+            w.store_faults.pick = Some((node, prefix.into(), fate));
             if prefix == "w/leader" {
                 let old = w.leader().unwrap();
                 w.crash(old, 400);
@@ -421,10 +423,10 @@
                 w.crash((node + 1) % 3, 5_000);
             }
             w.run(9_000);
-            w.asked_to_cancel.insert(id(4));
+            w.users.asked_to_cancel.insert(id(4));
             w.ask(node, HttpRequest::Cancel(id(4)));
             w.run(6_000);
-            w.pick = None;
+            w.store_faults.pick = None;
             w.run(4_000);
             w.carry_out_late();
             w.run(3_000);
@@ -465,19 +467,19 @@
     let leader = w.leader().unwrap();
     // Two waves of ends; a last task that outlives both.
     w.accept(leader, &job(1, "t0", 30, 6.0));
-    w.pick = Some((leader, "progress/".into(), Fate::Late));
-    while w.picked == 0 {
+    w.store_faults.pick = Some((leader, "progress/".into(), Fate::Late));
+    while w.store_faults.picked == 0 {
         w.run(25);
     }
-    w.pick = None;
+    w.store_faults.pick = None;
     w.run(12_000);
     let key = format!("progress/{}/0", id(1));
-    let before = w.state.keys[&key].clone();
+    let before = w.store.keys[&key].clone();
     assert!(w.carry_out_late().iter().all(|r| matches!(r, StoreResponse::Conflict(_))));
-    assert_eq!(w.state.keys[&key].0, before.0, "bits went back");
+    assert_eq!(w.store.keys[&key].0, before.0, "bits went back");
     w.crash(leader, 5_000);
     assert!(w.until_done(&id(1), 120_000));
-    assert!(w.starts.values().all(|n| *n == 1), "done tasks ran again: {:?}", w.starts);
+    assert!(w.oracle.starts.values().all(|n| *n == 1), "done tasks ran again: {:?}", w.oracle.starts);
     w.fair();
 }
 
@@ -489,7 +491,7 @@
     // n1 alone holds the west, and another leads.
     let mut w = World::new(3, 550);
     w.run_ms = 60_000;
-    w.capacity = 0;
+    w.cloud.capacity = 0;
     w.run(3_000);
     w.crash(1, 8_000);
     w.run(20_000);
@@ -503,9 +505,9 @@
     w.run(12_000);
     assert_eq!(on_machines(&w, 1), 3);
     // Bindings of another job are under way for long.
-    w.slow_txn.insert(1, 7_500);
+    w.store_faults.slow_writes.insert(1, 7_500);
     w.accept(0, &job(2, "t0", 2, 60.0));
-    w.slow_txn.clear();
+    w.store_faults.slow_writes.clear();
     let old = w.leader().unwrap();
     let free = (0..3).find(|n| *n != 1 && *n != old).unwrap();
     // Meanwhile the record comes to list what is gone, so that it is due to be
@@ -518,14 +520,14 @@
     }
     w.crash(old, 60_000);
     w.run(2_000);
-    w.one_way.extend([(1, 0), (1, 2), (0, 1), (2, 1)]);
-    w.given_up_ms = 100;
-    w.pick = Some((1, "place/".into(), Fate::AnswerLost));
+    w.network.one_way.extend([(1, 0), (1, 2), (0, 1), (2, 1)]);
+    w.store_faults.timeout_ms = 100;
+    w.store_faults.pick = Some((1, "place/".into(), Fate::AnswerLost));
     w.run(12_000);
     assert_eq!(w.leader(), Some(free));
     assert!(on_machines(&w, 2) > 0, "the new leader has it start elsewhere");
-    w.pick = None;
-    w.one_way.clear();
+    w.store_faults.pick = None;
+    w.network.one_way.clear();
     assert!(w.until_done(&id(2), 240_000));
     w.fair();
 }
@@ -543,8 +545,8 @@
     for n in 1..80 {
         let r = w.submit(0, &job(n, "t0", 1, 5.0));
         w.run(50);
-        assert_eq!(w.answers[&r].status, 201);
-        w.asked_to_cancel.insert(id(n));
+        assert_eq!(w.users.answers[&r].status, 201);
+        w.users.asked_to_cancel.insert(id(n));
         w.ask(0, HttpRequest::Cancel(id(n)));
         w.run(50);
     }
@@ -554,18 +556,18 @@
         w.accept(0, &j);
     }
     w.run(60_000);
-    let started = w.starts.clone();
+    let started = w.oracle.starts.clone();
     for node in [2, 1, 0] {
         // Back at once, and its first read comes after the leader has heard it.
         w.crash(node, 100);
-        w.state.refuses.insert(node);
+        w.store.refuses.insert(node);
         w.run(1_000);
-        w.state.refuses.remove(&node);
+        w.store.refuses.remove(&node);
         w.run(9_000);
     }
     w.run(40_000);
     w.fair();
-    assert_eq!(w.starts, started, "tasks were given up and started again");
+    assert_eq!(w.oracle.starts, started, "tasks were given up and started again");
 }
 
 /// Controllers hand over and back, all end, and one returns, within a second.
@@ -584,7 +586,7 @@
         w.run(7_000);
         assert_eq!(w.leader(), Some(1), "the one that is there leads");
         w.run(25_000);
-        assert!(w.starts.values().all(|n| *n == 1), "{:?}", w.starts);
+        assert!(w.oracle.starts.values().all(|n| *n == 1), "{:?}", w.oracle.starts);
         w.accept(1, &job(5, "t0", 2, 5.0));
         w.fair();
     }
@@ -602,13 +604,13 @@
         let node = turn as usize % 3;
         w.submit(node, &body);
         w.run(4_000);
-        w.state.down = turn == 4 || turn == 7;
+        w.store.down = turn == 4 || turn == 7;
         w.run(500);
         if let Some(l) = w.leader() {
             w.crash(l, if turn % 2 == 0 { 300 } else { 4_000 });
         }
         w.run(2_000);
-        w.state.down = false;
+        w.store.down = false;
         if turn % 4 == 3 {
             w.cancel(node, &id(turn));
         }
@@ -648,7 +650,7 @@
         w.run_ms = 10_000;
         w.run(5_000);
         w.accept(0, &job(1, "t0", tasks, 10.0));
-        while w.starts.is_empty() {
+        while w.oracle.starts.is_empty() {
             w.run(25);
         }
         // The first to start ends soon, the others much later.
@@ -672,7 +674,7 @@
         for n in 0..3 {
             assert_eq!(w.status(n, &id(1)), "done");
         }
-        assert!(w.starts.values().all(|n| *n == 1), "{:?}", w.starts);
+        assert!(w.oracle.starts.values().all(|n| *n == 1), "{:?}", w.oracle.starts);
         w.fair();
     }
 }
@@ -686,7 +688,7 @@
 fn old_reports_of_two_sessions_prove_nothing_to_a_new_holder() {
     let mut w = World::new(3, 570);
     w.run_ms = 600_000;
-    w.capacity = 0;
+    w.cloud.capacity = 0;
     for i in 1..5 {
         w.add_worker(i, if i % 2 == 0 { "east" } else { "west" }, false, 500);
     }
@@ -708,7 +710,7 @@
         w.accept(0, &j);
     }
     w.run(12_000);
-    assert_eq!(w.starts.len(), 4);
+    assert_eq!(w.oracle.starts.len(), 4);
     let m = machine_of(&w, 1);
     let shard_owner = w.shard_owner_of(m);
     // The machine itself is not heard for a while.
@@ -718,12 +720,16 @@
     let now = w.shard_owner_of(m);
     assert_ne!(now, shard_owner);
     for r in [&first[m], &second[m]] {
-        w.late_report(now, r.clone());
+        w.late_heartbeat(now, r.clone());
     }
     w.run(3_000);
     w.workers[m].cut = false;
     w.run(40_000);
-    assert!(w.starts.values().all(|n| *n == 1), "given up on the word of old reports: {:?}", w.starts);
+    assert!(
+        w.oracle.starts.values().all(|n| *n == 1),
+        "given up on the word of old reports: {:?}",
+        w.oracle.starts
+    );
     w.fair();
 }
 
@@ -741,18 +747,18 @@
         w.run(LEASE_MS + 4_000);
         w.workers[m].cut = false;
         w.run(30_000);
-        let starts = w.starts.clone();
+        let starts = w.oracle.starts.clone();
         let leader = w.leader().unwrap();
         w.crash(leader, 3_000);
         w.run(wait);
         for n in 0..3 {
             for r in &old {
-                w.late_report(n, r.clone());
+                w.late_heartbeat(n, r.clone());
             }
             w.run(25);
         }
         w.run(60_000);
-        assert_eq!(w.starts, starts, "after {wait}");
+        assert_eq!(w.oracle.starts, starts, "after {wait}");
         w.fair();
     }
 }
@@ -780,7 +786,7 @@
                 }
             }
         }
-        w.cloud_down = true;
+        w.cloud.is_down = true;
         w.run(1_000);
         let leader = w.leader().unwrap();
         assert_eq!(w.cancel((leader + 1) % 3, &id(1)), 200);
@@ -793,7 +799,7 @@
         for x in &mut w.workers {
             (x.cut, x.mute) = (false, false);
         }
-        w.cloud_down = false;
+        w.cloud.is_down = false;
         w.run(90_000);
         assert!(on_machines(&w, 3) > 0, "{trouble}: nothing of the next job runs");
         w.fair();
@@ -808,20 +814,20 @@
 fn machines_up_at_once_while_writes_lag_and_the_leader_ends() {
     for (seed, wait) in [(590, 1_500), (591, 3_000), (592, 5_000)] {
         let mut w = World::new(3, seed);
-        w.boot_ms = 300..2_000;
+        w.cloud.boot_ms = 300..2_000;
         w.run_ms = 30_000;
         w.run(5_000);
         for n in 0..3 {
-            w.slow_txn.insert(n, 700);
+            w.store_faults.slow_writes.insert(n, 700);
         }
         w.accept(0, &job(1, "t1", 12, 30.0));
         w.run(wait);
         let leader = w.leader().unwrap();
         w.crash(leader, 1_000);
         w.run(9_000);
-        w.slow_txn.clear();
+        w.store_faults.slow_writes.clear();
         assert!(w.until_done(&id(1), 150_000));
-        assert!(w.starts.values().all(|n| *n == 1), "{:?}", w.starts);
+        assert!(w.oracle.starts.values().all(|n| *n == 1), "{:?}", w.oracle.starts);
         w.fair();
     }
 }
@@ -861,14 +867,14 @@
     let mut w = busy(594, 8);
     let (a, b) = (machine_of(&w, 1), machine_of(&w, 2));
     w.workers[a].cut = true;
-    w.lose_replies.insert(b);
+    w.network.lose_replies.insert(b);
     let leader = w.leader().unwrap();
     w.crash(leader, 4_000);
     w.run(11_000);
     w.workers[a].cut = false;
-    w.lose_replies.clear();
+    w.network.lose_replies.clear();
     w.run(60_000);
-    assert!(w.starts.values().all(|n| *n == 1), "all within their leases: {:?}", w.starts);
+    assert!(w.oracle.starts.values().all(|n| *n == 1), "all within their leases: {:?}", w.oracle.starts);
     w.fair();
 }
 
@@ -888,13 +894,13 @@
     for n in 1..481u32 {
         told.push(w.submit(n as usize % 3, &job(n, "t1", 1, 3.0)));
         if n % 4 == 0 {
-            w.asked_to_cancel.insert(id(n - 2));
+            w.users.asked_to_cancel.insert(id(n - 2));
             w.ask((n as usize + 1) % 3, HttpRequest::Cancel(id(n - 2)));
         }
         w.run(250);
     }
     w.run(40_000);
-    let accepted = |r: &u64| matches!(w.answers.get(r).map(|a| a.status), Some(200 | 201));
+    let accepted = |r: &u64| matches!(w.users.answers.get(r).map(|a| a.status), Some(200 | 201));
     let taken: Vec<u32> = (1..481).filter(|n| accepted(&told[*n as usize - 1])).collect();
     assert!(taken.len() > 400, "only {} of 480 were accepted", taken.len());
     let open: Vec<u32> =
@@ -914,30 +920,30 @@
 fn users_ask_and_cancel_through_a_slow_service_and_an_outage() {
     let mut w = busy(601, 6);
     for n in 0..3 {
-        w.slow.insert(n, 700);
+        w.store_faults.slow.insert(n, 700);
     }
     w.run(3_000);
     let old = w.leader().unwrap();
-    w.state.refuses.insert(old);
+    w.store.refuses.insert(old);
     w.run(2_000);
     assert_eq!(w.cancel((old + 1) % 3, &id(1)), 0, "not within half a second");
     w.run(1_000);
-    w.state.down = true;
+    w.store.down = true;
     for k in 0..10 {
         for node in 0..3 {
             let r = w.ask(node, HttpRequest::Status(id(2)));
             w.run(2_100);
-            let a = &w.answers[&r];
+            let a = &w.users.answers[&r];
             assert_eq!((a.status, a.retry_after_s), (503, Some(1)), "{k}");
         }
         let r = w.ask(k % 3, HttpRequest::Cancel(id(2)));
         w.run(2_100);
-        assert_ne!(w.answers[&r].status, 200);
+        assert_ne!(w.users.answers[&r].status, 200);
     }
     assert!(w.now > CANCEL_MS);
-    w.state.down = false;
-    w.state.refuses.clear();
-    w.slow.clear();
+    w.store.down = false;
+    w.store.refuses.clear();
+    w.store_faults.slow.clear();
     w.run(5_000);
     for node in 0..3 {
         assert_eq!(w.status(node, &id(1)), "withdrawn");
@@ -954,9 +960,9 @@
     let mut w = busy(602, 8);
     let old = w.leader().unwrap();
     for n in (0..3).filter(|n| *n != old) {
-        w.cuts.insert((old, n));
+        w.network.cuts.insert((old, n));
     }
-    w.state.refuses.insert(old);
+    w.store.refuses.insert(old);
     w.run(8_000);
     let new = w.leader().unwrap();
     assert_ne!(new, old);
@@ -965,12 +971,12 @@
         // No older answer, and no wrong one.
         let r = w.ask(old, HttpRequest::Status(id(n)));
         w.run(50);
-        assert_eq!(w.answers[&r].status, 503);
+        assert_eq!(w.users.answers[&r].status, 503);
     }
     run_without_cloud(&mut w, CANCEL_MS + 2_000);
     w.fair();
-    w.cuts.clear();
-    w.state.refuses.clear();
+    w.network.cuts.clear();
+    w.store.refuses.clear();
     w.run(20_000);
     for n in [1, 2] {
         assert_eq!(w.status(old, &id(n)), "withdrawn");
@@ -992,8 +998,8 @@
         j.as_object_mut().unwrap().remove(field);
         let r = w.ask(0, HttpRequest::Submit(j.to_string().into_bytes()));
         w.run(100);
-        assert_eq!(w.answers[&r].status, 400, "{field}: {}", w.answers[&r].body);
-        assert!(w.answers[&r].body.contains(field.as_str()), "{}", w.answers[&r].body);
+        assert_eq!(w.users.answers[&r].status, 400, "{field}: {}", w.users.answers[&r].body);
+        assert!(w.users.answers[&r].body.contains(field.as_str()), "{}", w.users.answers[&r].body);
     }
     for (field, value) in [("cores", json!(17.0)), ("memory_gb", json!(65.0)), ("yard", json!("north"))]
     {
@@ -1001,9 +1007,9 @@
         j[field] = value;
         let r = w.ask(1, HttpRequest::Submit(j.to_string().into_bytes()));
         w.run(100);
-        assert_eq!(w.answers[&r].status, 422, "{field}");
+        assert_eq!(w.users.answers[&r].status, 422, "{field}");
     }
-    assert!(!w.state.keys.contains_key("w/job/run-000001"));
+    assert!(!w.store.keys.contains_key("w/job/run-000001"));
     w.accept(0, &whole);
     // Again, unfinished and then done, whole and with a field missing.
     let mut lacking = whole.clone();
@@ -1012,7 +1018,7 @@
         for body in [&whole, &lacking] {
             let r = w.ask(node, HttpRequest::Submit(body.to_string().into_bytes()));
             w.run(100);
-            assert_eq!(w.answers[&r].status, 200, "{}", w.answers[&r].body);
+            assert_eq!(w.users.answers[&r].status, 200, "{}", w.users.answers[&r].body);
         }
     }
     assert!(w.until_done(&id(1), 90_000));
@@ -1033,13 +1039,13 @@
 #[test]
 fn more_work_than_room_over_slow_links() {
     let mut w = World::new(3, 604);
-    w.capacity = 4;
+    w.cloud.capacity = 4;
     w.run_ms = 8_000;
     w.run(5_000);
-    w.frame_ms = 350;
+    w.network.frame_ms = 350;
     for n in 0..3 {
-        w.slow.insert(n, 150);
-        w.lag.insert(n, 120);
+        w.store_faults.slow.insert(n, 150);
+        w.network.lag.insert(n, 120);
     }
     for n in 1..25 {
         let mut j = job(n, if n % 2 == 0 { "t0" } else { "t1" }, 4, 8.0);
@@ -1050,7 +1056,8 @@
     w.run(9_000);
     let leader = w.leader().unwrap();
     w.crash(leader, 2_000);
-    let begun = |w: &World, n: u32| w.starts.keys().any(|t| t.starts_with(&format!("{}/", id(n))));
+    let begun =
+        |w: &World, n: u32| w.oracle.starts.keys().any(|t| t.starts_with(&format!("{}/", id(n))));
     for n in 1..25 {
         w.accept(n as usize % 3, &job(n, "t0", 4, 8.0));
     }
@@ -1070,7 +1077,7 @@
 #[test]
 fn a_machine_heard_again_after_a_long_silence_gets_work_with_its_next_report() {
     let mut w = World::new(3, 620);
-    w.capacity = 0;
+    w.cloud.capacity = 0;
     w.run_ms = 20_000;
     w.add_worker(1, "east", false, 500);
     w.run(9_000);
@@ -1089,7 +1096,7 @@
     w.run(1_200);
     assert_eq!(on_machines(&w, 2), 0, "in the answer to its first report");
     assert!(w.until_done(&id(2), 60_000));
-    assert!(w.starts.values().all(|n| *n == 1), "{:?}", w.starts);
+    assert!(w.oracle.starts.values().all(|n| *n == 1), "{:?}", w.oracle.starts);
     w.fair();
 }
 
@@ -1098,19 +1105,19 @@
 /// record, the holder, and the machine that it names.
 fn bound_over_slow_frames(seed: u64, lose: Option<usize>) -> (World, usize, usize) {
     let mut w = World::new(3, seed);
-    w.capacity = 0;
+    w.cloud.capacity = 0;
     w.run_ms = 60_000;
     for i in 1..9 {
         w.add_worker(i, if i % 2 == 0 { "east" } else { "west" }, false, 500);
     }
     w.run(12_000);
     let leader = w.leader().unwrap();
-    w.frame_ms = 400;
+    w.network.frame_ms = 400;
     w.run(2_000);
     let shard_owner =
         (0..3).find(|n| *n != leader && (0..8).any(|m| w.shard_owner_of(m) == *n)).unwrap();
     let ours: Vec<usize> = (0..8).filter(|m| w.shard_owner_of(*m) == shard_owner).collect();
-    w.lose_replies.extend(lose);
+    w.network.lose_replies.extend(lose);
     for n in 1..4 {
         let mut j = job(n, "t1", 1, 60.0);
         j["yard"] = json!(w.workers[ours[0]].zone);
@@ -1148,7 +1155,7 @@
         next.incarnation += 1;
         next.sequence += 1;
         next.tasks.clear();
-        w.late_report(shard_owner, next);
+        w.late_heartbeat(shard_owner, next);
         // Whatever has begun by then is not heard of, nor told to stop.
         w.run(600);
         for x in &mut w.workers {
@@ -1156,7 +1163,7 @@
         }
         w.run(12_000);
         w.fair();
-        assert!(w.starts.values().all(|n| *n == 1), "{:?}", w.starts);
+        assert!(w.oracle.starts.values().all(|n| *n == 1), "{:?}", w.oracle.starts);
     }
     assert!(met >= 3, "brought about {met} times");
 }
--- a/tests/final_jobs.rs
+++ b/tests/final_jobs.rs
@@ -37,11 +37,11 @@
 }
 
 fn jobs_in_memory(world: &World, node: usize) -> usize {
-    world.nodes[node].as_ref().map_or(0, |(core, _)| core.context.jobs.len())
+    world.core(node).map_or(0, |core| core.context.jobs.len())
 }
 
 fn crash_all(world: &mut World, back_ms: u64) {
-    for node in 0..world.n {
+    for node in 0..world.node_count {
         world.crash(node, back_ms);
     }
 }
@@ -54,10 +54,10 @@
     crash_all(&mut world, 500);
     for number in 0..final_jobs {
         let value = if number % 2 == 0 { done() } else { withdrawn() };
-        world.state.put_record(&job_key(FIRST_OLD_JOB + number), value);
+        world.store.put_record(&job_key(FIRST_OLD_JOB + number), value);
     }
-    world.state.floor = world.state.revision;
-    world.state.page_size = Some(500);
+    world.store.floor = world.store.revision;
+    world.store.page_size = Some(500);
     world.run(6_000);
     world
 }
@@ -65,7 +65,7 @@
 fn answer(world: &mut World, node: usize, call: HttpRequest) -> (u16, Value, Option<u32>) {
     let request = world.ask(node, call);
     world.run(1_500);
-    let answer = world.answers[&request].clone();
+    let answer = world.users.answers[&request].clone();
     let body = serde_json::from_str(&answer.body).unwrap_or_default();
     (answer.status, body, answer.retry_after_s)
 }
@@ -78,10 +78,10 @@
     world.run(10_000);
     crash_all(&mut world, 1_000);
     for number in 0..RECORDED_JOBS {
-        world.state.put_record(&job_key(FIRST_OLD_JOB + number), done());
+        world.store.put_record(&job_key(FIRST_OLD_JOB + number), done());
     }
-    world.state.floor = world.state.revision;
-    world.state.page_size = Some(500);
+    world.store.floor = world.store.revision;
+    world.store.page_size = Some(500);
     world.run(11_000);
     assert!(world.leader().is_some(), "nobody leads ten seconds after the start");
     for node in 0..3 {
@@ -89,7 +89,7 @@
     }
     assert_eq!(world.status(1, &id(1)), "running", "the machines' tasks went on");
     assert!(world.until_done(&id(1), 120_000));
-    assert_eq!(world.starts.len(), 2);
+    assert_eq!(world.oracle.starts.len(), 2);
     world.fair();
 }
 
@@ -111,7 +111,7 @@
 #[test]
 fn without_the_state_service_a_job_no_longer_in_memory_is_not_called_unknown() {
     let mut world = restarted_with(40, 3);
-    world.state.down = true;
+    world.store.down = true;
     for call in [HttpRequest::Status(id(FIRST_OLD_JOB)), HttpRequest::Cancel(id(FIRST_OLD_JOB))] {
         let (status, _, retry_after_s) = answer(&mut world, 0, call);
         assert_eq!((status, retry_after_s), (503, Some(1)));
@@ -132,13 +132,13 @@
     assert_eq!((status, &body["status"]), (200, &json!("withdrawn")));
     let (status, body, _) = answer(&mut world, 2, HttpRequest::Cancel(id(FIRST_OLD_JOB + 2)));
     assert_eq!((status, &body["status"]), (200, &json!("done")));
-    let records = world.state.keys.clone();
+    let records = world.store.keys.clone();
     world.run(20_000);
-    assert!(world.starts.is_empty());
+    assert!(world.oracle.starts.is_empty());
     let unchanged = |(key, value): (&String, &(Value, u64, Option<u64>))| {
         !key.starts_with("w/job/") || records.get(key) == Some(value)
     };
-    assert!(world.state.keys.iter().all(unchanged));
+    assert!(world.store.keys.iter().all(unchanged));
 }
 
 #[test]
@@ -174,11 +174,11 @@
         world.accept(1, &awaiting(number, awaited));
     }
     crash_all(&mut world, 200);
-    world.asked_to_cancel.insert(id(2));
-    world.jobs.remove(&id(1));
-    world.state.put_record(&job_key(1), done());
-    world.state.put_record(&job_key(2), withdrawn());
-    world.slow = (0..3).map(|node| (node, 300)).collect();
+    world.users.asked_to_cancel.insert(id(2));
+    world.users.jobs.remove(&id(1));
+    world.store.put_record(&job_key(1), done());
+    world.store.put_record(&job_key(2), withdrawn());
+    world.store_faults.slow = (0..3).map(|node| (node, 300)).collect();
     world.run(200);
     let mut requests = Vec::new();
     for _ in 0..120 {
@@ -189,9 +189,10 @@
             }
         }
     }
-    world.slow.clear();
+    world.store_faults.slow.clear();
     world.run(5_000);
-    let answers: Vec<_> = requests.iter().filter_map(|request| world.answers.get(request)).collect();
+    let answers: Vec<_> =
+        requests.iter().filter_map(|request| world.users.answers.get(request)).collect();
     assert!(answers.iter().any(|answer| answer.body.contains("withdrawn")));
     assert!(!answers.iter().any(|answer| answer.body.contains("queued")));
     assert!(world.until_done(&id(11), 120_000));
@@ -216,8 +217,8 @@
     world.run_ms = 5_000;
     world.accept(0, &job(2, "t0", 8, 5.0));
     for node in 0..3 {
-        world.cuts.insert((node, usize::MAX));
-        world.cuts.insert((usize::MAX, node));
+        world.network.cuts.insert((node, usize::MAX));
+        world.network.cuts.insert((usize::MAX, node));
     }
     for number in 900..912 {
         let zone = support::ZONES[number % 2];
@@ -225,17 +226,17 @@
     }
     assert_eq!(world.cancel(0, &id(1)), 200);
     crash_all(&mut world, 500);
-    world.frame_ms = 2_500;
+    world.network.frame_ms = 2_500;
     let leader = (0..400).find_map(|_| {
         world.run(25);
         world.leader()
     });
     let leader = leader.expect("a leader");
-    world.cuts.remove(&(leader, usize::MAX));
-    world.cuts.remove(&(usize::MAX, leader));
+    world.network.cuts.remove(&(leader, usize::MAX));
+    world.network.cuts.remove(&(usize::MAX, leader));
     world.run(6_000);
-    world.cuts.clear();
-    world.frame_ms = 2;
+    world.network.cuts.clear();
+    world.network.frame_ms = 2;
     assert!(world.until_done(&id(2), 180_000));
     assert_eq!(running(&world, 1), 0);
     world.fair();
@@ -269,7 +270,7 @@
     assert_eq!(verb_of(FIRST_OLD_JOB), Some(json!("kill")));
     assert_eq!(verb_of(FIRST_OLD_JOB + 1), Some(json!("clear")));
     world.run(20_000);
-    assert_eq!(world.starts.len(), 1);
+    assert_eq!(world.oracle.starts.len(), 1);
 }
 
 #[test]
@@ -277,11 +278,11 @@
     let mut world = World::new(3, 9);
     world.run(3_000);
     crash_all(&mut world, 500);
-    world.state.put_record(&job_key(FIRST_OLD_JOB), done());
+    world.store.put_record(&job_key(FIRST_OLD_JOB), done());
     let progress = format!("progress/{}/0", id(FIRST_OLD_JOB));
-    world.state.put_record(&progress, json!("c0"));
+    world.store.put_record(&progress, json!("c0"));
     world.run(20_000);
-    assert!(!world.state.keys.contains_key(&progress));
+    assert!(!world.store.keys.contains_key(&progress));
 }
 
 #[test]
@@ -289,12 +290,12 @@
     let mut world = World::new(3, 10);
     world.run(3_000);
     world.accept(0, &job(1, "t1", 1, 600.0));
-    let live = world.state.keys[&job_key(1)].0.clone();
+    let live = world.store.keys[&job_key(1)].0.clone();
     let total = 3 * (MAX_FINAL_JOBS + FINAL_JOBS_BATCH) as u32;
     for number in 0..total {
         let key = job_key(FIRST_OLD_JOB + number);
-        world.state.put_record(&key, live.clone());
-        world.state.put_record(&key, done());
+        world.store.put_record(&key, live.clone());
+        world.store.put_record(&key, done());
         if number % 200 == 0 {
             world.run(100);
         }
@@ -307,16 +308,16 @@
         assert_eq!(world.status(node, &id(FIRST_OLD_JOB + total - 1)), "done");
     }
     // Nor does a full read after the watch has fallen behind bring them back.
-    world.state.floor = world.state.revision + 1;
-    world.state.put_record(&job_key(FIRST_OLD_JOB + total), done());
-    world.state.put_record("w/other", json!(1));
-    world.state.page_size = Some(500);
+    world.store.floor = world.store.revision + 1;
+    world.store.put_record(&job_key(FIRST_OLD_JOB + total), done());
+    world.store.put_record("w/other", json!(1));
+    world.store.page_size = Some(500);
     world.run(5_000);
     for node in 0..3 {
         let kept = jobs_in_memory(&world, node);
         assert!(kept <= MAX_FINAL_JOBS + FINAL_JOBS_BATCH + 1, "{kept} jobs");
     }
-    assert_eq!(world.starts.len(), 1);
+    assert_eq!(world.oracle.starts.len(), 1);
     world.fair();
 }
 
--- a/tests/large_cells.rs
+++ b/tests/large_cells.rs
@@ -24,19 +24,19 @@
 #[test]
 fn the_work_of_four_thousand_machines_moves_outlasts_both_leaders_and_runs_once() {
     let mut cells = Cells::large(2, 95);
-    cells.worlds[HOST].capacity = MACHINES;
-    cells.worlds[HOST].boot_ms = 5_000..8_000;
+    cells.worlds[HOST].cloud.capacity = MACHINES;
+    cells.worlds[HOST].cloud.boot_ms = 5_000..8_000;
     cells.worlds[HOST].run_ms = 60_000;
     cells.run(8_000);
     for id in 0..JOBS {
         let body = job(id, "t1", TASKS_A_JOB, 60.0);
         for world in &mut cells.worlds {
-            world.jobs.insert(format!("run-{id:06}"), body.clone());
+            world.users.jobs.insert(format!("run-{id:06}"), body.clone());
         }
         cells.worlds[ORIGIN].submit(id as usize % 3, &body);
         cells.run(100);
     }
-    let running = |cells: &Cells| cells.worlds[HOST].starts.len();
+    let running = |cells: &Cells| cells.worlds[HOST].oracle.starts.len();
     let most = (JOBS * TASKS_A_JOB) as usize;
     assert!(cells.until(120_000, |cells| running(cells) > most / 2), "{} started", running(&cells));
     for cell in [ORIGIN, HOST] {
@@ -45,12 +45,12 @@
     }
     cells.until(300_000, |cells| done(cells) == JOBS as usize);
     assert_eq!(done(&cells), JOBS as usize);
-    let starts = &cells.worlds[HOST].starts;
+    let starts = &cells.worlds[HOST].oracle.starts;
     assert_eq!(starts.len(), most);
     assert!(starts.values().all(|starts| *starts == 1), "a task was started again");
-    assert!(cells.worlds[ORIGIN].starts.is_empty());
+    assert!(cells.worlds[ORIGIN].oracle.starts.is_empty());
     for world in &cells.worlds {
-        assert_eq!((world.state.refused, world.cloud_refused), (0, 0), "calls beyond the limits");
+        assert_eq!((world.store.refused, world.cloud.refused), (0, 0), "calls beyond the limits");
     }
     let limit = woadlever::wire::peer::MAX_FRAME / 4;
     assert!(cells.longest_message < limit, "a message of {} bytes", cells.longest_message);
--- a/tests/large_fleet.rs
+++ b/tests/large_fleet.rs
@@ -24,9 +24,9 @@
 #[test]
 fn six_thousand_machines_are_rented_run_outlast_their_leader_and_go_back() {
     let mut world = World::fleet(NODES, 91);
-    world.capacity = MACHINES;
+    world.cloud.capacity = MACHINES;
     world.run_ms = 60_000;
-    world.boot_ms = 5_000..8_000;
+    world.cloud.boot_ms = 5_000..8_000;
     world.run(5_000);
     let jobs = MACHINES as u32 * TASKS_A_MACHINE / TASKS_A_JOB;
     for id in 0..jobs {
@@ -41,10 +41,10 @@
     assert!(used(&world) >= MACHINES * 9 / 10, "{} of {} machines in use", used(&world), there(&world));
 
     let leader = world.leader().expect("a leader");
-    let starts = world.starts.len();
+    let starts = world.oracle.starts.len();
     world.crash(leader, 4_000);
     let done = |world: &World, id: u32| {
-        world.state.keys.get(&format!("w/job/run-{id:06}")).is_some_and(|record| record.0["s"] == "d")
+        world.store.keys.get(&format!("w/job/run-{id:06}")).is_some_and(|record| record.0["s"] == "d")
     };
     let end = world.now + 200_000;
     while !(0..jobs).all(|id| done(&world, id)) && world.now < end {
@@ -52,15 +52,15 @@
     }
     let open = (0..jobs).filter(|id| !done(&world, *id)).count();
     assert_eq!(open, 0, "jobs that are not done; {starts} tasks had started when the leader ended");
-    assert!(world.starts.values().all(|starts| *starts == 1), "a task was started again");
+    assert!(world.oracle.starts.values().all(|starts| *starts == 1), "a task was started again");
 
     let end = world.now + 200_000;
     while there(&world) > MACHINES / 20 && world.now < end {
         world.run(2_000);
     }
     assert!(there(&world) <= MACHINES / 20, "{} machines are still there", there(&world));
-    assert_eq!((world.state.refused, world.cloud_refused), (0, 0), "calls beyond the limits");
+    assert_eq!((world.store.refused, world.cloud.refused), (0, 0), "calls beyond the limits");
     let longest = woadlever::wire::peer::MAX_FRAME / 4;
-    assert!(world.longest_frame < longest, "a frame of {} bytes", world.longest_frame);
+    assert!(world.network.longest_frame < longest, "a frame of {} bytes", world.network.longest_frame);
     world.fair();
 }
--- a/tests/pipelines.rs
+++ b/tests/pipelines.rs
@@ -37,7 +37,7 @@
 fn submit(w: &mut World, node: usize, body: &Value) -> (u16, String) {
     let r = w.submit(node, body);
     w.run(1_500);
-    w.answers.get(&r).map_or((0, String::new()), |a| (a.status, a.body.clone()))
+    w.users.answers.get(&r).map_or((0, String::new()), |a| (a.status, a.body.clone()))
 }
 
 /// 1 -> (2, 3) -> 4, and 5 behind it: a fan out, a fan in and a chain.
@@ -48,7 +48,7 @@
 }
 
 fn state_of(w: &World, n: u32) -> String {
-    w.state
+    w.store
         .keys
         .get(&format!("w/job/{}", id(n)))
         .map_or(String::new(), |v| v.0["s"].as_str().unwrap_or_default().to_string())
@@ -67,8 +67,8 @@
             }
         }
         assert!(w.until_done(&id(5), 200_000), "seed {seed}");
-        assert_eq!(w.starts.len(), 10);
-        assert!(w.starts.values().all(|n| *n == 1), "{:?}", w.starts);
+        assert_eq!(w.oracle.starts.len(), 10);
+        assert!(w.oracle.starts.values().all(|n| *n == 1), "{:?}", w.oracle.starts);
         w.fair();
     }
 }
@@ -107,18 +107,18 @@
         w.accept(0, &stage(1, &[]));
         w.accept(0, &stage(2, &[1]));
         // n1's watch lags, so that it takes the job before for live.
-        w.slow_watch.insert(1, slow);
+        w.store_faults.slow_watch.insert(1, slow);
         w.run(2 * slow + 100);
-        w.asked_to_cancel.insert(id(1));
+        w.users.asked_to_cancel.insert(id(1));
         let c = w.ask(0, HttpRequest::Cancel(id(1)));
         w.run(40);
         let s = w.submit(1, &stage(3, &[2]));
         w.run(500);
-        assert_eq!(w.answers[&c].status, 200);
-        w.cancelled.insert(id(1), w.now);
-        assert!([201, 503].contains(&w.answers[&s].status));
-        let accepted = w.answers[&s].status == 201;
-        w.slow_watch.clear();
+        assert_eq!(w.users.answers[&c].status, 200);
+        w.users.cancelled.insert(id(1), w.now);
+        assert!([201, 503].contains(&w.users.answers[&s].status));
+        let accepted = w.users.answers[&s].status == 201;
+        w.store_faults.slow_watch.clear();
         w.run(20_000);
         for n in 0..3 {
             assert_eq!(w.status(n, &id(2)), "withdrawn");
@@ -139,7 +139,7 @@
     assert!(w.until_done(&id(1), 90_000));
     let r = w.ask(2, HttpRequest::Cancel(id(1)));
     w.run(500);
-    assert!(w.answers[&r].body.contains("done"));
+    assert!(w.users.answers[&r].body.contains("done"));
     // Named when it is over already, by a job of another team.
     let mut late = stage(3, &[1, 2]);
     late["crew"] = json!("t0");
@@ -172,7 +172,7 @@
     // Repeats count once; null and nothing are the same.
     j["awaits"] = json!([id(1), id(1), id(1)]);
     assert_eq!(submit(&mut w, 2, &j).0, 201);
-    let rec = w.state.keys[&format!("w/job/{}", id(2))].0.clone();
+    let rec = w.store.keys[&format!("w/job/{}", id(2))].0.clone();
     assert_eq!(rec["w"], "000001");
     j = stage(3, &[]);
     j["awaits"] = Value::Null;
@@ -193,7 +193,7 @@
 #[test]
 fn a_node_that_lags_refuses_nothing_that_was_accepted() {
     let mut w = world(12);
-    w.slow_watch.insert(1, 20_000);
+    w.store_faults.slow_watch.insert(1, 20_000);
     w.run(3_000);
     let first = submit(&mut w, 0, &stage(1, &[]));
     assert_eq!(first.0, 201);
@@ -207,11 +207,11 @@
     assert!(status == 200 && body.contains("queued"), "{status} {body}");
     assert_eq!(submit(&mut w, 1, &stage(3, &[98])).0, 422);
     // In an outage nothing is known, and nothing is refused for good.
-    w.state.down = true;
+    w.store.down = true;
     w.run(200);
     assert_eq!(submit(&mut w, 1, &stage(4, &[97])).0, 503);
-    w.state.down = false;
-    w.slow_watch.clear();
+    w.store.down = false;
+    w.store_faults.slow_watch.clear();
     assert!(w.until_done(&id(2), 120_000));
     w.fair();
 }
@@ -228,18 +228,18 @@
     large["urgency"] = json!("prod");
     w.accept(1, &large);
     w.run(30_000);
-    let rented = w.rented;
+    let rented = w.cloud.rented;
     assert!(rented <= 2, "{rented} machines for two tasks of four CPUs");
     // The team's whole limit is there for others.
     w.accept(2, &job(3, "t0", 8, 150.0));
     w.run(60_000);
-    assert_eq!(w.starts.keys().filter(|k| k.starts_with("run-000003")).count(), 8);
+    assert_eq!(w.oracle.starts.keys().filter(|k| k.starts_with("run-000003")).count(), 8);
     // Ready, it waits for its team's limit like any other, stops nobody, and
     // had no part in what its waiting would have earned it.
     w.run(80_000);
     assert_eq!(state_of(&w, 1), "d");
     assert!(w.until_done(&id(2), 400_000));
-    assert!(w.starts.values().all(|n| *n == 1), "{:?}", w.starts);
+    assert!(w.oracle.starts.values().all(|n| *n == 1), "{:?}", w.oracle.starts);
     w.fair();
 }
 
@@ -248,7 +248,7 @@
 #[test]
 fn the_moment_a_job_became_ready_survives_a_change_of_leader() {
     let mut w = world(14);
-    w.capacity = 2;
+    w.cloud.capacity = 2;
     w.run_ms = 190_000;
     w.accept(0, &job(1, "t1", 1, 190.0));
     let mut last = job(2, "t1", 1, 10.0);
@@ -264,14 +264,14 @@
     while state_of(&w, 1) != "d" {
         w.run(500);
     }
-    let at = w.state.keys[&format!("w/job/{}", id(1))].0["t"].as_u64().unwrap();
+    let at = w.store.keys[&format!("w/job/{}", id(1))].0["t"].as_u64().unwrap();
     let now = 1_000_000_000 + w.now;
     assert!(at <= now && at + 5_000 > now);
     let leader = w.leader().unwrap();
     w.crash(leader, 5_000);
     w.run(60_000);
     let stopped = w.workers.iter().flat_map(|x| &x.tasks).any(|t| t.why.as_deref() == Some("halted"));
-    assert!(!stopped && !w.starts.contains_key("run-000002/0"), "others stopped for it at once");
+    assert!(!stopped && !w.oracle.starts.contains_key("run-000002/0"), "others stopped for it at once");
     w.fair();
 }
 
@@ -310,15 +310,15 @@
         w.crash(leader, 1_000);
         w.run(50);
         assert_eq!(w.cancel(door, &id(1)), 200);
-        w.state.down = true;
+        w.store.down = true;
         w.run(support::CANCEL_MS + 8_000);
-        w.state.down = false;
+        w.store.down = false;
         // The one that knows nothing yet is asked first.
         for n in [4, 3, 2] {
             for node in [leader, (door + 1) % 3, door] {
                 let r = w.ask(node, HttpRequest::Status(id(n)));
                 w.run(15);
-                if let Some(a) = w.answers.get(&r) {
+                if let Some(a) = w.users.answers.get(&r) {
                     assert!(a.status == 503 || a.body.contains("withdrawn"), "{}", a.body);
                 }
             }
@@ -340,7 +340,7 @@
     pipeline(&mut w);
     let leader = w.leader().unwrap();
     let door = (leader + 1) % 3;
-    w.slow_watch.insert(door, 120_000);
+    w.store_faults.slow_watch.insert(door, 120_000);
     w.run(3_000);
     // Nobody else passes it on: what is answered is the user API's own doing.
     w.crash(leader, 200_000);
@@ -362,7 +362,7 @@
     w.run_ms = 200_000;
     pipeline(&mut w);
     let leader = w.leader().unwrap();
-    w.slow_txn.insert(leader, 90_000);
+    w.store_faults.slow_writes.insert(leader, 90_000);
     let door = (leader + 1) % 3;
     assert_eq!(w.cancel(door, &id(1)), 200);
     w.run(support::CANCEL_MS);
@@ -417,7 +417,7 @@
 }
 
 fn longest(w: &World, prefix: &str) -> usize {
-    let keys = w.state.keys.iter().filter(|(k, _)| k.starts_with(prefix));
+    let keys = w.store.keys.iter().filter(|(k, _)| k.starts_with(prefix));
     keys.map(|(_, v)| v.0.to_string().len()).max().unwrap_or(0)
 }
 
@@ -428,7 +428,7 @@
     for (seed, first) in [(20, false), (21, true)] {
         let mut w = World::from_production(seed, NEXT);
         assert!(longest(&w, "place/") > 5_000);
-        let running = w.starts.len();
+        let running = w.oracle.starts.len();
         // The limits may come first, while the long records are there.
         if first {
             w.fall();
@@ -448,8 +448,8 @@
         }
         always_on_record(&mut w, 30_000);
         // Of the largest job ten tasks were left.
-        assert_eq!(w.starts.len(), running + 10);
-        assert!(w.starts.values().all(|n| *n == 1));
+        assert_eq!(w.oracle.starts.len(), running + 10);
+        assert!(w.oracle.starts.values().all(|n| *n == 1));
         for n in 0..30 {
             assert_eq!(w.status(n as usize % 3, &id(n)), "running");
         }
@@ -461,9 +461,9 @@
         // records longer than the limit by now.
         assert!(w.until_done(&id(77), 200_000));
         w.run(5_000);
-        assert!(!w.state.keys.keys().any(|k| k.starts_with("progress/")), "records left behind");
-        let long = w.state.rejected.len();
-        assert!(long <= 4, "{long} times too long: {:?}", w.state.rejected);
+        assert!(!w.store.keys.keys().any(|k| k.starts_with("progress/")), "records left behind");
+        let long = w.store.rejected.len();
+        assert!(long <= 4, "{long} times too long: {:?}", w.store.rejected);
         w.fair();
     }
 }
@@ -476,7 +476,7 @@
     w.fall();
     let twice = |w: &World| {
         let mut seen = std::collections::HashSet::new();
-        let rows = w.state.keys.iter().filter(|(k, _)| k.starts_with("place/"));
+        let rows = w.store.keys.iter().filter(|(k, _)| k.starts_with("place/"));
         let ids = rows.flat_map(|(_, v)| {
             let base = v.0["b"].as_u64().unwrap();
             let rows = v.0["m"].as_array().unwrap().clone();
@@ -496,7 +496,7 @@
     }
     always_on_record(&mut w, 30_000);
     assert_eq!(twice(&w), 0, "listed twice for good");
-    assert!(w.starts.values().all(|n| *n == 1));
+    assert!(w.oracle.starts.values().all(|n| *n == 1));
     w.fair();
 }
 
@@ -506,20 +506,20 @@
 fn machines_on_their_way_back_stay_on_record_while_a_long_one_shrinks() {
     for (seed, moves, lossy) in [(27, 40, 0.0), (28, 90, 0.4)] {
         let mut w = World::from_production(seed, NEXT);
-        w.lossy = lossy;
+        w.store_faults.loss = lossy;
         let key = "place/east.0/0";
-        let mut rec = w.state.keys[key].0.clone();
+        let mut rec = w.store.keys[key].0.clone();
         for i in 0..moves {
             let name = format!("host-{:06}", 1_000 + 2 * i);
             rec["m"].as_array_mut().unwrap().push(json!([name, 0, 4, []]));
         }
-        let (_, version, lease) = w.state.keys[key].clone();
-        w.state.keys.insert(key.into(), (rec, version, lease));
+        let (_, version, lease) = w.store.keys[key].clone();
+        w.store.keys.insert(key.into(), (rec, version, lease));
         // They can't be returned now.
-        w.cloud_down = true;
+        w.cloud.is_down = true;
         w.fall();
         let on_record = |w: &World| {
-            let rows = w.state.keys.iter().filter(|(k, _)| k.starts_with("place/east"));
+            let rows = w.store.keys.iter().filter(|(k, _)| k.starts_with("place/east"));
             let names = rows.flat_map(|(_, v)| v.0["m"].as_array().unwrap().clone());
             let back: std::collections::HashSet<String> = names
                 .filter(|m| m[2].as_u64().unwrap() & 4 != 0)
@@ -531,7 +531,7 @@
             w.run(25);
             assert_eq!(on_record(&w), moves, "at {}", w.now);
         }
-        w.lossy = 0.0;
+        w.store_faults.loss = 0.0;
         w.run(30_000);
         assert!(longest(&w, "place/") <= 2_048, "{} bytes", longest(&w, "place/"));
         assert!(w.off_record().is_empty());
@@ -544,7 +544,7 @@
 #[test]
 fn a_job_of_many_tasks_goes_on_when_the_limits_fall() {
     let mut w = World::announced(3, 22, NEXT);
-    w.capacity = 0;
+    w.cloud.capacity = 0;
     w.run_ms = 300;
     w.run(5_000);
     for i in 0..4 {
@@ -556,18 +556,18 @@
     j["memory_gb"] = json!(0.25);
     w.accept(0, &j);
     w.run(15_000);
-    let done = |w: &World| w.state.keys.keys().filter(|k| k.starts_with("progress/")).count();
+    let done = |w: &World| w.store.keys.keys().filter(|k| k.starts_with("progress/")).count();
     assert_eq!(done(&w), 1);
     // Bits far apart: every whole chunk is as long as it can be.
     let full = "ff".repeat(2_048);
     for c in 0..6 {
-        w.state.revision += 1;
-        let r = w.state.revision;
+        w.store.revision += 1;
+        let r = w.store.revision;
         let bits = if c == 5 { full[..4_000].to_string() } else { full.clone() };
-        w.state.keys.insert(format!("progress/{}/{c}", id(1)), (json!(bits), r, None));
+        w.store.keys.insert(format!("progress/{}/{c}", id(1)), (json!(bits), r, None));
     }
     for t in 0..98_000u32 {
-        w.starts.entry(format!("{}/{t}", id(1))).or_insert(1);
+        w.oracle.starts.entry(format!("{}/{t}", id(1))).or_insert(1);
     }
     for n in 0..3 {
         w.crash(n, 500);
@@ -580,7 +580,7 @@
     assert!(w.until_done(&id(1), 200_000));
     w.run(5_000);
     assert_eq!(done(&w), 0, "records of progress left behind");
-    assert!(w.state.rejected.len() <= 3, "{:?}", w.state.rejected);
+    assert!(w.store.rejected.len() <= 3, "{:?}", w.store.rejected);
     w.fair();
 }
 
@@ -590,20 +590,20 @@
 fn a_long_catalog_is_kept_in_parts() {
     let mut w = World::announced(3, 23, NEXT);
     w.fall();
-    w.more_types = 30;
+    w.cloud.more_types = 30;
     w.run(20_000);
     assert!(longest(&w, "w/catalog") <= 2_048);
     for n in 0..3 {
         w.crash(n, 500);
     }
-    w.cloud_down = true;
+    w.cloud.is_down = true;
     w.run(6_000);
     let mut j = job(1, "t1", 1, 5.0);
     j["hulltypes"] = json!(["tiny29"]);
     j["cores"] = json!(1.0);
     j["memory_gb"] = json!(1.0);
     assert_eq!(submit(&mut w, 1, &j).0, 201);
-    assert!(w.state.rejected.len() <= 1, "{:?}", w.state.rejected);
+    assert!(w.store.rejected.len() <= 1, "{:?}", w.store.rejected);
     w.fair();
 }
 
@@ -631,7 +631,7 @@
     let mut w = world(24);
     w.accept(0, &stage(1, &[]));
     w.accept(0, &stage(2, &[1]));
-    let rec = |n: u32| w.state.keys[&format!("w/job/{}", id(n))].0.clone();
+    let rec = |n: u32| w.store.keys[&format!("w/job/{}", id(n))].0.clone();
     assert!(rec(1)["j"].is_object() && rec(1).get("w").is_none() && rec(1).get("p").is_none());
     assert!(rec(2).get("j").is_none() && rec(2)["p"].is_object() && rec(2)["s"] == "l");
 }
--- a/tests/recovery.rs
+++ b/tests/recovery.rs
@@ -7,12 +7,12 @@
 
 use serde_json::Value;
 use std::collections::HashSet;
-use support::{Orders, WTask, World, job};
+use support::{CommandCounts, WorkerTask, World, job};
 use woadlever::core::HttpRequest;
 use woadlever::wire::workers::TaskState;
 
 const NODES: usize = 3;
-/// Orders sent after a restart may exceed the least that is needed by this factor.
+/// CommandCounts sent after a restart may exceed the least that is needed by this factor.
 const ORDER_FACTOR: f64 = 1.1;
 
 /// A busy cluster: long tasks on all machines, and some that wait.
@@ -54,11 +54,11 @@
         .map(|task| format!("{}/{}", task.job, task.task))
         .collect();
     let is_open = |id: &str| {
-        let record = world.state.keys.get(&format!("w/job/{id}"));
+        let record = world.store.keys.get(&format!("w/job/{id}"));
         record.is_some_and(|record| record.0["s"] == "l")
     };
     let mut needed = 0;
-    for (id, spec) in world.jobs.iter().filter(|(id, _)| is_open(id)) {
+    for (id, spec) in world.users.jobs.iter().filter(|(id, _)| is_open(id)) {
         let tasks = spec["pieces"].as_u64().unwrap();
         let missing = (0..tasks).filter(|task| !on_machines.contains(&format!("{id}/{task}")));
         needed += missing.filter(|task| !is_recorded_done(world, id, *task)).count();
@@ -68,7 +68,7 @@
 
 /// Whether the progress on record says that a task is done.
 fn is_recorded_done(world: &World, id: &str, task: u64) -> bool {
-    let Some(record) = world.state.keys.get(&format!("progress/{id}/0")) else { return false };
+    let Some(record) = world.store.keys.get(&format!("progress/{id}/0")) else { return false };
     let digits = record.0.as_str().unwrap_or_default().as_bytes();
     let byte = (task / 8) as usize;
     let place = byte * 2 + usize::from(task % 8 < 4);
@@ -77,14 +77,14 @@
 }
 
 fn all_done(world: &mut World) {
-    let ids: Vec<String> = world.jobs.keys().cloned().collect();
+    let ids: Vec<String> = world.users.jobs.keys().cloned().collect();
     for id in ids {
         assert!(world.until_done(&id, 300_000), "{id} is not done");
     }
 }
 
 fn assert_no_task_ran_again(world: &World) {
-    let again: Vec<_> = world.starts.iter().filter(|(_, starts)| **starts > 1).collect();
+    let again: Vec<_> = world.oracle.starts.iter().filter(|(_, starts)| **starts > 1).collect();
     assert!(again.is_empty(), "started again: {again:?}");
 }
 
@@ -93,15 +93,15 @@
     for seed in 0..6 {
         let mut world = busy(700 + seed);
         crash_all(&mut world, 3_000 + seed * 1_000);
-        world.orders = Orders::default();
+        world.commands = CommandCounts::default();
         let least = needed(&world);
         let kept = running(&world);
         world.run(20_000);
         let still = running(&world);
         assert!(kept.is_subset(&still), "seed {seed}: lost {:?}", kept.difference(&still));
-        assert_eq!(world.orders.stops, 0, "seed {seed}");
+        assert_eq!(world.commands.stops, 0, "seed {seed}");
         all_done(&mut world);
-        let sent = world.orders.attempts();
+        let sent = world.commands.attempts();
         assert!(sent as f64 <= least as f64 * ORDER_FACTOR, "seed {seed}: {sent} runs, {least} needed");
         assert_no_task_ran_again(&world);
         world.fair();
@@ -112,7 +112,7 @@
 fn several_losses_before_the_first_is_squared_lose_nothing() {
     for seed in 0..4 {
         let mut world = busy(720 + seed);
-        world.orders = Orders::default();
+        world.commands = CommandCounts::default();
         let kept = running(&world);
         // One by one, then all again before the last is back, and again while machines
         // are still being squared.
@@ -135,7 +135,7 @@
 /// Puts an attempt onto a machine that no record speaks of.
 fn smuggle(world: &mut World, worker: usize, job: &str, task: u32, attempt: u64) {
     let at = world.now + 600_000;
-    let task = WTask { job: job.into(), task, attempt, state: TaskState::Running, why: None, at };
+    let task = WorkerTask { job: job.into(), task, attempt, state: TaskState::Running, why: None, at };
     world.workers[worker].tasks.push(task);
 }
 
@@ -160,14 +160,14 @@
     smuggle(&mut world, 1, "run-000002", 1, 7);
     smuggle(&mut world, 2, "run-000003", 2, 3);
     smuggle(&mut world, 3, "run-000009", 0, 11);
-    world.orders = Orders::default();
+    world.commands = CommandCounts::default();
     world.run(25_000);
     for (worker, attempt) in [(0, 5), (1, 7), (2, 3), (3, 11)] {
         assert!(!is_there(&world, worker, attempt), "attempt {attempt} goes on");
     }
     assert!(kept.iter().all(|task| running(&world).contains(task)), "kept work was stopped");
     // Each may be told again with the report after the one that was answered.
-    assert!((4..=8).contains(&world.orders.stops), "{} stops", world.orders.stops);
+    assert!((4..=8).contains(&world.commands.stops), "{} stops", world.commands.stops);
     all_done(&mut world);
     assert_eq!(world.status(0, "run-777777"), "404");
     world.fair();
@@ -185,12 +185,12 @@
         world.restart_worker(worker);
     }
     assert!(!lost.is_empty());
-    world.orders = Orders::default();
+    world.commands = CommandCounts::default();
     let least = needed(&world);
     all_done(&mut world);
-    let sent = world.orders.attempts();
+    let sent = world.commands.attempts();
     assert!(sent as f64 <= least as f64 * ORDER_FACTOR, "{sent} runs, {least} needed");
-    for (task, starts) in &world.starts {
+    for (task, starts) in &world.oracle.starts {
         assert_eq!(*starts, if lost.contains(task) { 2 } else { 1 }, "{task}");
     }
     world.fair();
@@ -232,7 +232,7 @@
     world.run(2_300);
     for step in 0..20 {
         for node in 0..NODES {
-            world.late_report(node, old.clone());
+            world.late_heartbeat(node, old.clone());
         }
         world.run(100 + step * 20);
     }
@@ -247,16 +247,16 @@
 fn the_state_service_comes_back_later_and_goes_again_in_the_middle() {
     for seed in 0..4 {
         let mut world = busy(790 + seed);
-        world.state.down = true;
+        world.store.down = true;
         crash_all(&mut world, 500);
         let kept = running(&world);
         world.run(4_000);
-        world.state.down = false;
+        world.store.down = false;
         // Long enough to read some pages, not all.
         world.run(60 + seed * 40);
-        world.state.down = true;
+        world.store.down = true;
         world.run(3_000);
-        world.state.down = false;
+        world.store.down = false;
         world.run(12_000);
         let still = running(&world);
         assert!(kept.is_subset(&still), "seed {seed}: lost {:?}", kept.difference(&still));
@@ -298,13 +298,13 @@
     assert!(world.until_done("run-000001", 120_000));
     // Idle machines are drained; the loss comes once a return is on record.
     let terminating = |world: &World| -> Vec<String> {
-        let records = world.state.keys.iter().filter(|(key, _)| key.starts_with("place/"));
+        let records = world.store.keys.iter().filter(|(key, _)| key.starts_with("place/"));
         let rows = records.flat_map(|(_, value)| value.0["m"].as_array().cloned().unwrap_or_default());
         rows.filter(|row: &Value| row[2].as_u64().unwrap_or(0) & 4 != 0)
             .map(|row| row[0].as_str().unwrap().to_string())
             .collect()
     };
-    world.cloud_down = true;
+    world.cloud.is_down = true;
     let end = world.now + 200_000;
     while terminating(&world).is_empty() && world.now < end {
         world.run(100);
@@ -318,7 +318,7 @@
     for worker in world.workers.iter().filter(|worker| marked.contains(&worker.name)) {
         assert!(worker.tasks.is_empty(), "{} got work", worker.name);
     }
-    world.cloud_down = false;
+    world.cloud.is_down = false;
     all_done(&mut world);
     world.fair();
 }
@@ -327,13 +327,13 @@
 fn reports_are_answered_while_the_records_are_still_being_read() {
     let mut world = busy(820);
     for node in 0..NODES {
-        world.slow.insert(node, 900);
+        world.store_faults.slow.insert(node, 900);
     }
     crash_all(&mut world, 1_000);
     let kept = running(&world);
     world.run(30_000);
     assert!(kept.is_subset(&running(&world)), "leases ended while records were read");
-    world.slow.clear();
+    world.store_faults.slow.clear();
     all_done(&mut world);
     assert_no_task_ran_again(&world);
     world.fair();
@@ -348,7 +348,7 @@
         for id in 1..=4 {
             let request = world.ask(node, HttpRequest::Status(format!("run-{id:06}")));
             world.run(300);
-            assert_eq!(world.answers[&request].status, 200, "run-{id:06} at n{node}");
+            assert_eq!(world.users.answers[&request].status, 200, "run-{id:06} at n{node}");
         }
     }
     world.fair();
--- a/tests/recovery_model.rs
+++ b/tests/recovery_model.rs
@@ -78,9 +78,9 @@
 }
 
 fn heal(world: &mut World) {
-    world.state.down = false;
-    world.state.refuses.clear();
-    world.cuts.clear();
+    world.store.down = false;
+    world.store.refuses.clear();
+    world.network.cuts.clear();
 }
 
 impl StateMachineTest for Cluster {
@@ -110,12 +110,12 @@
             Step::CrashAll { back_ms } => {
                 (0..NODES).for_each(|node| world.crash(node, back_ms[node]));
             }
-            Step::StateService { is_down } => world.state.down = is_down,
+            Step::StateService { is_down } => world.store.down = is_down,
             Step::Refuse { node } => {
-                world.state.refuses.insert(node);
+                world.store.refuses.insert(node);
             }
             Step::CutWorkers { node } => {
-                world.cuts.insert((node, usize::MAX));
+                world.network.cuts.insert((node, usize::MAX));
             }
             Step::Heal => heal(world),
             Step::RestartWorker { worker } if worker < world.workers.len() => {
@@ -124,7 +124,7 @@
             Step::RepeatReport { node, worker } if worker < world.workers.len() => {
                 let heartbeat = world.workers[worker].heartbeat();
                 world.run(700);
-                world.late_report(node, heartbeat);
+                world.late_heartbeat(node, heartbeat);
             }
             Step::RestartWorker { .. } | Step::RepeatReport { .. } => {}
             Step::Wait { ms } => world.run(ms),
@@ -141,7 +141,8 @@
         let world = &mut cluster.world;
         heal(world);
         world.run(8_000);
-        let is_accepted = |request: &u64| world.answers.get(request).is_some_and(|a| a.status < 300);
+        let is_accepted =
+            |request: &u64| world.users.answers.get(request).is_some_and(|a| a.status < 300);
         let accepted: Vec<bool> = cluster.accepted.iter().map(is_accepted).collect();
         for id in 1..=cluster.jobs {
             let must_be_done = id <= 2 || accepted[id as usize - 3];
--- a/tests/resource_bounds.rs
+++ b/tests/resource_bounds.rs
@@ -19,9 +19,9 @@
         assert!(world.until_done(&format!("run-{number:06}"), 120_000));
         world.run(90_000);
     }
-    assert!(world.returned.len() >= 6, "{} machines returned", world.returned.len());
+    assert!(world.cloud.returned.len() >= 6, "{} machines returned", world.cloud.returned.len());
     let alive = world.workers.iter().filter(|worker| worker.alive).count();
-    let statistics = world.nodes[0].as_ref().expect("a node").0.statistics();
+    let statistics = world.core(0).expect("a node").statistics();
     assert!(statistics.owned_machines <= alive, "{statistics:?}, {alive} machines");
     assert!(statistics.fleet_machines <= alive, "{statistics:?}, {alive} machines");
     world.fair();
@@ -55,12 +55,12 @@
 #[test]
 fn a_leader_makes_two_plans_a_second_and_one_for_each_refusal() {
     let mut world = World::new(1, 2);
-    world.capacity = 1;
+    world.cloud.capacity = 1;
     world.run(5_000);
     for number in 1..=4 {
         world.accept(0, &job(number, "t1", 30, 600.0));
     }
-    let plans = |world: &World| world.nodes[0].as_ref().expect("a node").0.statistics().plans;
+    let plans = |world: &World| world.core(0).expect("a node").statistics().plans;
     let before = plans(&world);
     world.run(20_000);
     let made = plans(&world) - before;
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -25,8 +25,8 @@
     for n in 0..3 {
         assert_eq!(w.status(n, "run-000001"), "done");
     }
-    assert!(w.starts.values().all(|n| *n == 1), "{:?}", w.starts);
-    assert_eq!(w.starts.len(), 6);
+    assert!(w.oracle.starts.values().all(|n| *n == 1), "{:?}", w.oracle.starts);
+    assert_eq!(w.oracle.starts.len(), 6);
     w.fair();
 }
 
@@ -64,7 +64,7 @@
     w.run_ms = 300_000;
     w.accept(0, &job(1, "t1", 8, 300.0));
     w.run(40_000);
-    assert!(!w.starts.is_empty());
+    assert!(!w.oracle.starts.is_empty());
     assert_eq!(w.cancel(1, "run-000001"), 200);
     for n in 0..3 {
         assert_eq!(w.status(n, "run-000001"), "withdrawn");
@@ -74,8 +74,8 @@
     // A repeated submission changes nothing.
     let r = w.submit(2, &job(1, "t1", 8, 300.0));
     w.run(500);
-    assert_eq!(w.answers[&r].status, 200);
-    assert!(w.answers[&r].body.contains("withdrawn"));
+    assert_eq!(w.users.answers[&r].status, 200);
+    assert!(w.users.answers[&r].body.contains("withdrawn"));
     w.fair();
 }
 
@@ -89,7 +89,7 @@
         w.accept(0, &j);
     }
     w.run(40_000);
-    assert_eq!(w.starts.len() as u32, 2 * tasks);
+    assert_eq!(w.oracle.starts.len() as u32, 2 * tasks);
     w
 }
 
@@ -110,11 +110,11 @@
     let mut w = busy_world(5, 8);
     let (_, victim) = busy_machine(&w);
     for other in (0..3).filter(|n| *n != victim) {
-        w.cuts.insert((victim, other));
+        w.network.cuts.insert((victim, other));
     }
-    w.state.refuses.insert(victim);
+    w.store.refuses.insert(victim);
     // Nor can the machines be returned.
-    w.cloud_down = true;
+    w.cloud.is_down = true;
     w.run(500);
     let leader = w.leader().unwrap();
     for id in ["run-000001", "run-000002"] {
@@ -129,7 +129,7 @@
     for seed in 60..100 {
         let mut w = World::new(3, seed);
         w.run_ms = 60_000;
-        w.capacity = 0;
+        w.cloud.capacity = 0;
         for i in 1..5 {
             w.add_worker(i, "east", false, 1_000);
         }
@@ -143,10 +143,10 @@
 
 /// Twelve tasks on three of the machines: at least one of them is n0's.
 fn grant_to_a_slow_holder(w: &mut World, ms: u64) {
-    w.slow_txn.insert(0, ms);
+    w.store_faults.slow_writes.insert(0, ms);
     let r = w.submit(1, &job(1, "t1", 12, 60.0));
     w.run(400);
-    assert_eq!(w.answers[&r].status, 201);
+    assert_eq!(w.users.answers[&r].status, 201);
 }
 
 /// Invariant 1, the block's grant: a holder whose write is slow, and that has
@@ -155,11 +155,11 @@
 fn a_slow_write_of_a_former_holder_fails() {
     let mut w = idle_east();
     grant_to_a_slow_holder(&mut w, 8_000);
-    w.state.refuses.insert(0);
-    w.cuts.insert((0, 1));
-    w.cuts.insert((0, 2));
+    w.store.refuses.insert(0);
+    w.network.cuts.insert((0, 1));
+    w.network.cuts.insert((0, 2));
     w.run(25_000);
-    assert!(!w.starts.is_empty());
+    assert!(!w.oracle.starts.is_empty());
     w.fair();
 }
 
@@ -171,10 +171,10 @@
     // Late enough for the new leader to have read the records, and before it
     // takes the block from a holder without state service.
     grant_to_a_slow_holder(&mut w, 6_500);
-    w.state.refuses.insert(0);
+    w.store.refuses.insert(0);
     w.crash(1, 90_000);
     w.run(25_000);
-    assert!(!w.starts.is_empty());
+    assert!(!w.oracle.starts.is_empty());
     w.fair();
 }
 
@@ -193,12 +193,12 @@
     w.run(6_000);
     let now = w.shard_owner_of(m);
     assert_ne!(now, shard_owner);
-    w.late_report(now, old);
+    w.late_heartbeat(now, old);
     w.run(3_000);
     w.workers[m].cut = false;
     w.run(30_000);
     w.fair();
-    assert!(w.starts.values().all(|n| *n == 1), "given up on the word of a late report");
+    assert!(w.oracle.starts.values().all(|n| *n == 1), "given up on the word of a late report");
 }
 
 /// Records may list an older attempt, gone long ago, beside the newer one that
@@ -209,10 +209,10 @@
     let (m, _) = busy_machine(&w);
     let name = w.workers[m].name.clone();
     let (key, old_row) = w.record_of(&name).unwrap();
-    let old = w.state.keys[&key].0.clone();
+    let old = w.store.keys[&key].0.clone();
     w.workers[m].alive = false;
     w.run(60_000);
-    let again: u32 = w.starts.values().filter(|n| **n == 2).count() as u32;
+    let again: u32 = w.oracle.starts.values().filter(|n| **n == 2).count() as u32;
     assert!(again > 0, "its tasks run elsewhere now");
     // Where they run, no room is left; elsewhere there is some.
     let zone = w.workers[m].zone.clone();
@@ -223,10 +223,10 @@
     w.add_worker(90, &zone, false, 100);
     w.add_worker(91, &zone, false, 100);
     // A late write brings the old record back, and no return settles it.
-    w.cloud_down = true;
-    w.state.revision += 1;
-    let revision = w.state.revision;
-    let mut rec = w.state.keys[&key].0.clone();
+    w.cloud.is_down = true;
+    w.store.revision += 1;
+    let revision = w.store.revision;
+    let mut rec = w.store.keys[&key].0.clone();
     // The old row counts jobs by their place in the old record.
     let jobs = rec["j"].as_array().unwrap().len();
     let old_jobs = old["j"].as_array().unwrap().clone();
@@ -235,7 +235,7 @@
     let number = |v: &Value| v.as_u64().unwrap();
     let base = number(&rec["b"]).min(number(&old["b"]));
     for r in rec["m"].as_array_mut().unwrap().iter_mut() {
-        let more = number(&w.state.keys[&key].0["b"]) - base;
+        let more = number(&w.store.keys[&key].0["b"]) - base;
         for t in r[3].as_array_mut().unwrap().chunks_mut(3) {
             t[2] = json!(number(&t[2]) + more);
         }
@@ -247,13 +247,13 @@
     rec["b"] = json!(base);
     rec["m"].as_array_mut().unwrap().retain(|r| r[0] != name.as_str());
     rec["m"].as_array_mut().unwrap().push(row);
-    w.state.keys.insert(key, (rec, revision, None));
+    w.store.keys.insert(key, (rec, revision, None));
     for n in 0..3 {
         w.crash(n, 1_000);
     }
     w.run(90_000);
     w.fair();
-    assert!(w.starts.values().all(|n| *n <= 2), "{:?}", w.starts);
+    assert!(w.oracle.starts.values().all(|n| *n <= 2), "{:?}", w.oracle.starts);
 }
 
 #[test]
@@ -262,7 +262,7 @@
     w.run_ms = 40_000;
     w.accept(0, &job(1, "t1", 8, 40.0));
     w.run(30_000);
-    let before = w.starts.clone();
+    let before = w.oracle.starts.clone();
     assert!(!before.is_empty());
     for n in 0..3 {
         w.crash(n, 3_000);
@@ -270,7 +270,7 @@
     w.run(4_000);
     assert!(w.until_done("run-000001", 150_000));
     assert_eq!(w.status(1, "run-000001"), "done");
-    for (t, n) in &w.starts {
+    for (t, n) in &w.oracle.starts {
         assert_eq!(*n, 1, "{t} was started again although its lease lasted");
     }
     w.fair();
@@ -293,11 +293,11 @@
 fn a_leader_back_at_once_gives_up_its_former_lease() {
     let mut w = world(8);
     let old = w.leader().unwrap();
-    let term = w.state.keys["w/leader"].1;
+    let term = w.store.keys["w/leader"].1;
     w.crash(old, 200);
     w.run(1_500);
     assert!(w.leader().is_some());
-    assert!(w.state.keys["w/leader"].1 > term, "waited for the lease of a process known to be gone");
+    assert!(w.store.keys["w/leader"].1 > term, "waited for the lease of a process known to be gone");
 }
 
 /// After an outage shorter than the leases, work goes on where it was.
@@ -307,12 +307,12 @@
     w.run_ms = 60_000;
     w.accept(0, &job(1, "t1", 8, 60.0));
     w.run(35_000);
-    w.state.down = true;
+    w.store.down = true;
     w.run(10_000);
     assert_eq!(w.status(0, "run-999999"), "503", "no answer may rest on what is not known");
-    w.state.down = false;
+    w.store.down = false;
     assert!(w.until_done("run-000001", 150_000));
-    assert!(w.starts.values().all(|n| *n == 1));
+    assert!(w.oracle.starts.values().all(|n| *n == 1));
     w.fair();
 }
 
@@ -322,9 +322,9 @@
     w.run_ms = 30_000;
     w.accept(0, &job(1, "t1", 8, 30.0));
     w.run(25_000);
-    w.state.down = true;
+    w.store.down = true;
     w.run(70_000);
-    w.state.down = false;
+    w.store.down = false;
     assert!(w.until_done("run-000001", 250_000));
     w.fair();
 }
@@ -338,19 +338,19 @@
     let ready = |w: &mut World, n: usize| {
         let r = w.ask(n, HttpRequest::Ready);
         w.run(50);
-        w.answers[&r].status
+        w.users.answers[&r].status
     };
-    w.state.refuses.insert(victim);
+    w.store.refuses.insert(victim);
     w.run(8_000);
     assert_eq!(ready(&mut w, victim), 503);
     let name = format!("n{victim}");
     let held =
-        w.state.keys.iter().any(|(k, v)| k.starts_with("w/block/") && v.0["node"] == name.as_str());
+        w.store.keys.iter().any(|(k, v)| k.starts_with("w/block/") && v.0["node"] == name.as_str());
     assert!(!held, "it keeps blocks that it can't serve");
-    w.state.refuses.clear();
+    w.store.refuses.clear();
     w.run(5_000);
     assert_eq!(ready(&mut w, victim), 200);
-    w.state.down = true;
+    w.store.down = true;
     w.run(8_000);
     for n in 0..3 {
         assert_eq!(ready(&mut w, n), 200);
@@ -364,11 +364,11 @@
     let mut w = world(12);
     w.accept(0, &job(1, "t1", 8, 10.0));
     w.run(12_000);
-    w.lose_replies = (0..w.workers.len()).collect();
+    w.network.lose_replies = (0..w.workers.len()).collect();
     w.run(8_000);
-    w.lose_replies.clear();
+    w.network.lose_replies.clear();
     assert!(w.until_done("run-000001", 150_000));
-    assert!(w.starts.values().all(|n| *n == 1), "{:?}", w.starts);
+    assert!(w.oracle.starts.values().all(|n| *n == 1), "{:?}", w.oracle.starts);
     w.fair();
 }
 
@@ -377,11 +377,11 @@
 fn late_transactions_do_no_harm() {
     for seed in 0..4 {
         let mut w = world(20 + seed);
-        w.lossy = 0.3;
+        w.store_faults.loss = 0.3;
         w.accept(0, &job(1, "t1", 16, 10.0));
         w.accept(1, &job(2, "t0", 6, 10.0));
         w.run(60_000);
-        w.lossy = 0.0;
+        w.store_faults.loss = 0.0;
         assert!(w.until_done("run-000001", 200_000));
         assert!(w.until_done("run-000002", 200_000));
         w.fair();
@@ -395,17 +395,17 @@
     let mut w = world(46);
     w.accept(0, &job(1, "t1", 4, 10.0));
     let leader = w.leader().unwrap();
-    while w.starts.len() < 4 {
+    while w.oracle.starts.len() < 4 {
         w.run(500);
     }
     // The tasks end, and the leader's word of it is under way for long.
-    w.slow_txn.insert(leader, 9_000);
+    w.store_faults.slow_writes.insert(leader, 9_000);
     w.run(12_500);
     assert_eq!(w.cancel((leader + 1) % 3, "run-000001"), 200);
     w.run(20_000);
-    w.slow_txn.clear();
+    w.store_faults.slow_writes.clear();
     w.run(20_000);
-    assert_eq!(w.state.keys["w/job/run-000001"].0["s"], "c");
+    assert_eq!(w.store.keys["w/job/run-000001"].0["s"], "c");
     for n in 0..3 {
         assert_eq!(w.status(n, "run-000001"), "withdrawn");
     }
@@ -418,15 +418,15 @@
     let mut w = world(47);
     w.accept(0, &job(1, "t1", 4, 10.0));
     let leader = w.leader().unwrap();
-    while w.starts.len() < 4 {
+    while w.oracle.starts.len() < 4 {
         w.run(500);
     }
-    w.slow_txn.insert(leader, 60_000);
+    w.store_faults.slow_writes.insert(leader, 60_000);
     w.run(15_000);
-    w.slow_txn.clear();
+    w.store_faults.slow_writes.clear();
     w.crash(leader, 30_000);
     assert!(w.until_done("run-000001", 60_000));
-    assert!(w.starts.values().all(|n| *n == 1), "{:?}", w.starts);
+    assert!(w.oracle.starts.values().all(|n| *n == 1), "{:?}", w.oracle.starts);
 }
 
 /// A holder's state message that was under way when the leader granted a task says
@@ -434,10 +434,10 @@
 #[test]
 fn a_picture_older_than_the_grant_loses_nothing() {
     let mut w = world(48);
-    w.frame_ms = 1_200;
+    w.network.frame_ms = 1_200;
     w.accept(0, &job(1, "t1", 16, 10.0));
     assert!(w.until_done("run-000001", 200_000));
-    assert!(w.starts.values().all(|n| *n == 1), "{:?}", w.starts);
+    assert!(w.oracle.starts.values().all(|n| *n == 1), "{:?}", w.oracle.starts);
     w.fair();
 }
 
@@ -447,8 +447,8 @@
 fn tasks_given_up_for_an_unknown_job_are_not_bound_later() {
     for ms in [2_800, 3_000, 3_200] {
         let mut w = idle_east();
-        w.frame_ms = 700;
-        w.slow_watch.insert(0, ms);
+        w.network.frame_ms = 700;
+        w.store_faults.slow_watch.insert(0, ms);
         let mut answer = 0;
         for step in 0..40 {
             if step == 6 {
@@ -458,10 +458,10 @@
             w.status(0, "run-000009");
             w.run(700);
         }
-        assert_eq!(w.answers[&answer].status, 201);
-        assert!(!w.starts.is_empty());
+        assert_eq!(w.users.answers[&answer].status, 201);
+        assert!(!w.oracle.starts.is_empty());
         w.fair();
-        assert!(w.starts.values().all(|n| *n == 1), "{:?}", w.starts);
+        assert!(w.oracle.starts.values().all(|n| *n == 1), "{:?}", w.oracle.starts);
     }
 }
 
@@ -470,9 +470,9 @@
 #[test]
 fn a_machine_that_comes_up_late_keeps_the_work_of_its_first_report() {
     let mut w = World::new(3, 53);
-    w.capacity = 0;
+    w.cloud.capacity = 0;
     w.run(90_000);
-    w.frame_ms = 20;
+    w.network.frame_ms = 20;
     for i in 1..5 {
         w.add_worker(i, "east", false, 9_000);
     }
@@ -480,10 +480,10 @@
     w.run(9_600);
     let r = w.submit(1, &job(1, "t1", 16, 10.0));
     w.run(1_200);
-    assert_eq!(w.answers[&r].status, 201);
-    assert_eq!(w.starts.len(), 16, "they were taken for lost");
+    assert_eq!(w.users.answers[&r].status, 201);
+    assert_eq!(w.oracle.starts.len(), 16, "they were taken for lost");
     w.run(20_000);
-    assert!(w.starts.values().all(|n| *n == 1), "{:?}", w.starts);
+    assert!(w.oracle.starts.values().all(|n| *n == 1), "{:?}", w.oracle.starts);
     w.fair();
 }
 
@@ -500,18 +500,18 @@
     for id in 0..12 {
         w.submit(id as usize % 3, &job(id, "t1", 50, 10.0));
     }
-    let (from, writes) = (w.now, w.state.writes);
-    while w.starts.len() < 600 && w.now < from + 30_000 {
+    let (from, writes) = (w.now, w.store.writes);
+    while w.oracle.starts.len() < 600 && w.now < from + 30_000 {
         w.run(250);
     }
-    assert_eq!(w.starts.len(), 600);
+    assert_eq!(w.oracle.starts.len(), 600);
     assert!(w.now < from + 8_000, "took {} ms", w.now - from);
-    assert!(w.state.writes - writes < 100, "{} changes", w.state.writes - writes);
+    assert!(w.store.writes - writes < 100, "{} changes", w.store.writes - writes);
     for id in 0..12 {
         assert!(w.until_done(&format!("run-{id:06}"), 60_000));
     }
-    assert!(w.starts.values().all(|n| *n == 1));
-    assert_eq!(w.state.refused, 0);
+    assert!(w.oracle.starts.values().all(|n| *n == 1));
+    assert_eq!(w.store.refused, 0);
     w.fair();
 }
 
@@ -521,14 +521,14 @@
 fn a_machine_that_nothing_reaches_gets_no_work_and_is_returned() {
     let mut w = world(58);
     w.run_ms = 8_000;
-    w.capacity = 3;
+    w.cloud.capacity = 3;
     // More work than the machines can take, so that none of them is surplus.
     for id in 1..6 {
         w.accept(0, &job(id, "t1", 24, 8.0));
     }
     w.run(15_000);
     let victim = w.workers.iter().position(|x| !x.tasks.is_empty()).unwrap();
-    w.lose_replies.insert(victim);
+    w.network.lose_replies.insert(victim);
     w.run(35_000);
     // Its lease has ended. What was sent there in vain has been given up for
     // others, and nothing new is bound to it.
@@ -536,7 +536,7 @@
     let row = w.record_of(&name).map(|(_, row)| row[3].as_array().unwrap().len());
     assert!(row.unwrap_or(0) == 0, "{row:?}");
     w.run(25_000);
-    assert!(w.returned.contains(&name), "it is still there");
+    assert!(w.cloud.returned.contains(&name), "it is still there");
     for id in 1..6 {
         assert!(w.until_done(&format!("run-{id:06}"), 120_000));
     }
@@ -549,16 +549,16 @@
 fn a_machine_that_is_reached_again_is_used_again() {
     let mut w = idle_east();
     w.run_ms = 5_000;
-    w.lose_replies = (0..4).collect();
+    w.network.lose_replies = (0..4).collect();
     let r = w.submit(1, &job(1, "t1", 12, 5.0));
     // Long enough for each to come back after it has tried the other nodes.
     w.run(18_000);
-    assert_eq!(w.answers[&r].status, 201);
-    assert!(w.starts.is_empty());
-    w.lose_replies.clear();
+    assert_eq!(w.users.answers[&r].status, 201);
+    assert!(w.oracle.starts.is_empty());
+    w.network.lose_replies.clear();
     assert!(w.until_done("run-000001", 45_000));
-    assert!(w.returned.is_empty());
-    assert!(w.starts.values().all(|n| *n == 1));
+    assert!(w.cloud.returned.is_empty());
+    assert!(w.oracle.starts.values().all(|n| *n == 1));
     w.fair();
 }
 
@@ -572,17 +572,17 @@
             w.run(4_000);
         }
     }
-    assert!(w.starts.values().all(|n| *n == 1), "{:?}", w.starts);
+    assert!(w.oracle.starts.values().all(|n| *n == 1), "{:?}", w.oracle.starts);
     // Several reports later, machines with room are still used.
     for i in 80..84 {
         w.add_worker(i, support::ZONES[i % 2], false, 100);
     }
     w.run(14_000);
-    let before = w.rented;
+    let before = w.cloud.rented;
     w.accept(0, &job(3, "t1", 2, 5.0));
     w.run(4_000);
-    assert_eq!(w.starts.keys().filter(|k| k.starts_with("run-000003")).count(), 2);
-    assert_eq!(w.rented, before);
+    assert_eq!(w.oracle.starts.keys().filter(|k| k.starts_with("run-000003")).count(), 2);
+    assert_eq!(w.cloud.rented, before);
     w.fair();
 }
 
@@ -598,14 +598,14 @@
     // reports reach every node, again and again.
     w.workers[m].alive = false;
     let name = w.workers[m].name.clone();
-    w.returned.push(name.clone());
+    w.cloud.returned.push(name.clone());
     w.crash(shard_owner, 2_000);
     let lost = w.workers[m].tasks.len();
     for _ in 0..20 {
         for c in &copies {
             for n in 0..3 {
-                if w.nodes[n].is_some() {
-                    w.late_report(n, c.clone());
+                if w.core(n).is_some() {
+                    w.late_heartbeat(n, c.clone());
                 }
             }
         }
@@ -613,7 +613,7 @@
     }
     assert!(gone.is_none_or(|g| w.workers[g].incarnation == 1));
     assert!(w.workers.iter().all(|x| !x.alive || x.incarnation == 1), "a true worker lost its lease");
-    let again = w.starts.values().filter(|n| **n > 1).count();
+    let again = w.oracle.starts.values().filter(|n| **n > 1).count();
     assert_eq!(again, lost, "just what was lost runs again");
     assert!(w.record_of(&name).is_none_or(|(_, row)| row[3].as_array().unwrap().is_empty()));
     w.fair();
@@ -624,7 +624,7 @@
 #[test]
 fn a_worker_back_at_once_with_a_lower_count_loses_and_doubles_nothing() {
     let mut w = busy_world(61, 8);
-    w.capacity = w.workers.len();
+    w.cloud.capacity = w.workers.len();
     let (m, _) = busy_machine(&w);
     let lost = w.workers[m].tasks.len();
     w.workers[m].incarnation += 3;
@@ -632,10 +632,10 @@
     w.restart_worker(m);
     w.run(26_000);
     assert!(w.workers[m].fencing_token > 0, "no one answers it");
-    assert!(!w.returned.contains(&w.workers[m].name), "taken for silent");
+    assert!(!w.cloud.returned.contains(&w.workers[m].name), "taken for silent");
     w.run(30_000);
-    assert_eq!(w.starts.values().filter(|n| **n == 2).count(), lost);
-    assert!(w.starts.values().all(|n| *n <= 2));
+    assert_eq!(w.oracle.starts.values().filter(|n| **n == 2).count(), lost);
+    assert!(w.oracle.starts.values().all(|n| *n <= 2));
     w.fair();
 }
 
@@ -647,13 +647,13 @@
     let copy = w.workers[0].heartbeat();
     w.workers[0].alive = false;
     let name = w.workers[0].name.clone();
-    w.returned.push(name.clone());
+    w.cloud.returned.push(name.clone());
     for n in 0..3 {
         w.crash(n, 1_000);
     }
     w.run(9_000);
     for n in 0..3 {
-        w.late_report(n, copy.clone());
+        w.late_heartbeat(n, copy.clone());
     }
     let r = w.submit(1, &job(1, "t1", 16, 60.0));
     for _ in 0..12 {
@@ -661,8 +661,8 @@
         let row = w.record_of(&name).map(|(_, row)| row[3].as_array().unwrap().len());
         assert!(row.unwrap_or(0) == 0, "work for a machine that is gone");
     }
-    assert_eq!(w.answers[&r].status, 201);
-    assert_eq!(w.starts.len(), 12);
+    assert_eq!(w.users.answers[&r].status, 201);
+    assert_eq!(w.oracle.starts.len(), 12);
     w.fair();
 }
 
@@ -672,7 +672,7 @@
 #[test]
 fn nobody_starves_under_a_lasting_burst() {
     let mut w = world(62);
-    w.capacity = 4;
+    w.cloud.capacity = 4;
     w.run_ms = 10_000;
     let mut next = 100;
     let mut burst = |w: &mut World, seconds: u64| {
@@ -697,7 +697,7 @@
     }
     burst(&mut w, 232);
     for id in 1..4 {
-        let began = w.starts.keys().any(|k| k.starts_with(&format!("run-{id:06}")));
+        let began = w.oracle.starts.keys().any(|k| k.starts_with(&format!("run-{id:06}")));
         assert!(began, "job {id} has not begun after four minutes");
     }
     for id in 1..4 {
@@ -720,12 +720,12 @@
     let lost = w.workers[m].tasks.len();
     w.workers[m].alive = false;
     let name = w.workers[m].name.clone();
-    w.returned.push(name);
+    w.cloud.returned.push(name);
     let leader = w.leader().unwrap();
     w.crash(leader, 1_000);
     w.crash(shard_owner, 1_000);
     w.run(26_000);
-    assert_eq!(w.starts.values().filter(|n| **n == 2).count(), lost);
+    assert_eq!(w.oracle.starts.values().filter(|n| **n == 2).count(), lost);
     w.fair();
 }
 
@@ -734,7 +734,7 @@
 #[test]
 fn a_task_as_large_as_a_machine_gets_one_kept() {
     let mut w = World::new(3, 70);
-    w.capacity = 0;
+    w.cloud.capacity = 0;
     // All in one block, so that its holder has a choice.
     for i in 0..4 {
         w.add_worker(1 + 2 * i, "east", false, 1_000);
@@ -754,7 +754,7 @@
         }
         w.run(1_800);
     }
-    assert!(w.starts.contains_key("run-000001/0"));
+    assert!(w.oracle.starts.contains_key("run-000001/0"));
     w.fair();
 }
 
@@ -768,9 +768,9 @@
         let (_, follower) = busy_machine(&w);
         let victim = if leader { w.leader().unwrap() } else { follower };
         for other in (0..3).filter(|n| *n != victim) {
-            w.cuts.insert((victim, other));
+            w.network.cuts.insert((victim, other));
         }
-        w.state.refuses.insert(victim);
+        w.store.refuses.insert(victim);
         w.run(9_000);
         assert_ne!(w.leader(), Some(victim));
         let asked = (victim + 1) % 3;
@@ -778,13 +778,13 @@
         w.run(60_000);
         let alive = w.workers.iter().filter(|x| x.alive);
         assert!(alive.clone().all(|x| x.incarnation == 1), "a lease ended");
-        assert!(w.starts.values().all(|n| *n == 1), "{:?}", w.starts);
-        w.state.refuses.clear();
-        w.cuts.clear();
+        assert!(w.oracle.starts.values().all(|n| *n == 1), "{:?}", w.oracle.starts);
+        w.store.refuses.clear();
+        w.network.cuts.clear();
         w.run(12_000);
         let name = format!("n{victim}");
         let held =
-            w.state.keys.iter().any(|(k, v)| k.starts_with("w/block/") && v.0["node"] == name.as_str());
+            w.store.keys.iter().any(|(k, v)| k.starts_with("w/block/") && v.0["node"] == name.as_str());
         assert!(held, "it does not take part again");
         assert_eq!(w.status(victim, "run-000001"), "running");
         w.fair();
@@ -808,7 +808,7 @@
             assert!(w.leader().is_some());
         }
         w.run(10_000);
-        assert!(w.starts.values().all(|n| *n == 1), "{:?}", w.starts);
+        assert!(w.oracle.starts.values().all(|n| *n == 1), "{:?}", w.oracle.starts);
         w.accept(0, &job(3, "t0", 2, 5.0));
         w.fair();
     }
@@ -822,7 +822,7 @@
     let mut known = Vec::new();
     let mut id = 1;
     for case in 0..12 {
-        w.lossy = if case % 3 == 1 { 0.5 } else { 0.0 };
+        w.store_faults.loss = if case % 3 == 1 { 0.5 } else { 0.0 };
         let mut asked = Vec::new();
         for n in 0..3 {
             asked.push((id, w.submit(n, &job(id, "t1", 1, 5.0))));
@@ -831,7 +831,7 @@
         w.run(6 + 4 * case);
         match case % 4 {
             0 => (0..3).for_each(|n| w.crash(n, 300)),
-            1 => w.state.down = true,
+            1 => w.store.down = true,
             2 => {
                 let leader = w.leader().unwrap_or(0);
                 w.crash(leader, 5_000);
@@ -839,10 +839,10 @@
             _ => {}
         }
         w.run(6_000);
-        w.state.down = false;
-        w.lossy = 0.0;
+        w.store.down = false;
+        w.store_faults.loss = 0.0;
         w.run(3_000);
-        let taken = |r: &u64| w.answers.get(r).is_some_and(|a| a.status == 200 || a.status == 201);
+        let taken = |r: &u64| w.users.answers.get(r).is_some_and(|a| a.status == 200 || a.status == 201);
         known.extend(asked.iter().filter(|(_, r)| taken(r)).map(|(id, _)| *id));
     }
     assert!(known.len() > 12, "{}", known.len());
@@ -864,20 +864,20 @@
 fn a_flood_of_questions_leaves_none_unanswered() {
     let mut w = world(69);
     w.accept(0, &job(1, "t1", 1, 5.0));
-    w.slow.insert(0, 1_500);
+    w.store_faults.slow.insert(0, 1_500);
     let asked: Vec<u64> = (0..1_000)
         .map(|i| w.ask(0, HttpRequest::Status(format!("run-{:06}", if i % 2 == 0 { 1 } else { i }))))
         .collect();
     w.run(200);
-    let at_once = asked.iter().filter(|r| w.answers.contains_key(r)).count();
+    let at_once = asked.iter().filter(|r| w.users.answers.contains_key(r)).count();
     assert!(at_once >= 500, "{at_once} were turned away at once");
     w.run(4_000);
-    assert!(asked.iter().all(|r| w.answers.contains_key(r)));
+    assert!(asked.iter().all(|r| w.users.answers.contains_key(r)));
     assert!(asked.iter().all(|r| {
-        let a = &w.answers[r];
+        let a = &w.users.answers[r];
         a.status != 503 || a.retry_after_s.is_some()
     }));
-    w.slow.clear();
+    w.store_faults.slow.clear();
     w.run(2_000);
     assert_ne!(w.status(0, "run-000001"), "503");
 }
@@ -887,17 +887,17 @@
 #[test]
 fn need_far_beyond_the_fleet_opens_a_window() {
     let mut w = World::large(3, 72);
-    w.capacity = 400;
+    w.cloud.capacity = 400;
     w.run(5_000);
     // One machine is up, so that no job is stranded.
     w.submit(0, &job(1, "t1", 4, 60.0));
     w.run(21_000);
-    let before = w.rented;
+    let before = w.cloud.rented;
     for id in 2..6 {
         w.submit(id as usize % 3, &job(id, "t1", 240, 10.0));
     }
     w.run(4_000);
-    assert!(w.rented > before + 200, "{} machines after 4 s", w.rented - before);
+    assert!(w.cloud.rented > before + 200, "{} machines after 4 s", w.cloud.rented - before);
     w.fair();
 }
 
@@ -919,14 +919,14 @@
         w.submit(0, &j);
     }
     w.run(15_000);
-    assert_eq!(w.starts.len(), 1000);
+    assert_eq!(w.oracle.starts.len(), 1000);
     let old = w.leader().unwrap();
     w.crash(old, 4_000);
     w.crash((old + 1) % 3, 4_000);
     for id in 0..4 {
         assert!(w.until_done(&format!("run-{id:06}"), 120_000));
     }
-    assert!(w.starts.values().all(|n| *n == 1));
+    assert!(w.oracle.starts.values().all(|n| *n == 1));
     w.fair();
 }
 
@@ -935,19 +935,19 @@
 #[test]
 fn a_first_demand_of_hundreds_of_machines_is_rented_in_few_calls() {
     let mut w = World::large(3, 55);
-    w.capacity = 400;
+    w.cloud.capacity = 400;
     w.run(5_000);
-    let calls = w.cloud_calls;
+    let calls = w.cloud.calls;
     for id in 0..4 {
         w.submit(id as usize % 3, &job(id, "t1", 240, 10.0));
     }
     w.run(6_000);
-    assert!(w.rented >= 240, "{} machines after 6 s", w.rented);
-    assert!(w.cloud_calls - calls < 20, "{} calls", w.cloud_calls - calls);
+    assert!(w.cloud.rented >= 240, "{} machines after 6 s", w.cloud.rented);
+    assert!(w.cloud.calls - calls < 20, "{} calls", w.cloud.calls - calls);
     for id in 0..4 {
         assert!(w.until_done(&format!("run-{id:06}"), 120_000));
     }
-    assert_eq!(w.cloud_refused, 0);
+    assert_eq!(w.cloud.refused, 0);
     w.fair();
 }
 
@@ -967,14 +967,14 @@
             x.cut = true;
         }
         w.run(9_500);
-        w.capacity = 20;
+        w.cloud.capacity = 20;
         w.submit(0, &job(1, "t1", 8, 10.0));
         w.run(3_500);
         for x in &mut w.workers {
             x.cut = false;
         }
         assert!(w.until_done("run-000001", 60_000));
-        assert_eq!(w.rented, 0, "machines that are there were passed over");
+        assert_eq!(w.cloud.rented, 0, "machines that are there were passed over");
         w.fair();
     }
 }
@@ -983,7 +983,7 @@
 #[test]
 fn scattered_tasks_wait_rather_than_crowd_one_zone() {
     let mut w = World::new(3, 49);
-    w.capacity = 0;
+    w.cloud.capacity = 0;
     for i in 1..5 {
         w.add_worker(i, "east", false, 1_000);
     }
@@ -992,7 +992,7 @@
     j["scatter"] = json!(true);
     w.accept(0, &j);
     w.run(9_000);
-    assert_eq!(w.starts.len(), 5);
+    assert_eq!(w.oracle.starts.len(), 5);
     assert!(w.until_done("run-000001", 90_000));
     w.fair();
 }
@@ -1001,12 +1001,12 @@
 fn full_world(seed: u64, urgency: &str, team: &str) -> World {
     let mut w = world(seed);
     w.run_ms = 600_000;
-    w.capacity = 2;
+    w.cloud.capacity = 2;
     let mut a = job(1, team, 8, 600.0);
     a["urgency"] = json!(urgency);
     w.accept(0, &a);
     w.run(40_000);
-    assert_eq!(w.starts.len(), 8);
+    assert_eq!(w.oracle.starts.len(), 8);
     w
 }
 
@@ -1017,7 +1017,7 @@
     w.accept(0, &b);
     w.run(360_000);
     w.fair();
-    w.starts.keys().filter(|k| k.starts_with("run-000002")).count()
+    w.oracle.starts.keys().filter(|k| k.starts_with("run-000002")).count()
 }
 
 #[test]
@@ -1064,7 +1064,7 @@
         x.sick = true;
     }
     assert!(w.until_done("run-000001", 200_000));
-    let failed: u32 = w.starts.values().sum::<u32>() - 8;
+    let failed: u32 = w.oracle.starts.values().sum::<u32>() - 8;
     assert!(failed <= 12, "the sick machine took {failed} starts");
     w.fair();
 }
@@ -1073,9 +1073,9 @@
 fn a_watch_that_fell_behind_leads_to_a_fresh_read() {
     let mut w = world(15);
     w.accept(0, &job(1, "t1", 2, 10.0));
-    w.state.floor = u64::MAX;
+    w.store.floor = u64::MAX;
     w.run(4_000);
-    w.state.floor = w.state.revision;
+    w.store.floor = w.store.revision;
     w.accept(1, &job(2, "t1", 2, 10.0));
     assert!(w.until_done("run-000001", 90_000));
     assert!(w.until_done("run-000002", 90_000));
@@ -1091,18 +1091,19 @@
     w.accept(0, &job(1, "t1", 16, 200.0));
     w.run(60_000);
     let old = w.leader().unwrap();
-    let before = w.returned.clone();
+    let before = w.cloud.returned.clone();
     w.crash(old, 4_000);
     w.crash((old + 1) % 3, 4_000);
     w.run(12_000);
     let busy: Vec<&String> = w
+        .cloud
         .returned
         .iter()
         .filter(|n| !before.contains(n))
         .filter(|n| w.record_of(n).is_some_and(|(_, row)| !row[3].as_array().unwrap().is_empty()))
         .collect();
     assert!(busy.is_empty(), "returned {busy:?}");
-    assert!(w.starts.values().all(|n| *n == 1));
+    assert!(w.oracle.starts.values().all(|n| *n == 1));
 }
 
 /// Frames written into a connection to a process that is no more vanish
@@ -1110,14 +1111,14 @@
 #[test]
 fn links_to_a_restarted_or_silent_node_are_opened_anew() {
     let mut w = world(17);
-    w.reconnects.clear();
+    w.network.reconnects.clear();
     w.crash(2, 300);
     w.run(2_000);
-    assert!(w.reconnects.iter().any(|(n, to)| *n == 0 && to == "n2"));
-    w.reconnects.clear();
-    w.cuts.insert((0, 1));
+    assert!(w.network.reconnects.iter().any(|(n, to)| *n == 0 && to == "n2"));
+    w.network.reconnects.clear();
+    w.network.cuts.insert((0, 1));
     w.run(5_000);
-    assert!(w.reconnects.iter().any(|(n, to)| *n == 0 && to == "n1"));
+    assert!(w.network.reconnects.iter().any(|(n, to)| *n == 0 && to == "n1"));
 }
 
 /// After a standstill a node may hear nobody while all hear it. It was given its
@@ -1129,18 +1130,18 @@
     let (_, victim) = busy_machine(&w);
     w.run_ms = 5_000;
     let others: Vec<usize> = (0..3).filter(|n| *n != victim).collect();
-    w.one_way.extend(others.iter().map(|n| (*n, victim)));
+    w.network.one_way.extend(others.iter().map(|n| (*n, victim)));
     w.run(8_000);
     for n in &others {
         let link = (*n, format!("n{victim}"));
-        assert!(w.reconnects.contains(&link), "{:?}", w.reconnects);
+        assert!(w.network.reconnects.contains(&link), "{:?}", w.network.reconnects);
     }
     for i in 0..w.workers.len() {
         assert_ne!(w.shard_owner_of(i), victim);
     }
     w.accept(others[0], &job(3, "t1", 6, 5.0));
     assert!(w.until_done("run-000003", 60_000));
-    w.one_way.clear();
+    w.network.one_way.clear();
     w.run(12_000);
     assert!((0..w.workers.len()).any(|i| w.shard_owner_of(i) == victim), "its blocks come home");
     w.fair();
@@ -1155,12 +1156,12 @@
     j["memory_gb"] = json!(0.1);
     w.accept(0, &j);
     w.run(60_000);
-    let started = w.starts.len();
+    let started = w.oracle.starts.len();
     assert!(started > 100, "{started}");
     let old = w.leader().unwrap();
     w.crash(old, 5_000);
     w.run(20_000);
-    assert!(w.starts.len() > started);
+    assert!(w.oracle.starts.len() > started);
     assert!(w.status((old + 1) % 3, "run-000001") != "done");
     w.fair();
 }
@@ -1190,7 +1191,7 @@
         j[field] = value.clone();
         let r = w.ask(0, HttpRequest::Submit(j.to_string().into_bytes()));
         w.run(100);
-        let a = &w.answers[&r];
+        let a = &w.users.answers[&r];
         assert_eq!(a.status, status, "{field} = {value}: {}", a.body);
         if status == 400 {
             assert!(a.body.contains(field), "{}", a.body);
@@ -1199,7 +1200,7 @@
     for body in [&b"not json"[..], b"[1]", b"", b"{}"] {
         let r = w.ask(0, HttpRequest::Submit(body.to_vec()));
         w.run(100);
-        assert_eq!(w.answers[&r].status, 400);
+        assert_eq!(w.users.answers[&r].status, 400);
     }
     for id in ["run-000007", "x", "run-", "run-1/2"] {
         assert_eq!(w.status(1, id), "404");
@@ -1209,12 +1210,12 @@
 #[test]
 fn before_the_types_are_known_users_are_told_to_come_back() {
     let mut w = World::new(3, 30);
-    w.cloud_down = true;
+    w.cloud.is_down = true;
     w.run(4_000);
     let r = w.submit(0, &job(1, "t0", 1, 10.0));
     w.run(100);
-    assert_eq!((w.answers[&r].status, w.answers[&r].retry_after_s), (503, Some(1)));
-    w.cloud_down = false;
+    assert_eq!((w.users.answers[&r].status, w.users.answers[&r].retry_after_s), (503, Some(1)));
+    w.cloud.is_down = false;
     w.accept(0, &job(1, "t0", 1, 10.0));
     assert!(w.until_done("run-000001", 90_000));
 }
@@ -1222,7 +1223,7 @@
 #[test]
 fn refused_capacity_is_not_asked_for_in_a_loop() {
     let mut w = world(31);
-    w.capacity = 1;
+    w.cloud.capacity = 1;
     w.accept(0, &job(1, "t1", 12, 10.0));
     assert!(w.until_done("run-000001", 300_000));
     w.fair();
@@ -1236,17 +1237,17 @@
             let back = w.rng.random_range(100..6_000);
             w.crash(n, back);
         }
-        1 => w.state.down = !w.state.down,
+        1 => w.store.down = !w.store.down,
         2 => {
             let n = w.rng.random_range(0..3);
-            w.state.refuses.insert(n);
+            w.store.refuses.insert(n);
         }
-        3 => w.state.refuses.clear(),
+        3 => w.store.refuses.clear(),
         4 => {
             let (a, b) = (w.rng.random_range(0..3), w.rng.random_range(0..4));
-            w.cuts.insert((a, if b == 3 { usize::MAX } else { b }));
+            w.network.cuts.insert((a, if b == 3 { usize::MAX } else { b }));
         }
-        5 => w.cuts.clear(),
+        5 => w.network.cuts.clear(),
         6 if !w.workers.is_empty() => {
             let i = w.rng.random_range(0..w.workers.len());
             w.workers[i].cut = !w.workers[i].cut;
@@ -1255,15 +1256,15 @@
             let i = w.rng.random_range(0..w.workers.len());
             w.workers[i].alive = false;
             let name = w.workers[i].name.clone();
-            w.returned.push(name);
+            w.cloud.returned.push(name);
         }
-        8 => w.lossy = if w.lossy > 0.0 { 0.0 } else { 0.2 },
-        9 => w.cloud_down = !w.cloud_down,
+        8 => w.store_faults.loss = if w.store_faults.loss > 0.0 { 0.0 } else { 0.2 },
+        9 => w.cloud.is_down = !w.cloud.is_down,
         11 if !w.workers.is_empty() => {
             let i = w.rng.random_range(0..w.workers.len());
-            w.lose_replies.insert(i);
+            w.network.lose_replies.insert(i);
         }
-        12 => w.lose_replies.clear(),
+        12 => w.network.lose_replies.clear(),
         13 if !w.workers.is_empty() => {
             let i = w.rng.random_range(0..w.workers.len());
             w.restart_worker(i);
@@ -1275,14 +1276,14 @@
                 copies.push(w.workers[i].heartbeat());
                 let c = w.rng.random_range(0..copies.len());
                 let n = w.rng.random_range(0..3);
-                w.late_report(n, copies[c].clone());
+                w.late_heartbeat(n, copies[c].clone());
             }
         }
         16 => {
             // Alone with its workers.
             let n = w.rng.random_range(0..3);
-            w.state.refuses.insert(n);
-            w.cuts.extend((0..3).filter(|o| *o != n).map(|o| (n, o)));
+            w.store.refuses.insert(n);
+            w.network.cuts.extend((0..3).filter(|o| *o != n).map(|o| (n, o)));
         }
         10 if !ids.is_empty() => {
             let i = w.rng.random_range(0..ids.len());
@@ -1295,12 +1296,12 @@
 
 /// Everything works again, but for machines that are cut off.
 fn end_faults(w: &mut World) {
-    w.state.down = false;
-    w.state.refuses.clear();
-    w.cuts.clear();
-    w.lossy = 0.0;
-    w.cloud_down = false;
-    w.lose_replies.clear();
+    w.store.down = false;
+    w.store.refuses.clear();
+    w.network.cuts.clear();
+    w.store_faults.loss = 0.0;
+    w.cloud.is_down = false;
+    w.network.lose_replies.clear();
     w.run(5_000);
 }
 
@@ -1321,7 +1322,7 @@
                 let node = w.rng.random_range(0..3);
                 let r = w.submit(node, &job(id, team, tasks, 8.0));
                 w.run(300);
-                if w.answers.get(&r).is_some_and(|a| a.status < 300) {
+                if w.users.answers.get(&r).is_some_and(|a| a.status < 300) {
                     ids.push(format!("run-{id:06}"));
                 }
             }
@@ -1342,15 +1343,19 @@
         }
         w.run(60_000);
         for id in &ids {
-            if !w.cancelled.contains_key(id) {
-                let s = w.state.keys.get(&format!("w/job/{id}")).map(|v| v.0["s"].clone());
+            if !w.users.cancelled.contains_key(id) {
+                let s = w.store.keys.get(&format!("w/job/{id}")).map(|v| v.0["s"].clone());
                 assert!(
                     s == Some(json!("c")) || w.until_done(id, 200_000),
                     "seed {seed}: {id} is stuck as {s:?}"
                 );
             }
         }
-        assert!(w.broken.is_empty(), "seed {seed}: {:?}", &w.broken[..w.broken.len().min(5)]);
+        assert!(
+            w.oracle.broken.is_empty(),
+            "seed {seed}: {:?}",
+            &w.oracle.broken[..w.oracle.broken.len().min(5)]
+        );
     }
 }
 
@@ -1387,7 +1392,7 @@
 fn machines_that_hang_in_numbers_keep_their_tasks_within_the_lease() {
     for (seed, hang, keeps) in [(87, 12_000, true), (88, 40_000, false)] {
         let mut w = busy_world(seed, 8);
-        let before = w.starts.len();
+        let before = w.oracle.starts.len();
         for i in (0..w.workers.len()).step_by(2) {
             w.workers[i].cut = true;
         }
@@ -1398,8 +1403,8 @@
             x.cut = false;
         }
         w.run(40_000);
-        assert_eq!(w.starts.len(), before);
-        assert_eq!(w.starts.values().all(|n| *n == 1), keeps, "{:?}", w.starts);
+        assert_eq!(w.oracle.starts.len(), before);
+        assert_eq!(w.oracle.starts.values().all(|n| *n == 1), keeps, "{:?}", w.oracle.starts);
         w.fair();
     }
 }
@@ -1437,7 +1442,7 @@
         w.run_ms = 8_000;
         let leader = w.leader().unwrap();
         let slow = if leads { leader } else { (leader + 1) % 3 };
-        w.lag.insert(slow, lag);
+        w.network.lag.insert(slow, lag);
         for id in 3..9 {
             let node = (slow + 1 + id as usize % 2) % 3;
             w.accept(node, &job(id, "t1", 4, 8.0));
@@ -1450,7 +1455,7 @@
         for id in 3..9 {
             assert!(w.until_done(&format!("run-{id:06}"), 150_000), "seed {seed}: job {id}");
         }
-        w.lag.clear();
+        w.network.lag.clear();
         w.run(20_000);
         w.fair();
     }
@@ -1504,13 +1509,17 @@
     // More than all machines can take at once, so that none is surplus.
     w.submit(0, &job(50, "t1", 600, 12.0));
     w.run(4_000);
-    w.state.down = true;
+    w.store.down = true;
     w.run(60_000);
-    w.state.down = false;
-    let before = w.starts.len();
+    w.store.down = false;
+    let before = w.oracle.starts.len();
     w.run(25_000);
-    assert!(w.starts.len() > before + 150, "{} starts after the outage", w.starts.len() - before);
-    assert!(w.returned.is_empty(), "{} machines returned", w.returned.len());
+    assert!(
+        w.oracle.starts.len() > before + 150,
+        "{} starts after the outage",
+        w.oracle.starts.len() - before
+    );
+    assert!(w.cloud.returned.is_empty(), "{} machines returned", w.cloud.returned.len());
     assert!(w.until_done("run-000050", 120_000));
     w.fair();
 }
@@ -1520,11 +1529,11 @@
 #[test]
 fn the_record_of_the_fleet_stays_within_the_limit() {
     let mut w = World::new(1, 83);
-    w.more_types = 14;
+    w.cloud.more_types = 14;
     w.run(5_000);
     w.accept(0, &job(1, "t0", 2, 5.0));
     w.run(900_000);
-    let at = w.state.keys["fleet"].0["at"].as_u64().unwrap();
+    let at = w.store.keys["fleet"].0["at"].as_u64().unwrap();
     assert!(at + 11_000 > 1_000_000_000 + w.now, "the newest window is on record");
     w.fair();
 }
@@ -1545,12 +1554,12 @@
         w.run(50);
     }
     w.run(5_000);
-    assert!(w.starts.len() > machines, "{} starts", w.starts.len());
+    assert!(w.oracle.starts.len() > machines, "{} starts", w.oracle.starts.len());
     for n in 0..nodes {
         w.crash(n, 3_000 + 400 * n as u64);
     }
     let left = |w: &World| {
-        let done = |id: &u32| w.state.keys[&format!("w/job/run-{id:06}")].0["s"] == "d";
+        let done = |id: &u32| w.store.keys[&format!("w/job/run-{id:06}")].0["s"] == "d";
         (0..jobs).filter(|id| !done(id)).count()
     };
     let from = w.now;
@@ -1558,9 +1567,13 @@
         w.run(500);
     }
     assert_eq!(left(&w), 0, "jobs that did not complete");
-    assert!(w.starts.values().all(|n| *n == 1), "a lease lasted, its tasks did not");
-    assert_eq!((w.state.refused, w.cloud_refused), (0, 0));
-    assert!(w.longest_frame < woadlever::wire::peer::MAX_FRAME / 4, "{} bytes", w.longest_frame);
+    assert!(w.oracle.starts.values().all(|n| *n == 1), "a lease lasted, its tasks did not");
+    assert_eq!((w.store.refused, w.cloud.refused), (0, 0));
+    assert!(
+        w.network.longest_frame < woadlever::wire::peer::MAX_FRAME / 4,
+        "{} bytes",
+        w.network.longest_frame
+    );
     w.fair();
 }
 
@@ -1580,15 +1593,15 @@
 fn an_idle_cluster_asks_and_tells_little() {
     let mut w = world(610);
     w.run(20_000);
-    let (requests, frames, calls) = (w.state.requests, w.frames, w.cloud_calls);
+    let (requests, frames, calls) = (w.store.requests, w.network.frames, w.cloud.calls);
     w.run(60_000);
     let a_second = |n: u64| n as f64 / 60.0;
     // Watches of two seconds on three nodes, a lease kept, a record a window.
-    let requests = a_second(w.state.requests - requests);
+    let requests = a_second(w.store.requests - requests);
     assert!(requests < 3.0, "{requests} requests a second");
     // Two beats a second each way make 12, and two state messages a second both ways for
     // each of two blocks that are not the leader's own another 8.
-    let frames = a_second(w.frames - frames);
+    let frames = a_second(w.network.frames - frames);
     assert!(frames < 21.0, "{frames} frames a second");
-    assert!(w.cloud_calls - calls < 25, "{} calls to the cloud", w.cloud_calls - calls);
+    assert!(w.cloud.calls - calls < 25, "{} calls to the cloud", w.cloud.calls - calls);
 }
--- a/tests/support/cells.rs
+++ b/tests/support/cells.rs
@@ -98,13 +98,13 @@
     pub fn accept(&mut self, cell: usize, body: &Value) {
         let id = body["name_id"].as_str().unwrap().to_string();
         for world in &mut self.worlds {
-            world.jobs.insert(id.clone(), body.clone());
+            world.users.jobs.insert(id.clone(), body.clone());
         }
         let node = 0;
         for _ in 0..60 {
             let request = self.worlds[cell].submit(node, body);
             self.run(1_000);
-            let answer = self.worlds[cell].answers.get(&request);
+            let answer = self.worlds[cell].users.answers.get(&request);
             if answer.is_some_and(|answer| answer.status == 200 || answer.status == 201) {
                 return;
             }
@@ -115,15 +115,15 @@
     /// A user of one cell cancels a job; whether that was confirmed.
     pub fn cancel(&mut self, cell: usize, id: &str) -> bool {
         use woadlever::core::HttpRequest;
-        self.worlds[cell].asked_to_cancel.insert(id.into());
+        self.worlds[cell].users.asked_to_cancel.insert(id.into());
         for _ in 0..20 {
             let request = self.worlds[cell].ask(0, HttpRequest::Cancel(id.into()));
             self.run(500);
-            let answer = self.worlds[cell].answers.get(&request);
+            let answer = self.worlds[cell].users.answers.get(&request);
             if answer.is_some_and(|answer| answer.body.contains("withdrawn")) {
                 let now = self.now();
                 for world in &mut self.worlds {
-                    world.cancelled.entry(id.into()).or_insert(now);
+                    world.users.cancelled.entry(id.into()).or_insert(now);
                 }
                 return true;
             }
@@ -136,7 +136,7 @@
         use woadlever::core::HttpRequest;
         let request = self.worlds[cell].ask(0, HttpRequest::Status(id.into()));
         self.run(300);
-        self.worlds[cell].answers.get(&request).map_or("none".into(), |answer| {
+        self.worlds[cell].users.answers.get(&request).map_or("none".into(), |answer| {
             let body: Value = serde_json::from_str(&answer.body).unwrap_or_default();
             body["status"].as_str().map_or(answer.status.to_string(), str::to_string)
         })
@@ -144,7 +144,7 @@
 
     /// The state of a job on record in a cell, with its forwarding and origin.
     pub fn record(&self, cell: usize, id: &str) -> Option<Value> {
-        self.worlds[cell].state.keys.get(&format!("w/job/{id}")).map(|(value, ..)| value.clone())
+        self.worlds[cell].store.keys.get(&format!("w/job/{id}")).map(|(value, ..)| value.clone())
     }
 
     /// Where the record of the origin says that the job is: none if it is there.
@@ -157,7 +157,7 @@
     /// Starts of a job's tasks in one cell.
     pub fn starts(&self, cell: usize, id: &str) -> u32 {
         let prefix = format!("{id}/");
-        let starts = self.worlds[cell].starts.iter();
+        let starts = self.worlds[cell].oracle.starts.iter();
         starts.filter(|(task, _)| task.starts_with(&prefix)).map(|(_, starts)| starts).sum()
     }
 
@@ -192,7 +192,7 @@
     /// Writes to the record of a job by a cell's leader are under way until further notice.
     pub fn hold_writes(&mut self, cell: usize, id: &str) {
         let leader = self.worlds[cell].leader().unwrap();
-        self.worlds[cell].pick = Some((leader, format!("w/job/{id}"), Fate::Late));
+        self.worlds[cell].store_faults.pick = Some((leader, format!("w/job/{id}"), Fate::Late));
     }
 
     /// Lets the messages go that are held on a way, in their order.
@@ -235,7 +235,7 @@
 
     fn collect(&mut self) {
         for from in 0..self.worlds.len() {
-            for (cell, message) in std::mem::take(&mut self.worlds[from].cell_messages) {
+            for (cell, message) in std::mem::take(&mut self.worlds[from].network.cell_messages) {
                 let to: usize = cell[1..].parse().unwrap();
                 self.messages += 1;
                 if self.check_gap_ms > STEP_MS {
@@ -267,7 +267,7 @@
         while let Some(entry) = self.queue.first_entry().filter(|entry| entry.key().0 <= now) {
             let (to, message) = entry.remove();
             for node in 0..3 {
-                if self.worlds[to].nodes[node].is_some() {
+                if self.worlds[to].core(node).is_some() {
                     self.worlds[to].cell_message(node, message.clone());
                 }
             }
@@ -288,7 +288,7 @@
                     if other.is_some_and(|other| other != cell) {
                         self.broken.push(format!("{now} {}/{} runs in two cells", task.job, task.task));
                     }
-                    let at = world.cancelled.get(&task.job);
+                    let at = world.users.cancelled.get(&task.job);
                     if at.is_some_and(|at| now > at + CANCEL_MS) {
                         self.broken.push(format!("{now} ran_cancelled {} in c{cell}", task.job));
                     }
@@ -296,9 +296,9 @@
             }
         }
         let started: BTreeSet<String> =
-            self.worlds.iter().flat_map(|world| world.starts.keys().cloned()).collect();
+            self.worlds.iter().flat_map(|world| world.oracle.starts.keys().cloned()).collect();
         for world in &mut self.worlds {
-            world.elsewhere.extend(started.iter().cloned());
+            world.oracle.elsewhere.extend(started.iter().cloned());
         }
     }
 
--- /dev/null
+++ b/tests/support/events.rs
@@ -0,0 +1,322 @@
+//! What is under way between controllers, store, cloud, workers and users, and its arrival.
+
+use super::controllers::{sender_of, zone_of};
+use super::network::WORKERS;
+use super::settings::Size;
+use super::store::PendingWatch;
+use super::store_faults::Fate;
+use super::{Answer, World};
+use rand::RngExt;
+use woadlever::core::{
+    CloudRequest, CloudResponse, HttpRequest, Input, Output, StoreRequest, StoreResponse,
+};
+use woadlever::wire::peer::Frame;
+use woadlever::wire::store::{CompareAndSwap, WatchAnswer};
+use woadlever::wire::workers::{DirectCommands, WorkerHeartbeat};
+
+const STORE_MS: u64 = 2;
+const CLOUD_MS: u64 = 50;
+const DIRECT_COMMANDS_MS: u64 = 2;
+/// A write whose answer is lost is given up after this time, and runs up to so late.
+const LOST_ANSWER_MS: u64 = 2_000;
+const LATEST_LOST_WRITE_MS: u64 = 8_000;
+/// A watch without an answer is given up this long after its time.
+const WATCH_SLACK_MS: u64 = 3_000;
+
+/// A call of a process to the store or to the cloud.
+#[derive(Debug, Clone, Copy)]
+pub struct Call {
+    pub(super) node: usize,
+    pub(super) incarnation: u64,
+    pub(super) number: u64,
+}
+
+/// Something that is under way.
+pub enum Event {
+    StoreRequest {
+        call: Call,
+        request: StoreRequest,
+        /// Nobody waits for the answer any more.
+        is_given_up: bool,
+        /// It was under way for long, and arrives whatever the store refuses now.
+        is_late: bool,
+    },
+    StoreResponse {
+        call: Call,
+        response: StoreResponse,
+    },
+    CloudRequest {
+        call: Call,
+        request: CloudRequest,
+    },
+    CloudResponse {
+        call: Call,
+        response: CloudResponse,
+    },
+    Frame {
+        to: usize,
+        incarnation: u64,
+        frame: Frame,
+    },
+    WorkerHeartbeat {
+        worker: usize,
+        id: u64,
+        node: usize,
+        heartbeat: Box<WorkerHeartbeat>,
+    },
+    HeartbeatResponse {
+        worker: usize,
+        node: usize,
+        id: u64,
+        answer: Answer,
+    },
+    DirectCommands {
+        worker: usize,
+        commands: DirectCommands,
+    },
+    UserAnswer {
+        request: u64,
+        answer: Answer,
+    },
+}
+
+impl World {
+    /// Puts something on its way.
+    pub(super) fn push(&mut self, delay: u64, event: Event) {
+        if self.network.partition.is_some() && self.crosses_zones(&event) {
+            self.network.partition.get_or_insert_default().push(event);
+            return;
+        }
+        let delay = delay + self.lag_of(&event);
+        self.sequence += 1;
+        self.queue.insert((self.now + delay, self.sequence), event);
+    }
+
+    fn crosses_zones(&self, event: &Event) -> bool {
+        match event {
+            Event::Frame { to, frame, .. } => {
+                sender_of(frame).is_some_and(|from| zone_of(from) != zone_of(*to))
+            }
+            Event::WorkerHeartbeat { worker, node, .. }
+            | Event::HeartbeatResponse { worker, node, .. } => {
+                self.workers[*worker].zone != zone_of(*node)
+            }
+            _ => false,
+        }
+    }
+
+    /// What a slow node still has before it when this reaches it.
+    fn lag_of(&self, event: &Event) -> u64 {
+        let node = match event {
+            Event::StoreResponse { call, .. } | Event::CloudResponse { call, .. } => &call.node,
+            Event::WorkerHeartbeat { node, .. } => node,
+            Event::Frame { to, .. } => to,
+            _ => return 0,
+        };
+        self.network.lag.get(node).copied().unwrap_or(0)
+    }
+
+    /// The two zones can't reach each other; what is sent waits on the way.
+    pub fn part_zones(&mut self) {
+        self.network.partition = Some(Vec::new());
+    }
+
+    /// What was held up arrives after all, in order.
+    pub fn join_zones(&mut self) {
+        for event in self.network.partition.take().unwrap_or_default() {
+            self.push(1, event);
+        }
+    }
+
+    /// What a process puts out goes on its way.
+    pub(super) fn carry_out(&mut self, node: usize, incarnation: u64, output: Output) {
+        match output {
+            Output::Answer { request_id, answer } => self.send_answer(node, request_id, answer),
+            Output::Store { call, request } => {
+                self.send_store_request(Call { node, incarnation, number: call }, request);
+            }
+            Output::Cloud { call, request } => {
+                let call = Call { node, incarnation, number: call };
+                self.push(CLOUD_MS, Event::CloudRequest { call, request });
+            }
+            Output::Send { to, frame } => self.send_frame(node, to[1..].parse().unwrap(), frame),
+            Output::DirectCommands { addr, commands } => {
+                let found = self.workers.iter().position(|worker| worker.name == addr);
+                if let Some(worker) = found.filter(|_| !self.network.is_cut(node, WORKERS)) {
+                    self.push(DIRECT_COMMANDS_MS, Event::DirectCommands { worker, commands });
+                }
+            }
+            Output::SendCell { cell, message } => self.network.cell_messages.push((cell, *message)),
+            Output::Reconnect { to } => self.network.reconnects.push((node, to)),
+        }
+    }
+
+    fn send_answer(&mut self, node: usize, request: u64, answer: Answer) {
+        let Some((worker, id)) = self.worker_requests.remove(&(node, request)) else {
+            return self.push(1, Event::UserAnswer { request, answer });
+        };
+        let delay = 1 + self.rng.random_range(0..3);
+        if !self.network.lose_replies.contains(&worker) {
+            self.push(delay, Event::HeartbeatResponse { worker, node, id, answer });
+        }
+    }
+
+    fn send_frame(&mut self, from: usize, to: usize, frame: Frame) {
+        let Some(process) = &self.controllers[to].process else { return };
+        let incarnation = process.incarnation;
+        if self.network.is_cut(from, to) || self.network.one_way.contains(&(from, to)) {
+            return;
+        }
+        if self.size == Size::Fleet {
+            let bytes = bitcode::encode(&frame).len();
+            self.network.longest_frame = self.network.longest_frame.max(bytes);
+        }
+        self.network.frames += 1;
+        self.push(self.network.frame_ms, Event::Frame { to, incarnation, frame });
+    }
+
+    fn send_store_request(&mut self, call: Call, request: StoreRequest) {
+        if let Some(fate) = self.store_faults.fate_of(call.node, &request) {
+            let StoreRequest::CompareAndSwap(write) = request else { return };
+            return self.lose_write(call, write, fate);
+        }
+        let is_write = matches!(request, StoreRequest::CompareAndSwap(_));
+        let is_given_up = self.store_faults.loss > 0.0
+            && is_write
+            && self.rng.random_range(0.0..1.0) < self.store_faults.loss;
+        let slow = self.store_faults.delay_of(call.node, &request);
+        // A lost call may still run, seconds later.
+        let delay =
+            slow + if is_given_up { self.rng.random_range(1..LATEST_LOST_WRITE_MS) } else { STORE_MS };
+        if is_given_up {
+            let response = StoreResponse::OutcomeUnknown;
+            self.push(LOST_ANSWER_MS, Event::StoreResponse { call, response });
+        }
+        self.push(delay, Event::StoreRequest { call, request, is_given_up, is_late: slow > 0 });
+    }
+
+    fn lose_write(&mut self, call: Call, write: CompareAndSwap, fate: Fate) {
+        if fate == Fate::Late {
+            self.store_faults.held.push(write);
+        } else if !self.store.down {
+            self.store.compare_and_swap(&write);
+        }
+        let response = StoreResponse::OutcomeUnknown;
+        self.push(self.store_faults.timeout_ms, Event::StoreResponse { call, response });
+    }
+
+    /// What was under way is carried out after all, in order: what became of it.
+    pub fn carry_out_late(&mut self) -> Vec<StoreResponse> {
+        let late = std::mem::take(&mut self.store_faults.held);
+        late.iter().map(|write| self.store.compare_and_swap(write)).collect()
+    }
+
+    /// Something arrives.
+    pub(super) fn handle(&mut self, event: Event) {
+        match event {
+            Event::StoreRequest { call, request, is_given_up, is_late } => {
+                self.on_store_request(call, request, is_given_up, is_late);
+            }
+            Event::StoreResponse { call, response } => {
+                if self.controllers[call.node].runs(call.incarnation) {
+                    self.step(call.node, Input::Store { call: call.number, response });
+                }
+            }
+            Event::CloudRequest { call, request } => {
+                let response = self.cloud_response(request);
+                self.push(CLOUD_MS, Event::CloudResponse { call, response });
+            }
+            Event::CloudResponse { call, response } => {
+                if self.controllers[call.node].runs(call.incarnation) {
+                    self.step(call.node, Input::Cloud { call: call.number, response });
+                }
+            }
+            Event::Frame { to, incarnation, frame } => {
+                if self.controllers[to].runs(incarnation) {
+                    self.step(to, Input::Frame(frame));
+                }
+            }
+            Event::WorkerHeartbeat { worker, id, node, heartbeat } => {
+                if self.controllers[node].process.is_none() {
+                    return;
+                }
+                let request_id = self.users.number_request();
+                self.worker_requests.insert((node, request_id), (worker, id));
+                let request = HttpRequest::WorkerHeartbeat(heartbeat);
+                self.step(node, Input::Http { request_id, request });
+            }
+            Event::HeartbeatResponse { worker, id, node, answer } => match self.hang_of(worker) {
+                Some(wait) => self.push(wait, Event::HeartbeatResponse { worker, id, node, answer }),
+                None => self.on_heartbeat_response(worker, id, answer),
+            },
+            Event::DirectCommands { worker, commands } => match self.hang_of(worker) {
+                Some(wait) => self.push(wait, Event::DirectCommands { worker, commands }),
+                None => self.on_direct_commands(worker, commands),
+            },
+            Event::UserAnswer { request, answer } => {
+                self.hear(&answer);
+                self.users.answers.insert(request, answer);
+            }
+        }
+    }
+
+    /// How long a worker that hangs still does so.
+    fn hang_of(&self, worker: usize) -> Option<u64> {
+        let wait = self.workers[worker].hung_until.saturating_sub(self.now);
+        (wait > 0).then_some(wait + 1)
+    }
+
+    fn on_store_request(&mut self, call: Call, request: StoreRequest, is_given_up: bool, is_late: bool) {
+        self.store.requests += 1;
+        let is_refused =
+            self.store.refuses.contains(&call.node) || self.store.over_rate(self.now, &request);
+        if let StoreRequest::Watch { prefix, since, block_ms } = request {
+            if self.store.down || is_refused {
+                let response = StoreResponse::NotExecuted;
+                return self.push(STORE_MS, Event::StoreResponse { call, response });
+            }
+            let until = self.now + block_ms;
+            self.store.watches.push(PendingWatch { call, prefix, since, until });
+            return;
+        }
+        if is_given_up {
+            if !self.store.down {
+                self.store.run(self.now, &request);
+            }
+            return;
+        }
+        let response = if self.store.down || is_refused && !is_late {
+            StoreResponse::NotExecuted
+        } else {
+            self.store.run(self.now, &request)
+        };
+        self.push(STORE_MS, Event::StoreResponse { call, response });
+    }
+
+    /// Answers the watches that have something to tell, or whose time is over.
+    pub(super) fn answer_watches(&mut self) {
+        if self.store.down {
+            return;
+        }
+        let now = self.now;
+        for watch in std::mem::take(&mut self.store.watches) {
+            let found = self.store.watch(&watch.prefix, watch.since);
+            let nothing = (now >= watch.until).then(|| {
+                StoreResponse::Watch(WatchAnswer { revision: self.store.revision, events: vec![] })
+            });
+            let call = watch.call;
+            let is_refused = self.store.refuses.contains(&call.node);
+            match found.or(nothing) {
+                Some(response) if !is_refused => {
+                    let late = self.store_faults.slow_watch.get(&call.node).copied().unwrap_or(0);
+                    self.push(1 + late, Event::StoreResponse { call, response });
+                }
+                _ if now > watch.until + WATCH_SLACK_MS => {
+                    let response = StoreResponse::OutcomeUnknown;
+                    self.push(1, Event::StoreResponse { call, response });
+                }
+                _ => self.store.watches.push(watch),
+            }
+        }
+    }
+}
--- a/tests/support/rules.rs
+++ b/tests/support/oracle.rs
@@ -1,18 +1,33 @@
 //! The rules of the protocol, checked at each start of a task, each step of time
 //! and each answer to a user.
 
-use super::{Answer, CANCEL_MS, WTask, World, settings::Size};
+use super::{Answer, CANCEL_MS, WorkerTask, World, settings::Size};
 use serde_json::Value;
 use std::collections::{HashMap, HashSet};
 use woadlever::wire::workers::TaskState;
 
+/// What has been started, and the rules that were broken.
+#[derive(Default)]
+pub struct Oracle {
+    /// Starts by task.
+    pub starts: HashMap<String, u32>,
+    pub broken: Vec<String>,
+    called_done: HashSet<String>,
+    /// Tasks that started after their job's cancellation was confirmed: how long
+    /// after.
+    pub late_starts: Vec<(String, u64)>,
+    /// Tasks that have been started in other cells.
+    pub elsewhere: HashSet<String>,
+}
+
 impl World {
     /// The jobs that a job awaits, directly or through others.
     pub fn before(&self, id: &str) -> Vec<String> {
         let mut out: Vec<String> = Vec::new();
         let mut list = vec![id.to_string()];
         while let Some(id) = list.pop() {
-            for a in self.jobs.get(&id).and_then(|j| j["awaits"].as_array()).into_iter().flatten() {
+            for a in self.users.jobs.get(&id).and_then(|j| j["awaits"].as_array()).into_iter().flatten()
+            {
                 let a = a.as_str().unwrap_or_default().to_string();
                 if !out.contains(&a) {
                     out.push(a.clone());
@@ -27,73 +42,74 @@
     pub(super) fn hear(&mut self, answer: &Answer) {
         let v: Value = serde_json::from_str(&answer.body).unwrap_or_default();
         let (Some(id), Some(status)) = (v["name_id"].as_str(), v["status"].as_str()) else { return };
-        if let Some(before) = self.told.get(id).filter(|b| *b != status) {
-            self.broken.push(format!("{} went_back {id}: {before}, then {status}", self.now));
+        if let Some(before) = self.users.told.get(id).filter(|b| *b != status) {
+            self.oracle.broken.push(format!("{} went_back {id}: {before}, then {status}", self.now));
         }
         let mut family = self.before(id);
         family.push(id.to_string());
         match status {
             "queued" | "running" => {
-                let late =
-                    |a: &&String| self.cancelled.get(*a).is_some_and(|at| self.now > at + CANCEL_MS);
+                let late = |a: &&String| {
+                    self.users.cancelled.get(*a).is_some_and(|at| self.now > at + CANCEL_MS)
+                };
                 if let Some(a) = family.iter().find(late) {
-                    self.broken.push(format!("{} orphaned {id}: {a} is withdrawn", self.now));
+                    self.oracle.broken.push(format!("{} orphaned {id}: {a} is withdrawn", self.now));
                 }
             }
             "withdrawn" => {
                 let key = |a: &String| format!("w/job/{a}");
                 let cancelled = |a: &String| {
-                    self.asked_to_cancel.contains(a)
-                        || self.state.keys.get(&key(a)).is_some_and(|v| v.0["s"] == "c" && a != id)
+                    self.users.asked_to_cancel.contains(a)
+                        || self.store.keys.get(&key(a)).is_some_and(|v| v.0["s"] == "c" && a != id)
                 };
                 if !family.iter().any(cancelled) {
-                    self.broken.push(format!("{} went_back {id}: nobody cancelled it", self.now));
+                    self.oracle.broken.push(format!("{} went_back {id}: nobody cancelled it", self.now));
                 }
-                self.told.insert(id.into(), status.into());
-                if self.asked_to_cancel.contains(id) {
-                    self.cancelled.entry(id.into()).or_insert(self.now);
+                self.users.told.insert(id.into(), status.into());
+                if self.users.asked_to_cancel.contains(id) {
+                    self.users.cancelled.entry(id.into()).or_insert(self.now);
                 }
             }
             _ => {
-                self.told.insert(id.into(), status.into());
+                self.users.told.insert(id.into(), status.into());
             }
         }
     }
 
     pub(super) fn started(&mut self, worker: usize, job: &str, task: u32) {
-        *self.starts.entry(format!("{job}/{task}")).or_default() += 1;
-        if let Some(at) = self.cancelled.get(job) {
-            self.late_starts.push((format!("{job}/{task}"), self.now - at));
+        *self.oracle.starts.entry(format!("{job}/{task}")).or_default() += 1;
+        if let Some(at) = self.users.cancelled.get(job) {
+            self.oracle.late_starts.push((format!("{job}/{task}"), self.now - at));
             if self.now > at + CANCEL_MS {
-                self.broken.push(format!("{} ran_cancelled {job}/{task} started", self.now));
+                self.oracle.broken.push(format!("{} ran_cancelled {job}/{task} started", self.now));
             }
         }
         for (i, w) in self.workers.iter().enumerate() {
-            let there = |t: &WTask| {
+            let there = |t: &WorkerTask| {
                 t.task == task
                     && t.job == job
                     && matches!(t.state, TaskState::Running | TaskState::Saving)
             };
             if i != worker && w.alive && w.tasks.iter().any(there) {
-                self.broken.push(format!("{} ran_twice {job}/{task}", self.now));
+                self.oracle.broken.push(format!("{} ran_twice {job}/{task}", self.now));
             }
         }
-        let Some(spec) = self.jobs.get(job) else {
-            self.broken.push(format!("started an unknown job {job}"));
+        let Some(spec) = self.users.jobs.get(job) else {
+            self.oracle.broken.push(format!("started an unknown job {job}"));
             return;
         };
         for a in spec["awaits"].as_array().into_iter().flatten() {
             let key = format!("w/job/{}", a.as_str().unwrap_or_default());
-            if self.state.keys.get(&key).is_none_or(|v| v.0["s"] != "d") {
-                self.broken.push(format!("{} too_early {job}/{task}: {a} is not done", self.now));
+            if self.store.keys.get(&key).is_none_or(|v| v.0["s"] != "d") {
+                self.oracle.broken.push(format!("{} too_early {job}/{task}: {a} is not done", self.now));
             }
         }
         // A look at all tasks of all machines for each start would take longer
         // than the service itself; no team's limit is near here.
-        let sums = self.size != Size::Fleet || self.starts.len().is_multiple_of(200);
+        let sums = self.size != Size::Fleet || self.oracle.starts.len().is_multiple_of(200);
         let w = &self.workers[worker];
         if (spec["standby"] == false && w.spot) || spec["yard"].as_str().is_some_and(|y| y != w.zone) {
-            self.broken.push(format!("{} wrong_place {job}/{task}", self.now));
+            self.oracle.broken.push(format!("{} wrong_place {job}/{task}", self.now));
         }
         let (one, scatter) = (spec["one_zone"] == true, spec["scatter"] == true);
         let total = spec["pieces"].as_u64().unwrap_or(0);
@@ -105,14 +121,14 @@
                 if t.job == job {
                     *zones.entry(&w.zone).or_default() += 1;
                 }
-                if let Some(s) = self.jobs.get(&t.job) {
+                if let Some(s) = self.users.jobs.get(&t.job) {
                     *used.entry(s["crew"].as_str().unwrap()).or_default() +=
                         s["cores"].as_f64().unwrap();
                 }
             }
         }
         if one && zones.len() > 1 || scatter && zones.values().any(|n| *n > total.div_ceil(2)) {
-            self.broken.push(format!("{} wrong_place (zones) {job}/{task}", self.now));
+            self.oracle.broken.push(format!("{} wrong_place (zones) {job}/{task}", self.now));
         }
         let most = match self.size {
             Size::Small => 64.0,
@@ -121,33 +137,34 @@
         };
         for (team, limit) in [("t0", 32.0), ("t1", most)] {
             if used.get(team).is_some_and(|u| *u > limit) {
-                self.broken.push(format!("{} quota {team}", self.now));
+                self.oracle.broken.push(format!("{} quota {team}", self.now));
             }
         }
     }
 
     pub(super) fn check(&mut self) {
-        for (job, at) in &self.cancelled {
+        for (job, at) in &self.users.cancelled {
             if self.now > at + CANCEL_MS
                 && self.workers.iter().any(|w| {
                     w.alive && w.tasks.iter().any(|t| t.job == *job && t.state != TaskState::Exited)
                 })
             {
-                self.broken.push(format!("{} ran_cancelled {job}", self.now));
+                self.oracle.broken.push(format!("{} ran_cancelled {job}", self.now));
             }
         }
         // Starts only grow, so a job is looked at once, when it is called done.
-        for (id, spec) in &self.jobs {
-            if self.called_done.contains(id) {
+        for (id, spec) in &self.users.jobs {
+            if self.oracle.called_done.contains(id) {
                 continue;
             }
-            let Some(v) = self.state.keys.get(&format!("w/job/{id}")) else { continue };
+            let Some(v) = self.store.keys.get(&format!("w/job/{id}")) else { continue };
             if v.0["s"] == "d" {
-                self.called_done.insert(id.clone());
+                self.oracle.called_done.insert(id.clone());
                 for t in 0..spec["pieces"].as_u64().unwrap_or(0).min(200) {
                     let task = format!("{id}/{t}");
-                    if !self.starts.contains_key(&task) && !self.elsewhere.contains(&task) {
-                        self.broken.push(format!("{} not_done {id}/{t}", self.now));
+                    if !self.oracle.starts.contains_key(&task) && !self.oracle.elsewhere.contains(&task)
+                    {
+                        self.oracle.broken.push(format!("{} not_done {id}/{t}", self.now));
                     }
                 }
             }
@@ -155,12 +172,16 @@
     }
 
     pub fn fair(&self) {
-        assert!(self.broken.is_empty(), "rules broken: {:?}", &self.broken[..self.broken.len().min(5)]);
+        assert!(
+            self.oracle.broken.is_empty(),
+            "rules broken: {:?}",
+            &self.oracle.broken[..self.oracle.broken.len().min(5)]
+        );
     }
     /// Tasks on machines that no record speaks of.
     pub fn off_record(&self) -> Vec<String> {
         let mut listed: HashSet<(String, u64)> = HashSet::new();
-        for (_, v) in self.state.keys.iter().filter(|(k, _)| k.starts_with("place/")) {
+        for (_, v) in self.store.keys.iter().filter(|(k, _)| k.starts_with("place/")) {
             let base = v.0["b"].as_u64().unwrap();
             for m in v.0["m"].as_array().unwrap() {
                 let name = m[0].as_str().unwrap();
@@ -170,7 +191,7 @@
         }
         let mut out = Vec::new();
         for w in self.workers.iter().filter(|w| w.alive) {
-            let live = |t: &&WTask| t.state != TaskState::Exited;
+            let live = |t: &&WorkerTask| t.state != TaskState::Exited;
             for t in w.tasks.iter().filter(live) {
                 if !listed.contains(&(w.name.clone(), t.attempt)) {
                     out.push(format!("{}/{} on {}", t.job, t.task, w.name));
--- a/tests/support/production.rs
+++ b/tests/support/production.rs
@@ -1,7 +1,7 @@
 //! The state in which the version in production leaves a cluster.
 
 use super::settings::{Next, Size};
-use super::{WTask, World};
+use super::{WorkerTask, World};
 use serde_json::Value;
 use woadlever::config::Operator;
 use woadlever::wire::workers::WorkerHeartbeat;
@@ -13,24 +13,24 @@
         let text = include_str!("../fixtures/production.json");
         let d: Value = serde_json::from_str(text).expect("fixture");
         let mut w = World::sized(3, seed, Size::Large, Some(next), Operator::default());
-        w.state.rates = Some((150.0, 20.0));
-        w.capacity = 0;
+        w.store.rates = Some((150.0, 20.0));
+        w.cloud.capacity = 0;
         w.run_ms = 200_000;
         w.now = d["now"].as_u64().unwrap();
         for i in 0..3 {
             w.boot(i);
         }
         let number = |v: &Value| v.as_u64().unwrap();
-        w.state.revision = number(&d["revision"]);
-        w.state.floor = w.state.revision;
+        w.store.revision = number(&d["revision"]);
+        w.store.floor = w.store.revision;
         for k in d["keys"].as_array().unwrap() {
             let lease = k[1]["lease"].as_u64();
             if let Some(l) = lease {
-                w.state.leases.insert(l, (5_000, w.now + 5_000));
-                w.state.next_lease = l;
+                w.store.leases.insert(l, (5_000, w.now + 5_000));
+                w.store.next_lease = l;
             }
             let value = (k[1].clone(), number(&k[2]), lease);
-            w.state.keys.insert(k[0].as_str().unwrap().into(), value);
+            w.store.keys.insert(k[0].as_str().unwrap().into(), value);
         }
         for (i, x) in d["workers"].as_array().unwrap().iter().enumerate() {
             let r: WorkerHeartbeat = serde_json::from_value(x.clone()).expect("worker");
@@ -41,7 +41,7 @@
                 (r.incarnation, r.sequence, r.fencing_token);
             for (t, left) in r.tasks.into_iter().zip(left) {
                 let (job, task) = t.task.rsplit_once('/').unwrap();
-                worker.tasks.push(WTask {
+                worker.tasks.push(WorkerTask {
                     job: job.into(),
                     task: task.parse().unwrap(),
                     attempt: t.attempt,
@@ -49,18 +49,18 @@
                     why: t.why,
                     at: w.now + number(left),
                 });
-                w.starts.insert(format!("{job}/{task}"), 1);
+                w.oracle.starts.insert(format!("{job}/{task}"), 1);
             }
         }
         for (id, j) in d["jobs"].as_object().unwrap() {
-            w.jobs.insert(id.clone(), j.clone());
-            let key = |k: &str| w.state.keys.get(k).map(|v| v.0.clone());
+            w.users.jobs.insert(id.clone(), j.clone());
+            let key = |k: &str| w.store.keys.get(k).map(|v| v.0.clone());
             if key(&format!("w/job/{id}")).is_some_and(|v| v["s"] == "c") {
-                w.asked_to_cancel.insert(id.clone());
+                w.users.asked_to_cancel.insert(id.clone());
             }
             if key(&format!("progress/{id}/0")).is_some() {
                 // As many as the oracle looks at.
-                w.starts.extend((0..200).map(|t| (format!("{id}/{t}"), 1)));
+                w.oracle.starts.extend((0..200).map(|t| (format!("{id}/{t}"), 1)));
             }
         }
         w
--- a/tests/support/state_service.rs
+++ b/tests/support/store.rs
@@ -1,28 +1,39 @@
-//! The state service, written from the protocol.
+//! A fake of the key-value store, written from the protocol.
 
+use super::events::Call;
 use serde_json::Value;
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::ops::Bound;
 use woadlever::core::{StoreRequest, StoreResponse};
 use woadlever::wire::encoded::Encoded;
 use woadlever::wire::store::{
-    CompareAndSwap, Event as StateEvent, KeyValue, Mutation, Page, WatchAnswer,
+    CompareAndSwap, Event as ChangeEvent, KeyValue, Mutation, Page, WatchAnswer,
 };
 
+/// A watch that waits for a change.
+pub struct PendingWatch {
+    pub(super) call: Call,
+    pub(super) prefix: String,
+    pub(super) since: u64,
+    /// When it ends without one.
+    pub(super) until: u64,
+}
+
+/// Records, leases and watches of the store, with its limits.
 #[derive(Default)]
-pub struct State {
+pub struct Store {
     pub keys: BTreeMap<String, (Value, u64, Option<u64>)>,
     pub revision: u64,
     pub(super) leases: HashMap<u64, (u64, u64)>,
     pub(super) next_lease: u64,
-    log: Vec<StateEvent>,
+    log: Vec<ChangeEvent>,
     /// Changes up to here are no longer kept.
     pub floor: u64,
     pub down: bool,
     pub refuses: HashSet<usize>,
-    pub(super) watches: Vec<(usize, u64, u64, String, u64, u64)>,
+    pub(super) watches: Vec<PendingWatch>,
     pub writes: u64,
-    /// Calls that reached the service, watches included.
+    /// Calls that reached the store, watches included.
     pub requests: u64,
     /// Requests and changes a second, with bursts of a second's worth; none:
     /// not enforced.
@@ -37,8 +48,8 @@
     pub page_size: Option<usize>,
 }
 
-impl State {
-    /// Whether the service has to answer 429.
+impl Store {
+    /// Whether the store has to answer 429.
     pub(super) fn over_rate(&mut self, now: u64, op: &StoreRequest) -> bool {
         let Some((rps, writes)) = self.rates else { return false };
         let passed = (now - self.tokens.2) as f64 / 1000.0;
@@ -66,7 +77,7 @@
         let (put, delete) =
             if value.is_some() { (Some(key.to_string()), None) } else { (None, Some(key.to_string())) };
         let data = value.as_ref().map_or(Value::Null, |v| v.0.clone());
-        self.log.push(StateEvent { put, delete, value: Encoded::new(&data), version });
+        self.log.push(ChangeEvent { put, delete, value: Encoded::new(&data), version });
         match value {
             Some((v, lease)) => {
                 self.keys.insert(key.into(), (v, version, lease));
@@ -102,7 +113,7 @@
         }
     }
 
-    pub(super) fn txn(&mut self, t: &CompareAndSwap) -> StoreResponse {
+    pub(super) fn compare_and_swap(&mut self, t: &CompareAndSwap) -> StoreResponse {
         let failed: Vec<String> = t
             .compares
             .iter()
@@ -179,7 +190,7 @@
                 items.truncate(page);
                 StoreResponse::Page(Page { items, more, revision: self.revision })
             }
-            StoreRequest::CompareAndSwap(t) => self.txn(t),
+            StoreRequest::CompareAndSwap(t) => self.compare_and_swap(t),
             StoreRequest::OpenLease { ttl_ms } => {
                 self.next_lease += 1;
                 self.leases.insert(self.next_lease, (*ttl_ms, now + ttl_ms));
@@ -204,12 +215,12 @@
         if since < self.floor {
             return Some(StoreResponse::Compacted);
         }
-        let touches = |e: &StateEvent| {
+        let touches = |e: &ChangeEvent| {
             let k = e.put.as_ref().or(e.delete.as_ref());
             e.version > since && k.is_some_and(|k| k.starts_with(prefix))
         };
         let from = self.log.partition_point(|e| e.version <= since);
-        let events: Vec<StateEvent> = self.log[from..].iter().filter(|e| touches(e)).cloned().collect();
+        let events: Vec<ChangeEvent> = self.log[from..].iter().filter(|e| touches(e)).cloned().collect();
         (!events.is_empty())
             .then_some(StoreResponse::Watch(WatchAnswer { revision: self.revision, events }))
     }
--- a/tests/support/workers.rs
+++ b/tests/support/workers.rs
@@ -1,6 +1,8 @@
-//! Workers, written from the protocol.
+//! Fakes of workers, written from the protocol.
 
-use super::{Answer, Ev, LEASE_MS, World, settings::Size};
+use super::events::Event;
+use super::network::WORKERS;
+use super::{Answer, LEASE_MS, World, settings::Size};
 use rand::RngExt;
 use serde_json::Value;
 use std::collections::HashMap;
@@ -8,7 +10,7 @@
     Command, CommandAction, DirectCommands, HeartbeatResponse, HeartbeatTask, TaskState, WorkerHeartbeat,
 };
 
-pub struct WTask {
+pub struct WorkerTask {
     pub job: String,
     pub task: u32,
     pub attempt: u64,
@@ -26,7 +28,7 @@
     pub up_at: u64,
     pub alive: bool,
     pub cut: bool,
-    /// Its reports reach nobody, while direct commands reach it.
+    /// Its heartbeats reach nobody, while direct commands reach it.
     pub mute: bool,
     /// It hangs until then: it does nothing, and what reaches it waits.
     pub hung_until: u64,
@@ -34,12 +36,12 @@
     pub incarnation: u64,
     pub sequence: u64,
     pub fencing_token: u64,
-    pub tasks: Vec<WTask>,
-    /// When the last answered report was sent.
+    pub tasks: Vec<WorkerTask>,
+    /// When the last answered heartbeat was sent.
     pub(super) lease_from: u64,
     pub(super) in_flight: Option<(u64, u64)>,
     pub(super) next_at: u64,
-    pub(super) report_at: u64,
+    pub(super) heartbeat_at: u64,
     pub(super) node: usize,
     pub(super) changed: bool,
 }
@@ -70,16 +72,16 @@
     }
 }
 
-/// Orders that arrived at workers.
+/// Commands that arrived at workers.
 #[derive(Debug, Clone, Default)]
-pub struct Orders {
+pub struct CommandCounts {
     /// Attempts that workers were told to run, by how often.
     pub runs: HashMap<(String, u64), u32>,
     pub stops: u32,
     pub clears: u32,
 }
 
-impl Orders {
+impl CommandCounts {
     fn count(&mut self, command: &Command) {
         match command.op {
             CommandAction::Start => {
@@ -119,8 +121,8 @@
             lease_from: up_at,
             in_flight: None,
             next_at: up_at,
-            report_at: 0,
-            node: number % self.n,
+            heartbeat_at: 0,
+            node: number % self.node_count,
             changed: false,
         });
         name
@@ -173,20 +175,22 @@
             && now > sent + 4000
         {
             w.in_flight = None;
-            w.node = (w.node + 1) % self.n;
+            w.node = (w.node + 1) % self.node_count;
             w.next_at = now + 1000;
         }
-        if w.in_flight.is_none() && (now >= w.next_at || w.changed && now >= w.report_at + 500) && !w.cut
+        if w.in_flight.is_none()
+            && (now >= w.next_at || w.changed && now >= w.heartbeat_at + 500)
+            && !w.cut
         {
             w.changed = false;
             w.sequence += 1;
             let id = self.sequence + 1;
             w.in_flight = Some((id, now));
-            w.report_at = now;
+            w.heartbeat_at = now;
             w.next_at = now + if rare { 6_000 + jitter * 8 / 3 } else { 2_250 + jitter };
             let (node, heartbeat) = (w.node, Box::new(w.heartbeat()));
-            if !self.cut(node, usize::MAX) && !self.workers[i].mute {
-                self.push(2, Ev::WorkerHeartbeat { worker: i, id, node, heartbeat });
+            if !self.network.is_cut(node, WORKERS) && !self.workers[i].mute {
+                self.push(2, Event::WorkerHeartbeat { worker: i, id, node, heartbeat });
             }
         }
         for (job, task) in started {
@@ -194,9 +198,9 @@
         }
     }
 
-    pub(super) fn worker_reply(&mut self, i: usize, id: u64, answer: Answer) {
+    pub(super) fn on_heartbeat_response(&mut self, i: usize, id: u64, answer: Answer) {
         let now = self.now;
-        let n = self.n;
+        let n = self.node_count;
         let w = &mut self.workers[i];
         let Some((_, sent)) = w.in_flight.filter(|f| f.0 == id) else { return };
         if !w.alive || w.cut || now > sent + 4000 {
@@ -215,7 +219,7 @@
             w.next_at = now + 1000;
             return;
         }
-        let a: HeartbeatResponse = serde_json::from_str(&answer.body).expect("answer to a report");
+        let a: HeartbeatResponse = serde_json::from_str(&answer.body).expect("answer to a heartbeat");
         if a.fencing_token < w.fencing_token {
             return;
         }
@@ -223,7 +227,7 @@
         w.fencing_token = a.fencing_token;
         w.lease_from = w.lease_from.max(sent);
         for c in a.commands {
-            self.orders.count(&c);
+            self.commands.count(&c);
             let Some((job, task)) = c.task.rsplit_once('/') else { continue };
             let task: u32 = task.parse().unwrap();
             let found =
@@ -234,7 +238,7 @@
                         .tasks
                         .iter()
                         .any(|t| t.job == job && t.task == task && t.state != TaskState::Exited);
-                    w.tasks.push(WTask {
+                    w.tasks.push(WorkerTask {
                         job: job.into(),
                         task,
                         attempt: c.attempt,
@@ -259,22 +263,22 @@
     }
 
     /// A command that came straight to the worker.
-    pub(super) fn direct(&mut self, i: usize, order: DirectCommands) {
+    pub(super) fn on_direct_commands(&mut self, i: usize, direct: DirectCommands) {
         let w = &mut self.workers[i];
         if !w.alive || w.cut {
             return;
         }
-        // The answer is a report, and counts as one.
+        // The answer is a heartbeat, and counts as one.
         w.sequence += 1;
-        if order.fencing_token < w.fencing_token || order.incarnation != w.incarnation {
+        if direct.fencing_token < w.fencing_token || direct.incarnation != w.incarnation {
             return;
         }
-        w.fencing_token = order.fencing_token;
-        for c in order.commands {
+        w.fencing_token = direct.fencing_token;
+        for c in direct.commands {
             assert_eq!(c.op, CommandAction::Stop, "a direct command may be carried out minutes late");
             let (job, task) = c.task.rsplit_once('/').unwrap();
             let task: u32 = task.parse().unwrap();
-            let here = |t: &&mut WTask| t.job == job && t.task == task && t.attempt == c.attempt;
+            let here = |t: &&mut WorkerTask| t.job == job && t.task == task && t.attempt == c.attempt;
             if let Some(t) = w.tasks.iter_mut().find(here).filter(|t| t.state != TaskState::Exited) {
                 t.state = TaskState::Exited;
                 t.why = Some("halted".into());
