--- a/tests/cells.rs
+++ b/tests/cells.rs
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn a_job_that_finds_no_room_moves_and_runs_once() {
+fn a_job_that_finds_no_capacity_moves_and_runs_once() {
     let mut cells = full_origin(2, 1);
     let host = spilled(&mut cells, 6, 10.0);
     cells.run(3_000);
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn two_cells_offer_room_at_once_and_one_gets_the_job() {
+fn two_cells_offer_capacity_at_once_and_one_gets_the_job() {
     for seed in 0..4 {
         let mut cells = full_origin(3, 30 + seed);
         let host = spilled(&mut cells, 6, 10.0);
@@ -247,7 +247,7 @@
             cells.part(ORIGIN, host);
         }
         if seed / 2 == 1 {
-            // The host's controllers can't write the withdrawal either.
+            // The host's controllers can't write the cancellation either.
             cells.worlds[host].store.down = true;
         }
         assert!(cells.cancel(ORIGIN, JOB));
@@ -397,7 +397,7 @@
     cells.worlds[ORIGIN].run_ms = 60_000;
     assert!(cells.until(240_000, |cells| cells.running(ORIGIN, JOB) == 4), "taken back");
     assert!(cells.worlds[HOST].store_faults.picked > 0);
-    // Now the host has a live record of it, a valid lease, and can't write the withdrawal.
+    // Now the host has a live record of it, a valid lease, and can't write the cancellation.
     cells.worlds[HOST].carry_out_late();
     cells.run(20_000);
     assert_eq!(cells.starts(HOST, JOB), 0);
@@ -471,7 +471,7 @@
 }
 
 #[test]
-fn a_job_that_was_refused_is_taken_by_the_same_cell_once_it_has_room() {
+fn a_job_that_was_refused_is_taken_by_the_same_cell_once_it_has_capacity() {
     let mut cells = full_origin(2, 290);
     for world in &mut cells.worlds {
         world.run_ms = 20_000;
--- /dev/null
+++ b/tests/combined_faults/main.rs
@@ -0,0 +1,17 @@
+//! Meetings of troubles, brought about in the order and at the moments that they
+//! need. docs/combined-faults.md lists what keeps the rules in each.
+
+#![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic, reason = "a test fails by panicking")]
+
+#[path = "../support/mod.rs"]
+mod support;
+
+mod answers;
+mod cancellations;
+mod control_lease;
+mod fixtures;
+mod late_heartbeats;
+mod load;
+mod machines;
+mod processes;
+mod store_writes;
--- a/tests/final_jobs.rs
+++ b/tests/final_jobs.rs
@@ -47,7 +47,7 @@
 }
 
 /// Three nodes that have just been restarted, with final jobs on record: the even
-/// ones are done, the odd ones withdrawn.
+/// ones are done, the odd ones cancelled.
 fn restarted_with(final_jobs: u32, seed: u64) -> World {
     let mut world = World::new(3, seed);
     world.run(3_000);
@@ -109,7 +109,7 @@
 }
 
 #[test]
-fn without_the_state_service_a_job_no_longer_in_memory_is_not_called_unknown() {
+fn without_the_store_a_job_no_longer_in_memory_is_not_called_unknown() {
     let mut world = restarted_with(40, 3);
     world.store.down = true;
     for call in [HttpRequest::Status(id(FIRST_OLD_JOB)), HttpRequest::Cancel(id(FIRST_OLD_JOB))] {
@@ -199,9 +199,9 @@
     world.fair();
 }
 
-/// Machines that nobody reaches keep the tasks of a withdrawn job, which the nodes
+/// Machines that nobody reaches keep the tasks of a cancelled job, which the nodes
 /// no longer have in memory after their restart. Until they are gone the tasks
-/// count against the team's limit, also before the holders have told the leader.
+/// count against the team's limit, also before the shard owners have told the leader.
 #[test]
 fn tasks_of_a_job_no_longer_in_memory_still_use_their_teams_limit() {
     let mut world = World::new(3, 7);
@@ -243,7 +243,7 @@
 }
 
 #[test]
-fn a_late_report_with_tasks_of_a_job_no_longer_in_memory_starts_nothing() {
+fn a_late_heartbeat_with_tasks_of_a_job_no_longer_in_memory_starts_nothing() {
     let mut world = restarted_with(40, 8);
     world.accept(0, &job(1, "t1", 1, 600.0));
     world.run(40_000);
--- a/tests/loopback.rs
+++ b/tests/loopback.rs
@@ -55,7 +55,7 @@
     for id in 1..=JOBS {
         submit(&client, &front, &job(id, TASKS)).await;
     }
-    // Killed while work runs, and again before all is squared.
+    // Killed while work runs, and again before all is reconciled.
     for starts in [50, 200, 200] {
         until_seen("tasks started", || history.starts().len() >= starts).await;
         cluster.kill();
--- a/tests/pipelines.rs
+++ b/tests/pipelines.rs
@@ -2,7 +2,7 @@
 //!
 //! `fixtures/` was made by the code of the version that `deploy/service.toml`
 //! names as production: frames as its encoder writes them, and what its three
-//! processes had left in the state service and on 60 machines in a scenario of
+//! processes had left in the store and on 60 machines in a scenario of
 //! theirs. They are not to be made anew by later code.
 
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic, reason = "a test fails by panicking")]
@@ -13,7 +13,7 @@
 use support::{World, job};
 use woadlever::core::HttpRequest;
 
-/// What the state service takes after its limits have fallen.
+/// What the store takes after its limits have fallen.
 const NEXT: support::Next = (2.0, 4, 15.0);
 
 fn world(seed: u64) -> World {
@@ -73,7 +73,7 @@
     }
 }
 
-/// Whichever stage is cancelled, and whenever: what needs it is withdrawn with it
+/// Whichever stage is cancelled, and whenever: what needs it is cancelled with it
 /// and never runs, the rest completes.
 #[test]
 fn a_cancellation_takes_all_that_needs_it_and_nothing_else() {
@@ -82,7 +82,7 @@
         w.run_ms = 15_000;
         pipeline(&mut w);
         assert_eq!(w.cancel((seed as usize) % 3, &id(cancelled)), 200);
-        // Named afterwards: accepted, and withdrawn from the start.
+        // Named afterwards: accepted, and cancelled from the start.
         let (status, body) = submit(&mut w, 0, &stage(6, &[cancelled]));
         assert!(status == 201 && body.contains("withdrawn"), "{status} {body}");
         w.run(40_000);
@@ -100,7 +100,7 @@
 /// The cancellation and the submission of the next stage cross each other, at
 /// two nodes that don't know of each other's yet.
 #[test]
-fn a_submission_that_races_with_a_cancellation_is_withdrawn_too() {
+fn a_submission_that_races_with_a_cancellation_is_cancelled_too() {
     for (seed, slow) in [(7, 0), (8, 1_500), (9, 6_000)] {
         let mut w = world(seed);
         w.run_ms = 60_000;
@@ -189,7 +189,7 @@
 }
 
 /// That a job was never accepted, and that one was not accepted before, is said
-/// on a read of the state service, not on a watch that lags.
+/// on a read of the store, not on a watch that lags.
 #[test]
 fn a_node_that_lags_refuses_nothing_that_was_accepted() {
     let mut w = world(12);
@@ -295,7 +295,7 @@
 
 /// One node after the other is asked for the first time after an outage that was
 /// longer than a cancellation may take: none calls a job live whose predecessor
-/// is withdrawn, and none goes back on it.
+/// is cancelled, and none goes back on it.
 #[test]
 fn the_first_answer_after_a_long_outage_is_no_orphan() {
     for seed in [16, 17] {
@@ -332,7 +332,7 @@
 }
 
 /// A user API whose watch stands still may be able to read all the same. It does not
-/// know what was withdrawn meanwhile, and says so.
+/// know what was cancelled meanwhile, and says so.
 #[test]
 fn a_door_whose_watch_stands_still_calls_no_waiting_job_live() {
     let mut w = world(18);
@@ -357,7 +357,7 @@
 /// A leader may keep its lease and get no write through. Who is asked does not
 /// wait for it.
 #[test]
-fn a_door_withdraws_what_the_leader_can_not() {
+fn the_user_api_cancels_what_the_leader_can_not() {
     let mut w = world(25);
     w.run_ms = 200_000;
     pipeline(&mut w);
@@ -375,9 +375,9 @@
 }
 
 /// More jobs behind a cancelled one than many transactions take, while leaders
-/// come and go and more join: all withdrawn in time.
+/// come and go and more join: all cancelled in time.
 #[test]
-fn long_chains_and_wide_fans_are_withdrawn_step_by_step() {
+fn long_chains_and_wide_fans_are_cancelled_step_by_step() {
     let mut w = world(19);
     w.run_ms = 300_000;
     w.fall();
@@ -434,7 +434,7 @@
             w.fall();
         }
         always_on_record(&mut w, 6_000);
-        // A holder is lost amid the move.
+        // A shard owner is lost amid the move.
         let victim = (w.leader().unwrap() + 1) % 3;
         w.crash(victim, 2_000);
         always_on_record(&mut w, 12_000);
@@ -468,7 +468,7 @@
     }
 }
 
-/// A holder is lost at the very moment at which attempts stand on the record they
+/// A shard owner is lost at the very moment at which attempts stand on the record they
 /// leave and on the one they go to: the next one takes both for one.
 #[test]
 fn an_attempt_on_two_records_is_one() {
@@ -501,7 +501,7 @@
 }
 
 /// Machines on their way back are on a record at any moment too: without it a
-/// later holder could use one whose return is still carried out.
+/// later shard owner could use one whose return is still carried out.
 #[test]
 fn machines_on_their_way_back_stay_on_record_while_a_long_one_shrinks() {
     for (seed, moves, lossy) in [(27, 40, 0.0), (28, 90, 0.4)] {
--- a/tests/recovery.rs
+++ b/tests/recovery.rs
@@ -1,4 +1,4 @@
-//! Coming back from the loss of all controllers: what workers report is squared with
+//! Coming back from the loss of all controllers: what workers report is reconciled with
 //! what is on record before orders are given, and no more orders are given than needed.
 
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic, reason = "a test fails by panicking")]
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn running_work_is_kept_and_no_order_is_sent_that_is_not_needed() {
+fn running_work_is_kept_and_no_command_is_sent_that_is_not_needed() {
     for seed in 0..6 {
         let mut world = busy(700 + seed);
         crash_all(&mut world, 3_000 + seed * 1_000);
@@ -109,13 +109,13 @@
 }
 
 #[test]
-fn several_losses_before_the_first_is_squared_lose_nothing() {
+fn several_losses_before_the_first_is_reconciled_lose_nothing() {
     for seed in 0..4 {
         let mut world = busy(720 + seed);
         world.commands = CommandCounts::default();
         let kept = running(&world);
         // One by one, then all again before the last is back, and again while machines
-        // are still being squared.
+        // are still being reconciled.
         for node in 0..NODES {
             world.crash(node, 1_000 + 900 * node as u64);
         }
@@ -166,7 +166,7 @@
         assert!(!is_there(&world, worker, attempt), "attempt {attempt} goes on");
     }
     assert!(kept.iter().all(|task| running(&world).contains(task)), "kept work was stopped");
-    // Each may be told again with the report after the one that was answered.
+    // Each may be told again with the heartbeat after the one that was answered.
     assert!((4..=8).contains(&world.commands.stops), "{} stops", world.commands.stops);
     all_done(&mut world);
     assert_eq!(world.status(0, "run-777777"), "404");
@@ -220,7 +220,7 @@
 }
 
 #[test]
-fn reports_older_than_the_loss_prove_nothing() {
+fn heartbeats_older_than_the_loss_prove_nothing() {
     let mut world = busy(780);
     // From before the tasks were there.
     let mut old = world.workers[0].heartbeat();
@@ -244,7 +244,7 @@
 }
 
 #[test]
-fn the_state_service_comes_back_later_and_goes_again_in_the_middle() {
+fn the_store_comes_back_later_and_goes_again_in_the_middle() {
     for seed in 0..4 {
         let mut world = busy(790 + seed);
         world.store.down = true;
@@ -269,7 +269,7 @@
 #[test]
 fn a_cancellation_acts_whatever_the_phase() {
     let mut world = busy(800);
-    // Machines that reach nobody are never squared; direct commands reach them.
+    // Machines that reach nobody are never reconciled; direct commands reach them.
     for worker in 0..3 {
         world.workers[worker].mute = true;
     }
@@ -290,7 +290,7 @@
 }
 
 #[test]
-fn a_machine_that_was_being_returned_gets_no_work_when_it_reports() {
+fn a_terminating_machine_gets_no_work_when_its_heartbeat_arrives() {
     let mut world = World::new(NODES, 810);
     world.run_ms = 5_000;
     world.run(5_000);
@@ -324,7 +324,7 @@
 }
 
 #[test]
-fn reports_are_answered_while_the_records_are_still_being_read() {
+fn heartbeats_are_answered_while_the_records_are_still_being_read() {
     let mut world = busy(820);
     for node in 0..NODES {
         world.store_faults.slow.insert(node, 900);
--- a/tests/recovery_model.rs
+++ b/tests/recovery_model.rs
@@ -1,5 +1,5 @@
 //! Losses drawn at random, shrunk to the fewest when one breaks a rule: controllers,
-//! workers, the state service and links fail in any order, and in the end everything that
+//! workers, the store and links fail in any order, and in the end everything that
 //! was accepted is done, each task as often as its machines made it start anew.
 
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic, reason = "a test fails by panicking")]
--- a/tests/resource_bounds.rs
+++ b/tests/resource_bounds.rs
@@ -11,7 +11,7 @@
 use woadlever::model::MachineIndex;
 
 #[test]
-fn machines_that_were_returned_leave_nothing_behind() {
+fn terminated_machines_leave_nothing_behind() {
     let mut world = World::new(1, 1);
     world.run(5_000);
     for number in 1..=6 {
--- /dev/null
+++ b/tests/scenarios/main.rs
@@ -0,0 +1,18 @@
+//! Scenarios of the whole service on fakes: one per rule and invariant.
+
+#![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic, reason = "a test fails by panicking")]
+
+#[path = "../support/mod.rs"]
+mod support;
+
+mod cancellation;
+mod failover;
+mod fairness;
+mod fixtures;
+mod fleet;
+mod placement;
+mod random_faults;
+mod scale;
+mod store;
+mod users;
+mod workers;
--- a/tests/support/settings.rs
+++ b/tests/support/settings.rs
@@ -4,7 +4,7 @@
 use serde_json::{Value, json};
 use woadlever::config::Platform;
 
-/// How large a world is, and with it how rare its reports are.
+/// How large a world is, and with it how rare its heartbeats are.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Size {
     Small,
@@ -33,7 +33,7 @@
 }
 
 /// The same for hundreds of machines: large teams, few changes a second, and
-/// rare reports.
+/// rare heartbeats.
 fn large_settings(node: usize, nodes: usize) -> String {
     settings(node, nodes)
         .replace("report_s=3.0", "report_s=8.0")
--- a/tests/units.rs
+++ b/tests/units.rs
@@ -112,7 +112,7 @@
 }
 
 #[test]
-fn authority_ends_early_enough_for_every_lease_to_end_within_a_cancellation() {
+fn the_control_lease_ends_early_enough_for_every_lease_to_end_within_a_cancellation() {
     let p = Platform::parse("f", PLATFORM).unwrap();
     let d = p.control_lease_ms(&Operator::default()) as f64 / 1000.0;
     assert!(d > 5.0 && d + 27.0 * 1.001 + 1.0 < 52.0, "{d}");
@@ -186,7 +186,7 @@
 }
 
 #[test]
-fn every_zone_has_a_block_and_every_machine_falls_into_one() {
+fn every_zone_has_a_shard_and_every_machine_falls_into_one() {
     let zones: Vec<String> = ["a", "b", "c"].map(String::from).to_vec();
     let nodes: Vec<(String, String)> =
         [("n0", "a"), ("n1", "a"), ("n2", "b")].map(|(n, z)| (n.into(), z.into())).to_vec();
@@ -220,7 +220,7 @@
 }
 
 #[test]
-fn reports_may_leave_out_what_may_be_null_and_carry_what_is_new() {
+fn heartbeats_may_leave_out_what_may_be_null_and_carry_what_is_new() {
     let r: WorkerHeartbeat = serde_json::from_str(
         r#"{"hull":"host-1","endpoint":"e","hulltype":"g","yard":"a","shift":1,"tally":2,"new":{},
             "pieces":[{"piece":"run-1/0","try":1,"status":"pondering"}]}"#,
@@ -285,10 +285,10 @@
     assert!(bytes <= 112, "{bytes}");
 }
 
-/// The words of the state service's protocol. The scenario tests hand typed values to
+/// The words of the store's protocol. The scenario tests hand typed values to
 /// the core, so that nothing else here would notice a wrong one.
 #[test]
-fn the_state_services_messages_are_read_and_written_in_its_words() {
+fn the_stores_messages_are_read_and_written_in_its_words() {
     let item: KeyValue =
         serde_json::from_str(r#"{"k":"a/b","data":{"x":1},"stamp":412,"permit":7}"#).unwrap();
     assert_eq!((item.key.as_str(), item.version), ("a/b", 412));
