--- a/src/io/cloud.rs
+++ b/src/io/cloud.rs
@@ -1,55 +1,60 @@
 //! Calls to the cloud, as the leader asks for them.
 
-use super::client::{Client, Failure, Reply};
+use super::client::{CallError, HttpCall, Reply, ServiceRequest};
 use crate::core::{CloudRequest, CloudResponse};
 use hyper::Method;
 use std::time::Duration;
 
-const LIMIT: Duration = Duration::from_millis(5000);
+const TIME_LIMIT: Duration = Duration::from_millis(5000);
 /// Machines per page of the list, the most that the cloud gives.
-const PAGE: u32 = 500;
+const PAGE_SIZE: u32 = 500;
+/// Name of the service in logs.
+const SERVICE: &str = "cloud";
+/// What the body of a 503 says when the cloud has none of the machines asked for.
+const NO_CAPACITY: &str = "no capacity";
 
-pub async fn call(client: &Client, op: CloudRequest) -> CloudResponse {
-    let (method, path, body) = match &op {
-        CloudRequest::Catalog => (Method::GET, "/catalog".to_string(), None),
-        CloudRequest::List { since } => {
-            let since = since.as_ref().map(|s| format!("since={s}&")).unwrap_or_default();
-            (Method::GET, format!("/rentals?{since}most={PAGE}"), None)
-        }
-        CloudRequest::Rent(r) => (Method::POST, "/rentals".into(), serde_json::to_vec(r).ok()),
-        CloudRequest::Return(r) => (Method::POST, "/rentals/return".into(), serde_json::to_vec(r).ok()),
-    };
-    match client.call(method, &path, body, LIMIT).await {
-        Ok(r) => read(&op, r),
-        Err(Failure::NotSent) => CloudResponse::NotExecuted,
-        Err(Failure::OutcomeUnknown) => CloudResponse::OutcomeUnknown,
-    }
-}
+impl ServiceRequest for CloudRequest {
+    type Response = CloudResponse;
 
-fn read(op: &CloudRequest, r: Reply) -> CloudResponse {
-    fn parse<T: serde::de::DeserializeOwned>(r: &Reply) -> Option<T> {
-        serde_json::from_slice(&r.body)
-            .map_err(|e| tracing::error!(%e, "unreadable answer of the cloud"))
-            .ok()
+    fn to_http(&self) -> HttpCall {
+        let (method, path, body) = match self {
+            CloudRequest::Catalog => (Method::GET, "/catalog".into(), None),
+            CloudRequest::List { since } => {
+                let since = since.as_ref().map(|name| format!("since={name}&")).unwrap_or_default();
+                (Method::GET, format!("/rentals?{since}most={PAGE_SIZE}"), None)
+            }
+            CloudRequest::Rent(body) => (Method::POST, "/rentals".into(), serde_json::to_vec(body).ok()),
+            CloudRequest::Return(body) => {
+                (Method::POST, "/rentals/return".into(), serde_json::to_vec(body).ok())
+            }
+        };
+        HttpCall { method, path, body, time_limit: TIME_LIMIT }
     }
-    let found = match (op, r.status) {
-        (CloudRequest::Catalog, 200) => parse(&r).map(CloudResponse::Catalog),
-        (CloudRequest::List { .. }, 200) => parse(&r).map(CloudResponse::Page),
-        (CloudRequest::Rent(_), 200) => parse(&r).map(CloudResponse::Rented),
-        (CloudRequest::Return(_), 200 | 204) => Some(CloudResponse::Returned),
-        (CloudRequest::Rent(_), 503) if contains(&r.body, b"no capacity") => {
-            Some(CloudResponse::NoCapacity)
-        }
-        (_, 429 | 503) => Some(CloudResponse::NotExecuted),
-        (_, 400..=499) => {
-            tracing::error!(status = r.status, ?op, "the cloud rejects a request");
-            Some(CloudResponse::Malformed)
+
+    fn read_reply(&self, reply: &Reply) -> Option<CloudResponse> {
+        match (self, reply.status) {
+            (CloudRequest::Catalog, 200) => reply.json(SERVICE).map(CloudResponse::Catalog),
+            (CloudRequest::List { .. }, 200) => reply.json(SERVICE).map(CloudResponse::Page),
+            (CloudRequest::Rent(_), 200) => reply.json(SERVICE).map(CloudResponse::Rented),
+            (CloudRequest::Return(_), 200 | 204) => Some(CloudResponse::Returned),
+            (CloudRequest::Rent(_), 503) if reply.contains(NO_CAPACITY) => {
+                Some(CloudResponse::NoCapacity)
+            }
+            (_, 429 | 503) => Some(CloudResponse::NotExecuted),
+            (_, status @ 400..=499) => {
+                tracing::error!(status, request = ?self, "the cloud rejects a request");
+                Some(CloudResponse::Malformed)
+            }
+            _ => None,
         }
-        _ => None,
-    };
-    found.unwrap_or(CloudResponse::OutcomeUnknown)
+    }
 }
 
-fn contains(hay: &[u8], needle: &[u8]) -> bool {
-    hay.windows(needle.len()).any(|w| w == needle)
+impl From<CallError> for CloudResponse {
+    fn from(error: CallError) -> Self {
+        match error {
+            CallError::NotSent => CloudResponse::NotExecuted,
+            CallError::OutcomeUnknown => CloudResponse::OutcomeUnknown,
+        }
+    }
 }
--- /dev/null
+++ b/src/io/owned_task.rs
@@ -0,0 +1,24 @@
+//! Tasks that end with their owner.
+
+use tokio::task::JoinHandle;
+
+/// A task of the local task set that is aborted when this value is dropped.
+pub struct OwnedTask(JoinHandle<()>);
+
+impl OwnedTask {
+    /// Starts the task.
+    pub fn spawn_local(future: impl Future<Output = ()> + 'static) -> OwnedTask {
+        OwnedTask(tokio::task::spawn_local(future))
+    }
+
+    /// Whether the task has ended by itself.
+    pub fn is_finished(&self) -> bool {
+        self.0.is_finished()
+    }
+}
+
+impl Drop for OwnedTask {
+    fn drop(&mut self) {
+        self.0.abort();
+    }
+}
--- a/src/io/requests.rs
+++ b/src/io/requests.rs
@@ -1,7 +1,7 @@
 //! Requests on their way from the HTTP server to the core.
 
 use super::gate::Pressure;
-use super::server::{Asked, overloaded};
+use super::server::{PendingRequest, overloaded};
 use crate::core::HttpRequest;
 use std::sync::Arc;
 use tokio::sync::mpsc::Receiver;
@@ -10,76 +10,80 @@
 
 /// Requests in the order in which the core takes them.
 pub struct Requests {
-    incoming: Receiver<Asked>,
-    choice: Option<Choice>,
+    incoming: Receiver<PendingRequest>,
+    prioritized: Option<PrioritizedRequests>,
 }
 
-/// The choice under overload.
-struct Choice {
-    queue: RequestQueue<Asked>,
+/// Requests ordered by importance, for a node that may be under pressure.
+struct PrioritizedRequests {
+    queue: RequestQueue<PendingRequest>,
     pressure: Arc<Pressure>,
 }
 
 impl Requests {
     /// All requests, in the order in which they arrive.
-    pub fn in_order(incoming: Receiver<Asked>) -> Requests {
-        Requests { incoming, choice: None }
+    pub fn in_order(incoming: Receiver<PendingRequest>) -> Requests {
+        Requests { incoming, prioritized: None }
     }
 
     /// At most `limit` requests, the most important first.
-    pub fn by_importance(incoming: Receiver<Asked>, limit: usize, pressure: Arc<Pressure>) -> Requests {
-        Requests { incoming, choice: Some(Choice { queue: RequestQueue::new(limit), pressure }) }
+    pub fn by_importance(
+        incoming: Receiver<PendingRequest>,
+        limit: usize,
+        pressure: Arc<Pressure>,
+    ) -> Requests {
+        let queue = RequestQueue::new(limit);
+        Requests { incoming, prioritized: Some(PrioritizedRequests { queue, pressure }) }
     }
 
     /// The next request; none once the server has ended. Nothing is lost if the future
     /// is dropped before it is ready.
-    pub async fn next(&mut self) -> Option<Asked> {
-        let Some(choice) = &mut self.choice else { return self.incoming.recv().await };
+    pub async fn next(&mut self) -> Option<PendingRequest> {
+        let Some(prioritized) = &mut self.prioritized else { return self.incoming.recv().await };
         loop {
-            while let Ok(asked) = self.incoming.try_recv() {
-                choice.push(asked);
+            while let Ok(pending) = self.incoming.try_recv() {
+                prioritized.push(pending);
             }
-            if let Some(asked) = choice.pop() {
-                return Some(asked);
+            if let Some(pending) = prioritized.pop() {
+                return Some(pending);
             }
-            let asked = self.incoming.recv().await?;
-            choice.push(asked);
+            let pending = self.incoming.recv().await?;
+            prioritized.push(pending);
         }
     }
 }
 
-impl Choice {
-    fn push(&mut self, asked: Asked) {
-        let class = class_of(&asked.0);
-        let shed = self.queue.push(class, asked, self.pressure.now());
-        if let Some(shed) = shed {
+impl PrioritizedRequests {
+    fn push(&mut self, pending: PendingRequest) {
+        let class = class_of(&pending.request);
+        if let Some(shed) = self.queue.push(class, pending, self.pressure.now()) {
             self.turn_away(shed);
         }
     }
 
-    fn pop(&mut self) -> Option<Asked> {
+    fn pop(&mut self) -> Option<PendingRequest> {
         while let Some(shed) = self.queue.pop_expired(self.pressure.now()) {
             self.turn_away(shed);
         }
         loop {
-            let (_, asked) = self.queue.pop(self.pressure.is_limiting())?;
-            // The connection has ended, and with it the wish for an answer.
-            if !asked.1.is_closed() {
-                return Some(asked);
+            let (_, pending) = self.queue.pop(self.pressure.is_limiting())?;
+            // A closed channel: the connection has ended, and nobody waits for the answer.
+            if !pending.answer.is_closed() {
+                return Some(pending);
             }
             self.pressure.count_expired();
         }
     }
 
-    fn turn_away(&self, shed: Shed<Asked>) {
-        let (Shed::Expired(_, asked) | Shed::NoRoom(_, asked)) = shed;
+    fn turn_away(&self, shed: Shed<PendingRequest>) {
+        let (Shed::Expired(_, pending) | Shed::NoRoom(_, pending)) = shed;
         self.pressure.count_expired();
-        let _ = asked.1.send(overloaded(self.pressure.retry_after_s()));
+        let _ = pending.answer.send(overloaded(self.pressure.retry_after_s()));
     }
 }
 
-fn class_of(call: &HttpRequest) -> RequestClass {
-    match call {
+fn class_of(request: &HttpRequest) -> RequestClass {
+    match request {
         HttpRequest::Ready => RequestClass::Probe,
         HttpRequest::WorkerHeartbeat(_) => RequestClass::WorkerHeartbeat,
         HttpRequest::Cancel(_) => RequestClass::Cancellation,
--- a/src/io/server.rs
+++ b/src/io/server.rs
@@ -1,5 +1,5 @@
-//! The outer HTTP interface. Handlers read, hand the request to the core and
-//! wait for its answer; they decide nothing.
+//! The HTTP interface for users, workers and the load balancer. Handlers read a request,
+//! hand it to the core and wait for its answer; they decide nothing.
 
 use crate::core::{Answer, HttpRequest};
 use crate::wire::users::{ErrorBody, MAX_BODY};
@@ -13,129 +13,134 @@
 use tokio::sync::mpsc::Sender;
 use tokio::sync::oneshot;
 
-/// A request with the place for its answer.
-pub type Asked = (HttpRequest, oneshot::Sender<Answer>);
+/// A request that waits for its answer.
+pub struct PendingRequest {
+    /// What is asked.
+    pub request: HttpRequest,
+    /// Where the answer goes; closed once nobody waits for it.
+    pub answer: oneshot::Sender<Answer>,
+}
 
 /// Users give up after 5 s; an answer after that helps no one.
-const LIMIT: Duration = Duration::from_millis(4800);
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(4800);
+/// No body of a worker heartbeat may be longer.
+const MAX_HEARTBEAT_BYTES: usize = 4 << 20;
 
-#[derive(Clone)]
-struct Front {
-    tx: Sender<Asked>,
+/// The service that hands all requests to `requests`.
+pub fn service(requests: Sender<PendingRequest>) -> Service {
+    let core = CoreClient { requests };
+    let router = Router::new()
+        .push(
+            Router::with_path("api/jobs")
+                .post(Submit(core.clone()))
+                .push(Router::with_path("{id}").get(Status(core.clone())))
+                .push(Router::with_path("{id}/cancel").post(Cancel(core.clone()))),
+        )
+        .push(Router::with_path("checkin").post(Checkin(core.clone())))
+        .push(Router::with_path("ready").get(Ready(core)));
+    Service::new(router).catcher(Catcher::default().hoop(json_error))
 }
 
-fn put(res: &mut Response, a: Answer) {
-    res.status_code(StatusCode::from_u16(a.status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR));
-    let h = res.headers_mut();
-    h.insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
-    if let Some(s) = a.retry_after_s {
-        h.insert(RETRY_AFTER, HeaderValue::from(s));
-    }
-    res.body(salvo::http::ResBody::Once(Bytes::from(a.body)));
+/// The answer to a request that the node has no time for.
+pub fn overloaded(retry_after_s: u32) -> Answer {
+    Answer { retry_after_s: Some(retry_after_s), ..error_answer(503, "overloaded", None) }
 }
 
-fn error(status: u16, why: &str, field: Option<&'static str>) -> Answer {
-    let body = serde_json::to_string(&ErrorBody { error: why.into(), field }).unwrap_or_default();
+fn error_answer(status: u16, error: &str, field: Option<&'static str>) -> Answer {
+    let body = serde_json::to_string(&ErrorBody { error: error.into(), field }).unwrap_or_default();
     Answer { status, body, retry_after_s: (status == 503).then_some(1) }
 }
 
-/// The answer to a request for which there is no time.
-pub fn overloaded(retry_after_s: u32) -> Answer {
-    Answer { retry_after_s: Some(retry_after_s), ..error(503, "overloaded", None) }
+fn write_answer(response: &mut Response, answer: Answer) {
+    response
+        .status_code(StatusCode::from_u16(answer.status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR));
+    let headers = response.headers_mut();
+    headers.insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
+    if let Some(seconds) = answer.retry_after_s {
+        headers.insert(RETRY_AFTER, HeaderValue::from(seconds));
+    }
+    response.body(salvo::http::ResBody::Once(Bytes::from(answer.body)));
+}
+
+/// Hands requests to the core and waits for its answers.
+#[derive(Clone)]
+struct CoreClient {
+    requests: Sender<PendingRequest>,
 }
 
-impl Front {
-    async fn ask(&self, res: &mut Response, call: HttpRequest) {
-        let (tx, rx) = oneshot::channel();
+impl CoreClient {
+    async fn ask(&self, request: HttpRequest) -> Answer {
+        let (answer, answered) = oneshot::channel();
         // A full queue means that we can't keep up: say so at once.
-        if self.tx.try_send((call, tx)).is_err() {
-            return put(res, error(503, "overloaded", None));
+        if self.requests.try_send(PendingRequest { request, answer }).is_err() {
+            return error_answer(503, "overloaded", None);
         }
-        match tokio::time::timeout(LIMIT, rx).await {
-            Ok(Ok(a)) => put(res, a),
-            _ => put(res, error(503, "no answer in time", None)),
-        }
-    }
-
-    async fn body(&self, req: &mut Request) -> Result<Bytes, Answer> {
-        match req.payload_with_max_size(MAX_BODY).await {
-            Ok(b) => Ok(b.clone()),
-            Err(_) => Err(error(400, "body is unreadable or longer than 64 KiB", Some("body"))),
+        match tokio::time::timeout(ANSWER_TIMEOUT, answered).await {
+            Ok(Ok(answer)) => answer,
+            _ => error_answer(503, "no answer in time", None),
         }
     }
 }
 
-struct Submit(Front);
+struct Submit(CoreClient);
 #[handler]
 impl Submit {
-    async fn handle(&self, req: &mut Request, res: &mut Response) {
-        match self.0.body(req).await {
-            Ok(b) => self.0.ask(res, HttpRequest::Submit(b.to_vec())).await,
-            Err(a) => put(res, a),
-        }
+    async fn handle(&self, request: &mut Request, response: &mut Response) {
+        let answer = match request.payload_with_max_size(MAX_BODY).await {
+            Ok(body) => self.0.ask(HttpRequest::Submit(body.to_vec())).await,
+            Err(_) => error_answer(400, "body is unreadable or longer than 64 KiB", Some("body")),
+        };
+        write_answer(response, answer);
     }
 }
 
-struct Status(Front);
+struct Status(CoreClient);
 #[handler]
 impl Status {
-    async fn handle(&self, req: &mut Request, res: &mut Response) {
-        let id = req.param::<String>("id").unwrap_or_default();
-        self.0.ask(res, HttpRequest::Status(id)).await;
+    async fn handle(&self, request: &mut Request, response: &mut Response) {
+        let id = request.param::<String>("id").unwrap_or_default();
+        write_answer(response, self.0.ask(HttpRequest::Status(id)).await);
     }
 }
 
-struct Cancel(Front);
+struct Cancel(CoreClient);
 #[handler]
 impl Cancel {
-    async fn handle(&self, req: &mut Request, res: &mut Response) {
-        let id = req.param::<String>("id").unwrap_or_default();
-        self.0.ask(res, HttpRequest::Cancel(id)).await;
+    async fn handle(&self, request: &mut Request, response: &mut Response) {
+        let id = request.param::<String>("id").unwrap_or_default();
+        write_answer(response, self.0.ask(HttpRequest::Cancel(id)).await);
     }
 }
 
-struct Ready(Front);
+struct Ready(CoreClient);
 #[handler]
 impl Ready {
-    async fn handle(&self, res: &mut Response) {
-        self.0.ask(res, HttpRequest::Ready).await;
+    async fn handle(&self, response: &mut Response) {
+        write_answer(response, self.0.ask(HttpRequest::Ready).await);
     }
 }
 
-struct Checkin(Front);
+struct Checkin(CoreClient);
 #[handler]
 impl Checkin {
-    async fn handle(&self, req: &mut Request, res: &mut Response) {
-        let body = match req.payload_with_max_size(4 << 20).await {
-            Ok(b) => b.clone(),
-            Err(_) => return put(res, error(400, "body is unreadable", Some("body"))),
+    async fn handle(&self, request: &mut Request, response: &mut Response) {
+        let body = request.payload_with_max_size(MAX_HEARTBEAT_BYTES).await;
+        let answer = match body.map(|body| serde_json::from_slice::<WorkerHeartbeat>(body)) {
+            Ok(Ok(heartbeat)) => self.0.ask(HttpRequest::WorkerHeartbeat(Box::new(heartbeat))).await,
+            Ok(Err(error)) => error_answer(400, &format!("malformed report: {error}"), Some("body")),
+            Err(_) => error_answer(400, "body is unreadable", Some("body")),
         };
-        match serde_json::from_slice::<WorkerHeartbeat>(&body) {
-            Ok(r) => self.0.ask(res, HttpRequest::WorkerHeartbeat(Box::new(r))).await,
-            Err(e) => put(res, error(400, &format!("malformed report: {e}"), Some("body"))),
-        }
+        write_answer(response, answer);
     }
 }
 
+/// Gives errors of the server itself, such as an unknown path, a JSON body.
 #[handler]
-async fn plain_error(res: &mut Response, ctrl: &mut FlowCtrl) {
-    let status = res.status_code.unwrap_or(StatusCode::NOT_FOUND);
-    if !status.is_success() && res.body.is_none() {
-        put(res, error(status.as_u16(), status.canonical_reason().unwrap_or("error"), None));
-        ctrl.skip_rest();
+async fn json_error(response: &mut Response, control: &mut FlowCtrl) {
+    let status = response.status_code.unwrap_or(StatusCode::NOT_FOUND);
+    if !status.is_success() && response.body.is_none() {
+        let reason = status.canonical_reason().unwrap_or("error");
+        write_answer(response, error_answer(status.as_u16(), reason, None));
+        control.skip_rest();
     }
 }
-
-pub fn service(tx: Sender<Asked>) -> Service {
-    let f = Front { tx };
-    let router = Router::new()
-        .push(
-            Router::with_path("api/jobs")
-                .post(Submit(f.clone()))
-                .push(Router::with_path("{id}").get(Status(f.clone())))
-                .push(Router::with_path("{id}/cancel").post(Cancel(f.clone()))),
-        )
-        .push(Router::with_path("checkin").post(Checkin(f.clone())))
-        .push(Router::with_path("ready").get(Ready(f)));
-    Service::new(router).catcher(Catcher::default().hoop(plain_error))
-}
--- a/src/main.rs
+++ b/src/main.rs
@@ -3,7 +3,12 @@
 use clap::Parser;
 use std::path::PathBuf;
 use std::process::ExitCode;
-use woadlever::config::{Operator, Platform};
+use tracing::Level;
+use woadlever::config::{ConfigError, Operator, Platform};
+use woadlever::io::driver;
+
+/// Exit status for settings that can't be used.
+const SETTINGS_ERROR: u8 = 2;
 
 /// A cluster scheduler that rents its machines ahead of demand.
 #[derive(Parser)]
@@ -22,40 +27,54 @@
 
 fn main() -> ExitCode {
     let args = Args::parse();
-    let settings = Platform::load(&args.config).and_then(|p| {
-        let op = args.operator.as_deref().map_or_else(|| Ok(Operator::default()), Operator::load)?;
-        Ok((p, op))
-    });
-    let (platform, operator) = match settings {
-        Ok(s) => s,
-        Err(e) => {
-            eprintln!("woadlever: {e}");
-            return ExitCode::from(2);
+    let (platform, operator) = match load_settings(&args) {
+        Ok(settings) => settings,
+        Err(error) => {
+            eprintln!("woadlever: {error}");
+            return ExitCode::from(SETTINGS_ERROR);
         }
     };
     if args.check {
         println!("settings are in order");
         return ExitCode::SUCCESS;
     }
+    start_logging();
+    serve(platform, operator)
+}
+
+fn load_settings(args: &Args) -> Result<(Platform, Operator), ConfigError> {
+    let platform = Platform::load(&args.config)?;
+    let operator = match &args.operator {
+        Some(path) => Operator::load(path)?,
+        None => Operator::default(),
+    };
+    Ok((platform, operator))
+}
+
+fn start_logging() {
     let level = match std::env::var("LOG_LEVEL").as_deref() {
-        Ok("error") => tracing::Level::ERROR,
-        Ok("debug") => tracing::Level::DEBUG,
-        _ => tracing::Level::INFO,
+        Ok("error") => Level::ERROR,
+        Ok("debug") => Level::DEBUG,
+        _ => Level::INFO,
     };
     tracing_subscriber::fmt().with_max_level(level).with_writer(std::io::stderr).with_ansi(false).init();
+}
+
+/// Serves until the process ends; returns only if it can't start.
+fn serve(platform: Platform, operator: Operator) -> ExitCode {
     let runtime = match tokio::runtime::Builder::new_current_thread().enable_all().build() {
-        Ok(r) => r,
-        Err(e) => {
-            eprintln!("woadlever: cannot start: {e}");
+        Ok(runtime) => runtime,
+        Err(error) => {
+            eprintln!("woadlever: cannot start: {error}");
             return ExitCode::FAILURE;
         }
     };
     let local = tokio::task::LocalSet::new();
-    match local.block_on(&runtime, woadlever::io::driver::run(platform, operator)) {
+    match local.block_on(&runtime, driver::run(platform, operator)) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(e) => {
-            tracing::error!("{e}");
-            eprintln!("woadlever: {e}");
+        Err(error) => {
+            tracing::error!("{error}");
+            eprintln!("woadlever: {error}");
             ExitCode::FAILURE
         }
     }
