--- a/src/io/server.rs
+++ b/src/io/server.rs
@@ -2,7 +2,7 @@
 //! hand it to the core and wait for its answer; they decide nothing.
 
 use crate::core::{Answer, HttpRequest};
-use crate::wire::users::{ErrorBody, MAX_BODY};
+use crate::wire::users::{ErrorBody, MAX_BODY_BYTES};
 use crate::wire::workers::WorkerHeartbeat;
 use bytes::Bytes;
 use salvo::catcher::Catcher;
@@ -86,7 +86,7 @@
 #[handler]
 impl Submit {
     async fn handle(&self, request: &mut Request, response: &mut Response) {
-        let answer = match request.payload_with_max_size(MAX_BODY).await {
+        let answer = match request.payload_with_max_size(MAX_BODY_BYTES).await {
             Ok(body) => self.0.ask(HttpRequest::Submit(body.to_vec())).await,
             Err(_) => error_answer(400, "body is unreadable or longer than 64 KiB", Some("body")),
         };
--- a/src/io/store.rs
+++ b/src/io/store.rs
@@ -2,9 +2,8 @@
 
 use super::client::{CallError, HttpCall, Reply, ServiceRequest};
 use crate::core::{StoreRequest, StoreResponse};
-use crate::wire::store::{CompareAndSwapCommitted, CompareAndSwapConflict, LeaseOpened};
+use crate::wire::store::{CompareAndSwapCommitted, CompareAndSwapConflict, LeaseOpened, OpenLease};
 use hyper::Method;
-use serde_json::json;
 use std::time::Duration;
 
 /// A user waits for 5 s, and a read may have to follow a write.
@@ -32,7 +31,7 @@
                 (Method::POST, "/multi".into(), serde_json::to_vec(body).ok())
             }
             StoreRequest::OpenLease { ttl_ms } => {
-                let body = json!({ "ttl_ms": ttl_ms });
+                let body = OpenLease { ttl_ms: *ttl_ms };
                 (Method::POST, "/holds".into(), serde_json::to_vec(&body).ok())
             }
             StoreRequest::RenewLease(id) => {
--- a/src/wire/cloud.rs
+++ b/src/wire/cloud.rs
@@ -1,12 +1,13 @@
-//! The cloud's interface.
+//! The cloud's protocol: the catalog of machine types, renting and returning machines, and
+//! the list of machines.
 
 use crate::model::{self, Resources};
 use serde::{Deserialize, Serialize};
 
-/// Answer to a request for the catalog.
+/// Response to a request for the catalog.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Catalog {
-    /// What can be rented.
+    /// The machine types that can be rented.
     #[serde(rename = "hulltypes")]
     pub types: Vec<MachineType>,
 }
@@ -17,26 +18,26 @@
     /// Name of the type.
     #[serde(rename = "label")]
     pub name: String,
-    /// CPUs.
+    /// Number of CPUs.
     #[serde(rename = "cores")]
     pub cpus: f64,
-    /// GPUs.
+    /// Number of GPUs.
     #[serde(rename = "cards", default)]
     pub gpus: f64,
-    /// Memory.
+    /// Memory in GB.
     pub memory_gb: f64,
-    /// Room for images.
+    /// Capacity of the image cache in GB.
     #[serde(default)]
     pub cache_gb: f64,
-    /// Rate at which images are fetched.
-    #[serde(rename = "pull_gb_per_s", default = "one")]
+    /// Rate at which images are fetched, in GB a second.
+    #[serde(rename = "pull_gb_per_s", default = "default_fetch_gb_per_s")]
     pub fetch_gb_per_s: f64,
-    /// Price of an ordinary machine per hour.
+    /// Price of an on-demand machine per hour.
     pub price: f64,
-    /// Present price of a spot machine per hour.
+    /// Present price of a spot instance per hour.
     #[serde(default)]
     pub spot_price: f64,
-    /// Usual boot time.
+    /// Usual boot time in seconds.
     #[serde(rename = "ready_s", default)]
     pub boot_s: f64,
     /// Zones in which it can be rented.
@@ -44,29 +45,33 @@
     pub zones: Vec<String>,
 }
 
+/// The least rate at which images are taken to be fetched, so that no time becomes infinite.
+const MIN_FETCH_GB_PER_S: f64 = 0.01;
+
 impl From<MachineType> for model::MachineType {
-    fn from(t: MachineType) -> Self {
+    fn from(listed: MachineType) -> Self {
         model::MachineType {
-            capacity: Resources { cpus: t.cpus, gpus: t.gpus, mem: t.memory_gb },
-            name: t.name,
-            cache_gb: t.cache_gb,
-            fetch_gb_per_s: t.fetch_gb_per_s.max(0.01),
-            price: t.price,
-            spot_price: t.spot_price,
-            boot_s: t.boot_s,
-            zones: t.zones,
+            capacity: Resources { cpus: listed.cpus, gpus: listed.gpus, mem: listed.memory_gb },
+            name: listed.name,
+            cache_gb: listed.cache_gb,
+            fetch_gb_per_s: listed.fetch_gb_per_s.max(MIN_FETCH_GB_PER_S),
+            price: listed.price,
+            spot_price: listed.spot_price,
+            boot_s: listed.boot_s,
+            zones: listed.zones,
         }
     }
 }
 
-fn one() -> f64 {
+/// Taken for the fetch rate where the catalog does not say.
+fn default_fetch_gb_per_s() -> f64 {
     1.0
 }
 
-/// A request for machines.
+/// A request to rent machines.
 #[derive(Debug, Clone, Serialize)]
 pub struct RentRequest {
-    /// Name of the request; never used again for another one.
+    /// Name of the request, which makes it idempotent; never used again for another one.
     #[serde(rename = "charter")]
     pub request: String,
     /// Type to rent.
@@ -75,22 +80,22 @@
     /// Zone to rent in.
     #[serde(rename = "yard")]
     pub zone: String,
-    /// Whether spot machines are wanted.
+    /// Whether spot instances are wanted.
     #[serde(rename = "standby")]
     pub spot: bool,
-    /// Number of machines.
+    /// Number of machines, 50 at most.
     pub count: u32,
 }
 
-/// Answer to a request for machines.
+/// Response to a request to rent machines.
 #[derive(Debug, Clone, Deserialize)]
 pub struct RentAnswer {
-    /// Names of the machines rented.
+    /// Names of the machines that were rented; may be fewer than were asked for.
     #[serde(rename = "hulls")]
     pub machines: Vec<String>,
 }
 
-/// A request to take machines back.
+/// A request to return machines, 100 at most.
 #[derive(Debug, Clone, Serialize)]
 pub struct ReturnRequest {
     /// Names of the machines.
@@ -121,13 +126,13 @@
     /// Its zone.
     #[serde(rename = "yard")]
     pub zone: String,
-    /// Whether it is a spot machine.
+    /// Whether it is a spot instance.
     #[serde(rename = "standby", default)]
     pub spot: bool,
     /// `starting`, `running` or `failed`.
     #[serde(rename = "status")]
     pub state: String,
-    /// Time since it was rented.
+    /// Time since it was rented, in seconds, as of the time that the list describes.
     #[serde(default)]
     pub age_s: f64,
 }
--- a/src/wire/encoded.rs
+++ b/src/wire/encoded.rs
@@ -1,5 +1,5 @@
-//! A record's value as it travels: JSON text, encoded once and read into its type
-//! without a tree of generic values in between.
+//! A record's value as it is sent and stored: JSON text, encoded once and decoded into its
+//! type without a tree of generic values in between.
 
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
@@ -11,8 +11,8 @@
 pub struct Encoded(Box<RawValue>);
 
 impl Encoded {
-    /// Encodes a value. Our own types always can be; what can't becomes `null`,
-    /// which no reader takes for a record.
+    /// Encodes a value. Our own types always can be; what can't becomes `null`, which no
+    /// reader takes for a record.
     pub fn new<T: Serialize + ?Sized>(value: &T) -> Encoded {
         Encoded(serde_json::value::to_raw_value(value).unwrap_or_else(|_| RawValue::NULL.to_owned()))
     }
@@ -22,7 +22,7 @@
         serde_json::from_str(self.0.get())
     }
 
-    /// The length of the text in bytes, which the state service's limits count.
+    /// The length of the text in bytes, which the limits of the key-value store count.
     pub fn len(&self) -> usize {
         self.0.get().len()
     }
--- a/src/wire/peer.rs
+++ b/src/wire/peer.rs
@@ -1,12 +1,15 @@
 //! Frames between our own nodes: bitcode, length-delimited.
 //!
-//! Both directions carry whole states, not steps: what the leader wants in
-//! a block and what the holder has in it. A lost, late or repeated frame is
-//! then made good by the next one, and no session has to be agreed on.
+//! Leader and shard owners exchange whole states, not steps: what the leader wants in a shard
+//! ([`DesiredState`]), and what its owner has in it ([`ReportedState`]). The next frame makes
+//! up for one that was lost, late or repeated, and no connection state has to be agreed on.
+//!
+//! Frames are encoded by position: the order of fields and of enum variants is part of the
+//! protocol, their names are not.
 
 use bitcode::{Decode, Encode};
 
-/// A frame longer than this closes the connection.
+/// A frame of more bytes than this closes the connection.
 pub const MAX_FRAME: usize = 4 << 20;
 
 /// A message from one node to another.
@@ -14,37 +17,38 @@
 pub struct Frame {
     /// Name of the sender.
     pub from: String,
-    /// Process of the sender.
+    /// Incarnation of the sender's process.
     pub incarnation: u64,
-    /// What it says.
+    /// The message.
     pub message: PeerMessage,
 }
 
-/// What a frame says.
+/// The content of a frame.
 #[derive(Debug, Clone, Encode, Decode, PartialEq)]
 pub enum PeerMessage {
-    /// A sign of life.
+    /// From any node to any other, twice a second.
     Heartbeat(PeerHeartbeat),
-    /// From the leader to a holder.
+    /// From the leader to a shard owner.
     DesiredState(DesiredState),
-    /// From a holder to the leader.
+    /// From a shard owner to the leader.
     ReportedState(ReportedState),
 }
 
-/// Before the id of a job whose cancellation a heartbeat tells of, among the names of
-/// silent nodes.
+/// Prefix that tells the id of a cancelled job from the name of a silent node in a
+/// heartbeat.
 const CANCELLED_PREFIX: &str = "cancelled ";
 
-/// A sign of life, and whether the store answers this node.
+/// A heartbeat between nodes, with whether the store answers the sender.
 #[derive(Debug, Clone, Encode, Decode, PartialEq)]
 pub struct PeerHeartbeat {
-    /// Time since the store last answered the sender.
+    /// Time since the store last answered the sender, in milliseconds.
     pub store_silence_ms: u64,
-    /// Names of silent nodes and, with a prefix, ids of cancelled jobs. The version in
-    /// production looks for its own name here and passes over all else, while a new kind
-    /// of message would close the connection.
+    /// Names of silent nodes and, with a prefix, ids of cancelled jobs. Versions from before
+    /// cancelled jobs look for their own name here and ignore all else, while a new kind of
+    /// message would close the connection.
     names: Vec<String>,
-    /// Tasks (done, running) by live job, from the leader only, for users' questions.
+    /// Id of each live job with its numbers of tasks that are done and that are running;
+    /// from the leader only, for the answers to users.
     pub task_counts: Vec<(String, u32, u32)>,
 }
 
@@ -73,32 +77,32 @@
     }
 }
 
-/// From the leader: everything that shall be in one block.
+/// From the leader: everything that shall be in one shard.
 #[derive(Debug, Clone, Encode, Decode, PartialEq)]
 pub struct DesiredState {
     /// Term of the leader.
     pub term: u64,
-    /// Block that it speaks of.
+    /// Index of the shard.
     pub shard: u32,
-    /// Grant of the block that it is meant for.
+    /// Fencing token of the shard owner that it is meant for.
     pub fencing_token: u64,
-    /// Rises with each message of a term about this block.
+    /// Rises with each message of a term about this shard.
     pub serial: u64,
-    /// Jobs whose tasks shall be there.
+    /// Jobs with the tasks that shall be there.
     pub jobs: Vec<DesiredJob>,
-    /// Tasks that fit no free room, counted on their best-fit machines.
+    /// Tasks that fit into no free capacity; the owner counts each on its best-fit machine.
     pub waiting: Vec<WaitingTasks>,
-    /// Machines that get no new tasks until they are drained.
+    /// Names of machines that get no new tasks until they are drained.
     pub cordoned: Vec<String>,
-    /// Machines to be made ready for their return.
+    /// Machines to be drained and then terminated.
     pub decommission: Vec<Decommission>,
-    /// Machines whose return the cloud has confirmed.
+    /// Names of machines whose termination the cloud has confirmed.
     pub gone: Vec<String>,
-    /// Machines that must not get new tasks for now.
+    /// Names of machines that must not get new tasks for now.
     pub quarantined: Vec<String>,
 }
 
-/// A machine to be made ready for its return.
+/// A machine to be drained and then terminated.
 #[derive(Debug, Clone, Encode, Decode, PartialEq)]
 pub struct Decommission {
     /// Its name.
@@ -107,11 +111,11 @@
     pub machine_type: String,
     /// Its zone.
     pub zone: String,
-    /// Whether it is a spot machine.
+    /// Whether it is a spot instance.
     pub spot: bool,
 }
 
-/// Tasks of a job that wait for room.
+/// Tasks of a job that wait for capacity.
 #[derive(Debug, Clone, Encode, Decode, PartialEq)]
 pub struct WaitingTasks {
     /// Id of the job.
@@ -120,39 +124,40 @@
     pub count: u32,
 }
 
-/// A job whose tasks shall be in a block.
+/// A job with tasks that shall be in a shard.
 #[derive(Debug, Clone, Encode, Decode, PartialEq)]
 pub struct DesiredJob {
     /// Id of the job.
     pub job: String,
-    /// Learned run time of a task, seconds.
+    /// Expected run time of a task, in seconds, as learned from earlier ones.
     pub expected_s: f64,
-    /// (task, attempt, bind): `bind` allows a first binding.
+    /// Each admitted task as (task, attempt, may bind): whether the attempt may still be
+    /// bound to a machine for the first time.
     pub tasks: Vec<(u32, u64, bool)>,
 }
 
-/// From a holder: everything that may be in one block. What is missing here
-/// is proven absent, or was never bound.
+/// From a shard owner: everything that may be in its shard. What is missing here is proven
+/// absent, or was never bound.
 #[derive(Debug, Clone, Encode, Decode, PartialEq)]
 pub struct ReportedState {
     /// Term of the leader that it is meant for.
     pub term: u64,
-    /// Block that it speaks of.
+    /// Index of the shard.
     pub shard: u32,
-    /// Grant that the sender holds.
+    /// Fencing token of the sender.
     pub fencing_token: u64,
     /// Serial of the newest `DesiredState` that this answers; 0 for none.
     pub echo: u64,
-    /// What the machines below name by its place here: thousands of tasks
-    /// share a few jobs and types.
+    /// Machine types, to which machines refer by index: thousands of tasks share a few jobs
+    /// and types.
     pub types: Vec<String>,
-    /// Jobs named below by their place here.
+    /// Jobs, to which attempts refer by index.
     pub jobs: Vec<ReportedJob>,
-    /// All machines of the block.
+    /// All machines of the shard.
     pub machines: Vec<ReportedMachine>,
 }
 
-/// A job with what one of its tasks takes.
+/// A job with the demand of one of its tasks.
 #[derive(Debug, Clone, Encode, Decode, PartialEq)]
 pub struct ReportedJob {
     /// Id of the job.
@@ -163,30 +168,30 @@
     pub cpus: f64,
     /// GPUs of one task.
     pub gpus: f64,
-    /// Memory of one task.
+    /// Memory of one task in GB.
     pub memory_gb: f64,
 }
 
-/// A machine as its holder knows it.
+/// A machine as its shard owner knows it.
 #[derive(Debug, Clone, Encode, Decode, PartialEq)]
 pub struct ReportedMachine {
     /// Its name.
     pub machine: String,
-    /// Place of its type in the list of types.
+    /// Index of its type in [`ReportedState::types`].
     pub machine_type: u32,
-    /// Whether it is a spot machine.
+    /// Whether it is a spot instance.
     pub spot: bool,
-    /// Time since its last report; u64::MAX if none reached this holder.
+    /// Time since its last heartbeat, in milliseconds; `u64::MAX` if none reached this owner.
     pub silent_ms: u64,
-    /// Whether the cloud is about to take it back.
+    /// Whether the cloud is about to take it away.
     pub preemption_notice: bool,
-    /// Whether its return is on record.
+    /// Whether its termination is on record.
     pub terminating: bool,
-    /// It has shown that it knows the holder's token.
+    /// Whether a heartbeat has shown that it knows the owner's fencing token.
     pub fenced: bool,
-    /// Its reports arrive, but nothing reaches it.
+    /// Whether its heartbeats arrive, but nothing reaches it.
     pub unreachable: bool,
-    /// Projected peak share of room, and whether the machine is overloaded.
+    /// Projected peak use as a share of its capacity.
     pub peak: f64,
     /// Whether it is projected to be overloaded.
     pub overloaded: bool,
@@ -194,10 +199,10 @@
     pub tasks: Vec<ReportedTask>,
 }
 
-/// An attempt as its holder knows it.
+/// An attempt as its shard owner knows it.
 #[derive(Debug, Clone, Encode, Decode, PartialEq)]
 pub struct ReportedTask {
-    /// Place of its job in the list of jobs.
+    /// Index of its job in [`ReportedState::jobs`].
     pub job: u32,
     /// Number of the task.
     pub task: u32,
@@ -205,20 +210,20 @@
     pub attempt: u64,
     /// How far it is.
     pub state: ReportedPhase,
-    /// Run time so far, or in all when ended.
+    /// Run time so far, or in all if it has ended, in milliseconds.
     pub ran_ms: u64,
 }
 
 /// How far an attempt is.
 #[derive(Debug, Clone, Copy, Encode, Decode, PartialEq, Eq)]
 pub enum ReportedPhase {
-    /// Bound or sent, not yet seen on the machine.
+    /// Bound to the machine or sent to it, and not yet in a heartbeat.
     Bound,
-    /// Waits for its image.
+    /// Is waiting for its image.
     Fetching,
-    /// Runs.
+    /// Is running.
     Running,
-    /// Was told to stop and saves.
+    /// Was told to stop and is saving a checkpoint.
     Saving,
     /// Completed.
     Done,
--- a/src/wire/users.rs
+++ b/src/wire/users.rs
@@ -1,30 +1,109 @@
-//! Submissions of users: read field by field, so that an error names the
-//! field, and the answers to them.
+//! The users' protocol: submissions, read field by field so that an error names the field,
+//! and the bodies of answers.
 
-use crate::model::{JobSpec, Priority};
+use crate::model::{JobSpec, Priority, Resources};
 use serde::Serialize;
 use serde_json::{Map, Value};
 use std::collections::HashSet;
+use thiserror::Error;
 
 /// No request body may be longer.
-pub const MAX_BODY: usize = 64 << 10;
+pub const MAX_BODY_BYTES: usize = 64 << 10;
 /// Tasks that one job may have.
 pub const MAX_TASKS: u64 = 100_000;
-/// Jobs that one job may name in `awaits`, each counted once. Pipelines name a
-/// handful; with ids of usual length so many take half of a small record.
+/// Jobs that one job may name in `awaits`, each counted once. Pipelines name a handful; with
+/// ids of usual length so many take half of a small record.
 pub const MAX_AWAITS: usize = 100;
-/// Every job id begins so; digits follow.
+/// What every job id begins with; digits follow.
 pub const ID_PREFIX: &str = "run-";
+const MAX_ID_DIGITS: usize = 20;
 /// Amounts above this make no sense for any machine and only invite overflow.
 const MAX_AMOUNT: f64 = 1e9;
+const MAX_TEXT_BYTES: usize = 200;
+/// Machine types that a job may allow.
+const MAX_MACHINE_TYPES: usize = 64;
 
-/// What is wrong with a submission.
-#[derive(Debug, Clone, PartialEq)]
-pub struct Invalid {
-    /// The field.
+// Fields that are named more than once here.
+const JOB_ID: &str = "name_id";
+const CPUS: &str = "cores";
+const AWAITS: &str = "awaits";
+/// Stands for the whole body in errors.
+const BODY: &str = "body";
+
+/// A field of a submission that can't be used.
+#[derive(Debug, Clone, PartialEq, Error)]
+#[error("{field} {why}")]
+pub struct InvalidField {
+    /// Name of the field.
     pub field: &'static str,
     /// What is wrong with it.
-    pub why: String,
+    pub why: FieldError,
+}
+
+/// The former name.
+pub use InvalidField as Invalid;
+
+/// What is wrong with a field; users see these texts.
+#[derive(Debug, Clone, PartialEq, Error)]
+pub enum FieldError {
+    /// The body exceeds [`MAX_BODY_BYTES`].
+    #[error("is longer than 64 KiB")]
+    TooLong,
+    /// The body is not JSON.
+    #[error("is not JSON: {0}")]
+    NotJson(String),
+    /// The body is JSON, but no object.
+    #[error("is not an object")]
+    NotAnObject,
+    /// A required field is missing or null.
+    #[error("is missing")]
+    Missing,
+    /// Not a text, or one of a length that is not allowed.
+    #[error("must be a text of 1 to {MAX} bytes", MAX = MAX_TEXT_BYTES)]
+    NotText,
+    /// Not a number, or one outside of what makes sense.
+    #[error("must be a number of at least 0")]
+    NotAmount,
+    /// Not a boolean.
+    #[error("must be true or false")]
+    NotBoolean,
+    /// Neither CPUs nor GPUs are asked for.
+    #[error("must be above 0")]
+    NotPositive,
+    /// Not a job id.
+    #[error("must be run- and digits")]
+    NotJobId,
+    /// A shape other than `batch`.
+    #[error("must be batch")]
+    NotBatch,
+    /// An unknown priority.
+    #[error("must be prod, urgent, normal or idle")]
+    NotPriority,
+    /// Not a number of tasks that a job may have.
+    #[error("must be a whole number from 1 to {MAX}", MAX = MAX_TASKS)]
+    NotTaskCount,
+    /// Not a list, or one that is too long.
+    #[error("must be a list")]
+    NotList,
+    /// A list with something other than names.
+    #[error("must list names")]
+    NotNames,
+    /// Not a list, where job ids are expected.
+    #[error("must be a list of job ids")]
+    NotJobIdList,
+    /// A list with something other than job ids.
+    #[error("must list job ids, run- and digits")]
+    NotJobIds,
+    /// More job ids than [`MAX_AWAITS`].
+    #[error("must name no more than {MAX} jobs", MAX = MAX_AWAITS)]
+    TooManyJobs,
+}
+
+impl FieldError {
+    /// The error of this field.
+    fn of(self, field: &'static str) -> InvalidField {
+        InvalidField { field, why: self }
+    }
 }
 
 /// Body of an answer that refuses a request.
@@ -46,182 +125,206 @@
     /// Its state.
     #[serde(rename = "status")]
     pub state: &'a str,
-    /// Tasks that are done.
+    /// Number of tasks that are done.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub done: Option<u32>,
-    /// Tasks that run.
+    /// Number of tasks that are running.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub running: Option<u32>,
 }
 
-/// Job ids are always `run-` and digits; anything else is nobody's job.
+/// A submission as read.
+#[derive(Debug)]
+pub struct Submission {
+    /// Id of the job.
+    pub id: String,
+    /// Description of the job.
+    pub spec: JobSpec,
+    /// Ids of the jobs that it depends on, each once, in the order named. An error here
+    /// counts only once the job is known to be new: a repeated submission of an accepted
+    /// job gets its state, whatever else it says.
+    pub awaits: Result<Vec<String>, InvalidField>,
+}
+
+/// Whether the text is a job id: the prefix and up to 20 digits.
 pub fn valid_id(id: &str) -> bool {
-    id.strip_prefix(ID_PREFIX)
-        .is_some_and(|d| !d.is_empty() && d.len() <= 20 && d.bytes().all(|b| b.is_ascii_digit()))
+    id.strip_prefix(ID_PREFIX).is_some_and(|digits| {
+        !digits.is_empty()
+            && digits.len() <= MAX_ID_DIGITS
+            && digits.bytes().all(|byte| byte.is_ascii_digit())
+    })
 }
 
+/// The job id of a submission that is invalid otherwise.
+pub fn id_of(body: &[u8]) -> Option<String> {
+    let value: Value = serde_json::from_slice(body).ok()?;
+    let id = value.get(JOB_ID)?.as_str()?;
+    valid_id(id).then(|| id.to_string())
+}
+
+/// Reads a submission. Only what may be null may be left out. The first field that is wrong
+/// is named, in the order in which they are read here.
+pub fn parse_job(body: &[u8]) -> Result<Submission, InvalidField> {
+    let object = parse_object(body)?;
+    let fields = Fields(&object);
+    let id = job_id(&fields)?;
+    check_shape(&fields)?;
+    let priority = priority(&fields)?;
+    let tasks = task_count(&fields)?;
+    let demand = demand(&fields)?;
+    let types = machine_types(&fields)?;
+    let deadline_s = fields.optional_amount("due_s")?;
+    let spec = JobSpec {
+        class: fields.text("jobclass")?.to_string(),
+        team: fields.text("crew")?.to_string(),
+        priority,
+        tasks,
+        cpus: demand.cpus,
+        gpus: demand.gpus,
+        memory_gb: demand.mem,
+        types,
+        zone: fields.optional_text("yard")?,
+        one_zone: fields.boolean("one_zone")?,
+        spread: fields.boolean("scatter")?,
+        spot: fields.boolean("standby")?,
+        image: fields.text("bundle")?.to_string(),
+        image_gb: fields.amount("pull_gb")?,
+        estimate_s: fields.amount("guess_s")?,
+        checkpoint_s: fields.amount("bookmark_s")?,
+        save_s: fields.amount("stow_s")?,
+        deadline_s,
+        accepted_at_ms: 0,
+    };
+    Ok(Submission { id, spec, awaits: awaited_jobs(&fields) })
+}
+
+/// The fields of a submission by name. A null field counts as absent.
 struct Fields<'a>(&'a Map<String, Value>);
 
 impl<'a> Fields<'a> {
-    fn get(&self, field: &'static str) -> Option<&'a Value> {
-        self.0.get(field).filter(|v| !v.is_null())
+    fn get(&self, field: &str) -> Option<&'a Value> {
+        self.0.get(field).filter(|value| !value.is_null())
     }
 
-    fn text(&self, field: &'static str) -> Result<&'a str, Invalid> {
-        let v = self.get(field).ok_or(Invalid { field, why: "is missing".into() })?;
-        match v.as_str() {
-            Some(s) if !s.is_empty() && s.len() <= 200 => Ok(s),
-            _ => Err(Invalid { field, why: "must be a text of 1 to 200 bytes".into() }),
-        }
+    fn require(&self, field: &'static str) -> Result<&'a Value, InvalidField> {
+        self.get(field).ok_or(FieldError::Missing.of(field))
     }
 
-    fn opt_text(&self, field: &'static str) -> Result<Option<String>, Invalid> {
-        match self.get(field) {
-            None => Ok(None),
-            Some(_) => self.text(field).map(|s| Some(s.to_string())),
-        }
+    fn text(&self, field: &'static str) -> Result<&'a str, InvalidField> {
+        let text = self.require(field)?.as_str();
+        let is_allowed = |text: &&str| (1..=MAX_TEXT_BYTES).contains(&text.len());
+        text.filter(is_allowed).ok_or(FieldError::NotText.of(field))
     }
 
-    fn number(&self, field: &'static str, lo: f64) -> Result<f64, Invalid> {
-        let v = self.get(field).ok_or(Invalid { field, why: "is missing".into() })?;
-        match v.as_f64() {
-            Some(n) if n.is_finite() && n >= lo && n <= MAX_AMOUNT => Ok(n),
-            _ => Err(Invalid { field, why: format!("must be a number of at least {lo}") }),
-        }
+    fn optional_text(&self, field: &'static str) -> Result<Option<String>, InvalidField> {
+        self.get(field).map(|_| self.text(field).map(str::to_string)).transpose()
     }
 
-    fn flag(&self, field: &'static str) -> Result<bool, Invalid> {
-        match self.get(field) {
-            None => Err(Invalid { field, why: "is missing".into() }),
-            Some(Value::Bool(b)) => Ok(*b),
-            Some(_) => Err(Invalid { field, why: "must be true or false".into() }),
-        }
+    fn amount(&self, field: &'static str) -> Result<f64, InvalidField> {
+        let number = self.require(field)?.as_f64();
+        let is_allowed = |number: &f64| (0.0..=MAX_AMOUNT).contains(number);
+        number.filter(is_allowed).ok_or(FieldError::NotAmount.of(field))
+    }
+
+    fn optional_amount(&self, field: &'static str) -> Result<Option<f64>, InvalidField> {
+        self.get(field).map(|_| self.amount(field)).transpose()
+    }
+
+    fn boolean(&self, field: &'static str) -> Result<bool, InvalidField> {
+        self.require(field)?.as_bool().ok_or(FieldError::NotBoolean.of(field))
     }
 }
 
-/// A submission as read.
-#[derive(Debug)]
-pub struct Submission {
-    /// Id of the job.
-    pub id: String,
-    /// Description of the job.
-    pub spec: JobSpec,
-    /// Each job once, in the order named. What is wrong with the list counts
-    /// only once the job is known to be new: a repeated submission of an
-    /// accepted job gets its state, whatever else it says.
-    pub awaits: Result<Vec<String>, Invalid>,
+fn parse_object(body: &[u8]) -> Result<Map<String, Value>, InvalidField> {
+    if body.len() > MAX_BODY_BYTES {
+        return Err(FieldError::TooLong.of(BODY));
+    }
+    match serde_json::from_slice(body) {
+        Ok(Value::Object(object)) => Ok(object),
+        Ok(_) => Err(FieldError::NotAnObject.of(BODY)),
+        Err(error) => Err(FieldError::NotJson(error.to_string()).of(BODY)),
+    }
 }
 
-/// The jobs named, each once.
-fn awaited(list: Option<&Value>) -> Result<Vec<String>, Invalid> {
-    let bad = |why: String| Invalid { field: "awaits", why };
-    let list = match list {
-        None => return Ok(Vec::new()),
-        Some(Value::Array(list)) => list,
-        Some(_) => return Err(bad("must be a list of job ids".into())),
-    };
-    let mut out: Vec<String> = Vec::new();
-    let mut seen: HashSet<&str> = HashSet::new();
-    for v in list {
-        let Some(id) = v.as_str().filter(|id| valid_id(id)) else {
-            return Err(bad("must list job ids, run- and digits".into()));
-        };
-        if seen.insert(id) {
-            out.push(id.to_string());
-        }
+fn job_id(fields: &Fields) -> Result<String, InvalidField> {
+    let id = fields.text(JOB_ID)?;
+    if !valid_id(id) {
+        return Err(FieldError::NotJobId.of(JOB_ID));
     }
-    if out.len() > MAX_AWAITS {
-        return Err(bad(format!("must name no more than {MAX_AWAITS} jobs")));
+    Ok(id.to_string())
+}
+
+fn check_shape(fields: &Fields) -> Result<(), InvalidField> {
+    let field = "shape";
+    match fields.text(field)? {
+        "batch" => Ok(()),
+        _ => Err(FieldError::NotBatch.of(field)),
     }
-    Ok(out)
 }
 
-/// The id of a submission that is wrong otherwise.
-pub fn id_of(body: &[u8]) -> Option<String> {
-    let value: Value = serde_json::from_slice(body).ok()?;
-    let id = value.get("name_id")?.as_str()?;
-    valid_id(id).then(|| id.to_string())
+fn priority(fields: &Fields) -> Result<Priority, InvalidField> {
+    let field = "urgency";
+    match fields.text(field)? {
+        "prod" => Ok(Priority::Production),
+        "urgent" => Ok(Priority::High),
+        "normal" => Ok(Priority::Normal),
+        "idle" => Ok(Priority::Low),
+        _ => Err(FieldError::NotPriority.of(field)),
+    }
 }
 
-/// Reads a submission. Only what may be null may be left out.
-pub fn parse_job(body: &[u8]) -> Result<Submission, Invalid> {
-    if body.len() > MAX_BODY {
-        return Err(Invalid { field: "body", why: "is longer than 64 KiB".into() });
+fn task_count(fields: &Fields) -> Result<u32, InvalidField> {
+    let field = "pieces";
+    match fields.require(field)?.as_u64() {
+        Some(count) if (1..=MAX_TASKS).contains(&count) => Ok(count as u32),
+        _ => Err(FieldError::NotTaskCount.of(field)),
     }
-    let value: Value = serde_json::from_slice(body)
-        .map_err(|e| Invalid { field: "body", why: format!("is not JSON: {e}") })?;
-    let Value::Object(map) = value else {
-        return Err(Invalid { field: "body", why: "is not an object".into() });
+}
+
+/// What each task takes.
+fn demand(fields: &Fields) -> Result<Resources, InvalidField> {
+    let demand = Resources {
+        cpus: fields.amount(CPUS)?,
+        gpus: fields.amount("cards")?,
+        mem: fields.amount("memory_gb")?,
     };
-    let f = Fields(&map);
-    let id = f.text("name_id")?;
-    if !valid_id(id) {
-        return Err(Invalid { field: "name_id", why: "must be run- and digits".into() });
-    }
-    if f.text("shape")? != "batch" {
-        return Err(Invalid { field: "shape", why: "must be batch".into() });
-    }
-    let priority = match f.text("urgency")? {
-        "prod" => Priority::Production,
-        "urgent" => Priority::High,
-        "normal" => Priority::Normal,
-        "idle" => Priority::Low,
-        _ => {
-            return Err(Invalid {
-                field: "urgency",
-                why: "must be prod, urgent, normal or idle".into(),
-            });
-        }
+    if demand.cpus <= 0.0 && demand.gpus <= 0.0 {
+        return Err(FieldError::NotPositive.of(CPUS));
+    }
+    Ok(demand)
+}
+
+/// The machine types that the job may run on; `None`: all.
+fn machine_types(fields: &Fields) -> Result<Option<Vec<String>>, InvalidField> {
+    let field = "hulltypes";
+    let list = match fields.get(field) {
+        None => return Ok(None),
+        Some(Value::Array(list)) if list.len() <= MAX_MACHINE_TYPES => list,
+        Some(_) => return Err(FieldError::NotList.of(field)),
     };
-    let pieces = f.get("pieces").ok_or(Invalid { field: "pieces", why: "is missing".into() })?;
-    let tasks = match pieces.as_u64() {
-        Some(n) if (1..=MAX_TASKS).contains(&n) => n as u32,
-        _ => {
-            return Err(Invalid {
-                field: "pieces",
-                why: format!("must be a whole number from 1 to {MAX_TASKS}"),
-            });
-        }
+    let names: Option<Vec<String>> = list.iter().map(|name| name.as_str().map(str::to_string)).collect();
+    names.map(Some).ok_or(FieldError::NotNames.of(field))
+}
+
+/// Ids of the jobs that the job depends on, each once.
+fn awaited_jobs(fields: &Fields) -> Result<Vec<String>, InvalidField> {
+    let list = match fields.get(AWAITS) {
+        None => return Ok(Vec::new()),
+        Some(Value::Array(list)) => list,
+        Some(_) => return Err(FieldError::NotJobIdList.of(AWAITS)),
     };
-    let cpus = f.number("cores", 0.0)?;
-    let gpus = f.number("cards", 0.0)?;
-    let memory_gb = f.number("memory_gb", 0.0)?;
-    if cpus <= 0.0 && gpus <= 0.0 {
-        return Err(Invalid { field: "cores", why: "must be above 0".into() });
-    }
-    let types = match f.get("hulltypes") {
-        None => None,
-        Some(Value::Array(list)) if list.len() <= 64 => {
-            let names: Option<Vec<String>> =
-                list.iter().map(|v| v.as_str().map(str::to_string)).collect();
-            Some(names.ok_or(Invalid { field: "hulltypes", why: "must list names".into() })?)
+    let mut ids: Vec<String> = Vec::new();
+    let mut seen: HashSet<&str> = HashSet::new();
+    for value in list {
+        let Some(id) = value.as_str().filter(|id| valid_id(id)) else {
+            return Err(FieldError::NotJobIds.of(AWAITS));
+        };
+        if seen.insert(id) {
+            ids.push(id.to_string());
         }
-        Some(_) => return Err(Invalid { field: "hulltypes", why: "must be a list".into() }),
-    };
-    let due_s = match f.get("due_s") {
-        None => None,
-        Some(_) => Some(f.number("due_s", 0.0)?),
-    };
-    let spec = JobSpec {
-        class: f.text("jobclass")?.to_string(),
-        team: f.text("crew")?.to_string(),
-        priority,
-        tasks,
-        cpus,
-        gpus,
-        memory_gb,
-        types,
-        zone: f.opt_text("yard")?,
-        one_zone: f.flag("one_zone")?,
-        spread: f.flag("scatter")?,
-        spot: f.flag("standby")?,
-        image: f.text("bundle")?.to_string(),
-        image_gb: f.number("pull_gb", 0.0)?,
-        estimate_s: f.number("guess_s", 0.0)?,
-        checkpoint_s: f.number("bookmark_s", 0.0)?,
-        save_s: f.number("stow_s", 0.0)?,
-        deadline_s: due_s,
-        accepted_at_ms: 0,
-    };
-    Ok(Submission { id: id.to_string(), spec, awaits: awaited(f.get("awaits")) })
+    }
+    if ids.len() > MAX_AWAITS {
+        return Err(FieldError::TooManyJobs.of(AWAITS));
+    }
+    Ok(ids)
 }
--- a/src/wire/workers.rs
+++ b/src/wire/workers.rs
@@ -1,8 +1,8 @@
-//! Worker reports and commands.
+//! The worker protocol: heartbeats of workers, and commands to them.
 
 use serde::{Deserialize, Serialize};
 
-/// A worker's report.
+/// A worker's heartbeat with its status.
 #[derive(Debug, Clone, Deserialize, Serialize)]
 pub struct WorkerHeartbeat {
     /// Name of the machine.
@@ -17,19 +17,19 @@
     /// Zone of the machine.
     #[serde(rename = "yard")]
     pub zone: String,
-    /// Whether it is a spot machine.
+    /// Whether it is a spot instance.
     #[serde(rename = "standby", default)]
     pub spot: bool,
-    /// Session of the worker; a new one begins when its lease ends.
+    /// Incarnation of the worker; a new one begins when its lease expires.
     #[serde(rename = "shift")]
     pub incarnation: u64,
-    /// Count of reports and answers to direct commands within the session.
+    /// Count of heartbeats and answers to direct commands within the incarnation.
     #[serde(rename = "tally")]
     pub sequence: u64,
     /// Highest fencing token that the worker has seen.
     #[serde(rename = "baton", default)]
     pub fencing_token: u64,
-    /// Time until the cloud takes the machine back, if it has said so.
+    /// Time until the cloud takes the machine away, in seconds, if it has said so.
     #[serde(rename = "warning_s", default)]
     pub preemption_notice_s: Option<f64>,
     /// Every attempt on the machine.
@@ -37,7 +37,7 @@
     pub tasks: Vec<HeartbeatTask>,
 }
 
-/// An attempt as a worker reports it.
+/// An attempt in a worker's heartbeat.
 #[derive(Debug, Clone, Deserialize, Serialize)]
 pub struct HeartbeatTask {
     /// Id of the job and number of the task.
@@ -54,21 +54,21 @@
     pub why: Option<String>,
 }
 
-/// How far an attempt is, as a worker reports it.
+/// How far an attempt is, in a worker's heartbeat.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum TaskState {
-    /// Waits for its image.
+    /// Is waiting for its image.
     Fetching,
-    /// Runs.
+    /// Is running.
     Running,
-    /// Was told to stop and saves.
+    /// Was told to stop and is saving a checkpoint.
     #[serde(rename = "flushing")]
     Saving,
     /// Has ended.
     #[serde(rename = "ended")]
     Exited,
-    /// A state this version doesn't know is handled like a running task.
+    /// A state that this version doesn't know; handled like a running task.
     #[serde(other)]
     Other,
 }
@@ -85,7 +85,7 @@
     /// Number of the attempt.
     #[serde(rename = "try")]
     pub attempt: u64,
-    /// Time for saving.
+    /// Time for saving a checkpoint, in seconds.
     #[serde(rename = "leeway_s", skip_serializing_if = "Option::is_none")]
     pub grace_s: Option<f64>,
 }
@@ -99,12 +99,12 @@
     /// Stop it.
     #[serde(rename = "kill")]
     Stop,
-    /// Leave it out of later reports.
+    /// Leave it out of later heartbeats.
     #[serde(rename = "clear")]
     Forget,
 }
 
-/// Answer to a report.
+/// Response to a heartbeat.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct HeartbeatResponse {
     /// Fencing token of the sender.
@@ -115,14 +115,14 @@
     pub commands: Vec<Command>,
 }
 
-/// What goes straight to a worker. It may be carried out minutes late, so it only
-/// ever stops tasks.
+/// Commands that are sent to a worker's address. They may be carried out minutes late, so
+/// they only ever stop tasks.
 #[derive(Debug, Clone, Serialize)]
 pub struct DirectCommands {
     /// Fencing token of the sender.
     #[serde(rename = "baton")]
     pub fencing_token: u64,
-    /// Session that the commands are meant for.
+    /// Incarnation of the worker that the commands are meant for.
     #[serde(rename = "shift")]
     pub incarnation: u64,
     /// What the worker is to do, in this order.
@@ -130,7 +130,7 @@
     pub commands: Vec<Command>,
 }
 
-/// Answer to a report that another node should get.
+/// Response to a heartbeat that belongs to another node.
 #[derive(Debug, Clone, Serialize)]
 pub struct Redirect {
     /// That node, if it is known.
