--- a/src/core/user_api/submission.rs
+++ b/src/core/user_api/submission.rs
@@ -14,7 +14,7 @@
 use crate::model::JobSpec;
 use crate::wire::encoded::Encoded;
 use crate::wire::store::{JobRecord, JobState};
-use crate::wire::users::{Invalid, Submission, id_of, parse_job};
+use crate::wire::users::{InvalidField, Submission, id_of, parse_job};
 use std::collections::HashMap;
 
 /// Bytes that a record gains when the time of acceptance is set.
@@ -89,7 +89,7 @@
         context: &mut NodeContext,
         request_id: u64,
         body: &[u8],
-        invalid: &Invalid,
+        invalid: &InvalidField,
     ) {
         let why = format!("{} {}", invalid.field, invalid.why);
         let Some(id) = id_of(body) else {
@@ -193,7 +193,7 @@
     context: &NodeContext,
     id: &str,
     spec: &JobSpec,
-    awaits: Result<Vec<String>, Invalid>,
+    awaits: Result<Vec<String>, InvalidField>,
 ) -> Result<Vec<String>, Refusal> {
     let dependencies = awaits.map_err(|invalid| {
         Refusal::new(400, format!("{} {}", invalid.field, invalid.why), Some(invalid.field))
--- a/src/wire/users.rs
+++ b/src/wire/users.rs
@@ -40,9 +40,6 @@
     pub why: FieldError,
 }
 
-/// The former name.
-pub use InvalidField as Invalid;
-
 /// What is wrong with a field; users see these texts.
 #[derive(Debug, Clone, PartialEq, Error)]
 pub enum FieldError {
