--- a/src/config/cells.rs
+++ b/src/config/cells.rs
@@ -1,32 +1,36 @@
 //! Settings of cells that share load (docs/cells.md).
 
-use super::{ConfigError, flag, number_within};
+use super::value::{boolean, number_within};
+use super::{InvalidSetting, SettingError};
 use std::net::SocketAddr;
 use woadlever_cells::Millis;
 
-/// Sections `[cell NAME]` tell of the other cells.
+/// What the names of sections about other cells begin with: `[cell NAME]`.
 pub(super) const CELL_SECTION: &str = "cell ";
 /// A job is offered to other cells after this wait, unless the settings say otherwise.
 const DEFAULT_SPILL_AFTER_MS: Millis = 60_000;
+/// What a silent cell hosts is recalled after this time.
 const DEFAULT_SILENCE_MS: Millis = 30_000;
-/// Longer than machines take to boot.
+/// A host cell has this time to start a job: longer than machines take to boot.
 const DEFAULT_IDLE_MS: Millis = 120_000;
 /// Jobs that one other cell hosts at most.
 const DEFAULT_MAX_FORWARDED: usize = 4_096;
 /// With more, the list of them would not fit into a message.
-const MAX_MAX_FORWARDED: f64 = 50_000.0;
+const FORWARDED_UPPER_BOUND: f64 = 50_000.0;
 const DEFAULT_FIT_SHARE: f64 = 0.5;
+const SECONDS_PER_DAY: f64 = 86_400.0;
+const MAX_CELL_NAME_BYTES: usize = 64;
 
 /// Whether and how load is shared with other cells.
 #[derive(Debug, Clone)]
 pub struct CellSettings {
-    /// Whether it is at all.
+    /// Whether load is shared at all.
     pub enabled: bool,
     /// Name of this cell.
     pub name: String,
-    /// Port for other cells, at the address for the other nodes.
+    /// Port for other cells, at the IP address for the other nodes.
     pub listen_port: u16,
-    /// Whether jobs of other cells are taken.
+    /// Whether jobs of other cells are accepted.
     pub accept: bool,
     /// Wait after which a job is offered to other cells, milliseconds.
     pub spill_after_ms: Millis,
@@ -36,7 +40,7 @@
     pub idle_ms: Millis,
     /// Jobs that one other cell hosts at most.
     pub max_forwarded: usize,
-    /// Share of a job's tasks that another cell must have room for.
+    /// Share of a job's tasks that another cell must have capacity for.
     pub fit_share: f64,
     /// The other cells.
     pub neighbors: Vec<CellNeighbor>,
@@ -69,69 +73,76 @@
 }
 
 impl CellSettings {
-    pub(super) fn set(&mut self, key: &str, value: &str) -> Result<(), String> {
-        let millis =
-            |least: f64, most: f64| number_within(value, least, most).map(|s| (s * 1000.0) as Millis);
+    /// Sets one setting of this cell from its text.
+    pub(super) fn set(&mut self, key: &str, value: &str) -> Result<(), SettingError> {
+        let millis_from = |least_s: f64| {
+            number_within(value, least_s, SECONDS_PER_DAY).map(|seconds| (seconds * 1000.0) as Millis)
+        };
         match key {
-            "enabled" => self.enabled = flag(value)?,
+            "enabled" => self.enabled = boolean(value)?,
             "name" => self.name = cell_name(value)?,
             "listen_port" => self.listen_port = number_within(value, 1.0, 65_535.0)? as u16,
-            "accept" => self.accept = flag(value)?,
-            "spill_after_s" => self.spill_after_ms = millis(1.0, 86_400.0)?,
-            "silence_s" => self.silence_ms = millis(5.0, 86_400.0)?,
-            "idle_s" => self.idle_ms = millis(5.0, 86_400.0)?,
+            "accept" => self.accept = boolean(value)?,
+            "spill_after_s" => self.spill_after_ms = millis_from(1.0)?,
+            "silence_s" => self.silence_ms = millis_from(5.0)?,
+            "idle_s" => self.idle_ms = millis_from(5.0)?,
             "max_forwarded" => {
-                self.max_forwarded = number_within(value, 1.0, MAX_MAX_FORWARDED)? as usize
+                self.max_forwarded = number_within(value, 1.0, FORWARDED_UPPER_BOUND)? as usize
             }
             "fit_share" => self.fit_share = number_within(value, 0.0, 1.0)?,
-            _ => return Err("unknown setting".into()),
+            _ => return Err(SettingError::Unknown),
         }
         Ok(())
     }
 
-    pub(super) fn set_neighbor(&mut self, cell: &str, key: &str, value: &str) -> Result<(), String> {
+    /// Sets one setting of another cell from its text.
+    pub(super) fn set_neighbor(
+        &mut self,
+        cell: &str,
+        key: &str,
+        value: &str,
+    ) -> Result<(), SettingError> {
         let name = cell_name(cell)?;
         if key != "controllers" {
-            return Err("unknown setting".into());
+            return Err(SettingError::Unknown);
         }
-        let parse = |text: &str| {
-            text.trim().parse().map_err(|_| format!("{:?} is not an address and port", text.trim()))
-        };
-        let controllers: Vec<SocketAddr> = value.split(',').map(parse).collect::<Result<_, String>>()?;
+        let addresses = value.split(',').map(str::trim);
+        let controllers = addresses.map(parse_address).collect::<Result<_, _>>()?;
         self.neighbors.push(CellNeighbor { name, controllers });
         Ok(())
     }
 
-    /// Settings that contradict each other.
-    pub(super) fn check(&self, file: &str) -> Result<(), ConfigError> {
-        let bad = |field: &str, why: &str| {
-            Err(ConfigError::Field { file: file.into(), field: field.into(), why: why.into() })
-        };
+    /// Checks that the settings are complete and don't contradict each other.
+    pub(super) fn check(&self) -> Result<(), InvalidSetting> {
         if self.enabled && self.name.is_empty() {
-            return bad("[cells] name", "is missing");
+            return Err(SettingError::Missing.at("[cells] name"));
         }
         if self.enabled && self.listen_port == 0 {
-            return bad("[cells] listen_port", "is missing");
+            return Err(SettingError::Missing.at("[cells] listen_port"));
         }
-        for (place, neighbor) in self.neighbors.iter().enumerate() {
+        for (index, neighbor) in self.neighbors.iter().enumerate() {
             let field = format!("[{CELL_SECTION}{}]", neighbor.name);
             if neighbor.name == self.name {
-                return bad(&field, "is this very cell");
+                return Err(SettingError::ThisCell.at(field));
             }
-            if self.neighbors[..place].iter().any(|other| other.name == neighbor.name) {
-                return bad(&field, "stands twice");
+            if self.neighbors[..index].iter().any(|other| other.name == neighbor.name) {
+                return Err(SettingError::Duplicate.at(field));
             }
         }
         Ok(())
     }
 }
 
-/// Names of cells become parts of keys and of section names.
-fn cell_name(text: &str) -> Result<String, String> {
+fn parse_address(text: &str) -> Result<SocketAddr, SettingError> {
+    text.parse().map_err(|_| SettingError::NotAddress(text.into()))
+}
+
+/// Checks the name of a cell, which becomes part of keys and of section names.
+fn cell_name(text: &str) -> Result<String, SettingError> {
     let name = text.trim();
     let is_plain = |c: char| c.is_ascii_alphanumeric() || c == '-' || c == '_';
-    if name.is_empty() || name.len() > 64 || !name.chars().all(is_plain) {
-        return Err(format!("{name:?} is not a name of 1 to 64 letters, digits, - and _"));
+    if name.is_empty() || name.len() > MAX_CELL_NAME_BYTES || !name.chars().all(is_plain) {
+        return Err(SettingError::NotCellName(name.into()));
     }
     Ok(name.to_string())
 }
--- a/src/config/overload.rs
+++ b/src/config/overload.rs
@@ -1,9 +1,10 @@
-//! Settings of the behaviour under overload.
+//! Settings of the behaviour under overload (docs/overload.md).
 
-use super::{ConfigError, flag, number_within};
+use super::value::{boolean, number_within};
+use super::{InvalidSetting, SettingError};
 use woadlever_overload::admission::AdmissionSettings;
 
-/// What a node does when more is asked than it can do.
+/// What a node does when more is asked of it than it can do.
 #[derive(Debug, Clone)]
 pub struct OverloadSettings {
     /// Whether connections and requests are chosen by importance at all.
@@ -12,7 +13,7 @@
     pub lag_target_ms: u64,
     /// How long more lag has to last to count as pressure, milliseconds.
     pub lag_interval_ms: u64,
-    /// Requests that wait between the socket and the core.
+    /// Requests that may wait between the HTTP server and the core.
     pub queue: usize,
     /// Rates of new connections.
     pub admission: AdmissionSettings,
@@ -31,9 +32,10 @@
 }
 
 impl OverloadSettings {
-    pub(super) fn set(&mut self, key: &str, value: &str) -> Result<(), String> {
+    /// Sets one setting from its text.
+    pub(super) fn set(&mut self, key: &str, value: &str) -> Result<(), SettingError> {
         match key {
-            "enabled" => self.enabled = flag(value)?,
+            "enabled" => self.enabled = boolean(value)?,
             "lag_target_ms" => self.lag_target_ms = number_within(value, 10.0, 10_000.0)? as u64,
             "lag_interval_ms" => self.lag_interval_ms = number_within(value, 10.0, 60_000.0)? as u64,
             "queue" => self.queue = number_within(value, 16.0, 4_096.0)? as usize,
@@ -47,22 +49,20 @@
             "cut_interval_ms" => {
                 self.admission.interval_ms = number_within(value, 100.0, 60_000.0)? as u64;
             }
-            _ => return Err("unknown setting".into()),
+            _ => return Err(SettingError::Unknown),
         }
         Ok(())
     }
 
-    /// Settings that contradict each other.
-    pub(super) fn check(&self, file: &str) -> Result<(), ConfigError> {
-        let bad = |key: &str, why: &str| {
-            let field = format!("[overload] {key}");
-            Err(ConfigError::Field { file: file.into(), field, why: why.into() })
-        };
+    /// Checks that the settings don't contradict each other.
+    pub(super) fn check(&self) -> Result<(), InvalidSetting> {
         if self.lag_interval_ms < self.lag_target_ms {
-            return bad("lag_interval_ms", "must be no less than lag_target_ms");
+            let why = SettingError::BelowSetting("lag_target_ms");
+            return Err(why.at("[overload] lag_interval_ms"));
         }
         if self.admission.rejections_per_core < self.admission.connections_per_core {
-            return bad("rejections_per_core", "must be no less than connections_per_core");
+            let why = SettingError::BelowSetting("connections_per_core");
+            return Err(why.at("[overload] rejections_per_core"));
         }
         Ok(())
     }
--- a/src/config/platform.rs
+++ b/src/config/platform.rs
@@ -1,11 +1,24 @@
-//! The platform's file.
+//! The platform's file: this node, its peers, the outer services, and what all nodes share.
 
-use super::{ConfigError, Operator, read};
+use super::error::read_file;
+use super::{
+    CloudLimits, ConfigError, InvalidSetting, Operator, ProcessLimits, SettingError, StoreLimits,
+};
 use serde::Deserialize;
 use std::net::SocketAddr;
 use std::path::Path;
 use woadlever_cells::lease::CellTiming;
 
+/// With a shorter control lease a node would lose it between two ordinary calls.
+const MIN_CONTROL_LEASE_S: f64 = 1.0;
+/// Two steady clocks differ by twice 0.05% at most.
+const CLOCK_DRIFT: f64 = 0.001;
+/// Share of the time between lease and cancellation that is kept for timers and stopping,
+/// within the bounds below.
+const MARGIN_SHARE: f64 = 0.12;
+const MIN_MARGIN_S: f64 = 0.5;
+const MAX_MARGIN_S: f64 = 3.0;
+
 /// The platform's file. Unknown fields are ignored by agreement.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Platform {
@@ -47,10 +60,11 @@
 /// Addresses of the outer services.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Endpoints {
-    /// The cloud that machines are rented from.
+    /// The cloud.
     pub cloud: SocketAddr,
-    /// The state service.
-    pub state: SocketAddr,
+    /// The key-value store.
+    #[serde(rename = "state")]
+    pub store: SocketAddr,
 }
 
 /// Settings that all nodes share.
@@ -62,23 +76,28 @@
     /// Teams with their guarantees and limits.
     #[serde(default)]
     pub teams: Vec<Team>,
-    /// Aims per class of jobs.
+    /// Service-level objectives by class of jobs.
     #[serde(default)]
     pub objectives: Vec<Objective>,
     /// Times of the worker protocol.
-    pub workers: Workers,
+    pub workers: WorkerTimes,
     /// Bound on the error of the time of day, in milliseconds.
     #[serde(default = "default_clock_off_ms")]
     pub clock_off_ms: f64,
-    /// Limits of the state service.
-    pub state: StateLimits,
+    /// Limits of the key-value store.
+    pub state: StoreLimits,
     /// Limits of the cloud.
     pub cloud: CloudLimits,
     /// Limits of this process.
-    pub limits: Limits,
+    pub limits: ProcessLimits,
 }
 
-/// 0 means "none": no guarantee, or nothing allowed at all.
+/// Taken for the error of the time of day where the file does not say.
+fn default_clock_off_ms() -> f64 {
+    500.0
+}
+
+/// Quota of a team. 0 means none: no guarantee, or nothing allowed at all.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Team {
     /// Name of the team.
@@ -97,18 +116,18 @@
     pub gpus_max: f64,
 }
 
-/// An aim for a class of jobs.
+/// A service-level objective for a class of jobs.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Objective {
     /// What is measured, such as `wait` or `deadline`.
     pub kind: String,
-    /// The class of jobs; all classes if absent.
+    /// The class of jobs; `None`: all classes.
     #[serde(default)]
     pub class: Option<String>,
-    /// Share of jobs that shall meet the aim.
+    /// Share of jobs that shall meet the objective.
     #[serde(default)]
     pub share: Option<f64>,
-    /// Time that the aim allows, in seconds.
+    /// Time that the objective allows, in seconds.
     #[serde(default)]
     pub within_s: Option<f64>,
     /// Factor on a job's own deadline.
@@ -118,222 +137,51 @@
 
 /// Times of the worker protocol.
 #[derive(Debug, Clone, Deserialize)]
-pub struct Workers {
-    /// Time between two reports of a worker, in seconds.
+pub struct WorkerTimes {
+    /// Time between two heartbeats of a worker, in seconds.
     pub report_s: f64,
-    /// Time without an answer after which a worker drops its tasks.
+    /// Time without an answer after which a worker drops its tasks, in seconds.
     pub lease_s: f64,
-    /// Time within which the tasks of a cancelled job must be gone.
+    /// Time within which the tasks of a cancelled job must be gone, in seconds.
     pub cancel_s: f64,
 }
 
-/// With less, a node would lose its authority between two ordinary answers.
-const LEAST_AUTHORITY_S: f64 = 1.0;
-/// Two steady clocks differ by twice 0.05% at most.
-const CLOCK_DRIFT: f64 = 0.001;
-
-impl Workers {
-    /// The time that is left for authority: a proof is sent, the last worker is
-    /// answered so long after it, and its lease counts from its report, which was
-    /// sent before that. What remains covers the drift of both clocks, timers and
-    /// the time to stop.
-    fn authority_s(&self) -> f64 {
+impl WorkerTimes {
+    /// The longest control lease, in seconds. The call that renews it is sent, the last worker
+    /// is answered as long after that as the lease lasts, and the worker's own lease counts
+    /// from its heartbeat, which was sent before the answer. What remains until the time for a
+    /// cancellation is over covers the drift of both clocks, timers and the time to stop.
+    fn max_control_lease_s(&self) -> f64 {
         let slack = self.cancel_s - self.lease_s;
-        let margin = (slack * 0.12).clamp(0.5, 3.0);
+        let margin = (slack * MARGIN_SHARE).clamp(MIN_MARGIN_S, MAX_MARGIN_S);
         slack - margin - self.cancel_s * CLOCK_DRIFT
     }
 }
 
-/// What the state service takes. When `next` announces other limits, these are
-/// the smaller of both from the start: the change comes without notice, and
-/// what was written before should fit by then.
-#[derive(Debug, Clone, Deserialize)]
-pub struct StateLimits {
-    /// Requests a second.
-    pub rps: f64,
-    /// Changes a second.
-    pub write_rps: f64,
-    /// Length of a value, in KiB.
-    pub value_kb: f64,
-    /// Changes in one transaction.
-    pub txn_ops: usize,
-    /// Limits that are announced.
-    #[serde(default)]
-    pub next: Option<NextLimits>,
-    /// The limit of a value today, before `next`.
-    #[serde(skip)]
-    pub today_kb: f64,
-}
-
-/// Limits to come; what is left out stays as it is.
-#[derive(Debug, Clone, Deserialize)]
-pub struct NextLimits {
-    /// Requests a second.
-    pub rps: Option<f64>,
-    /// Changes a second.
-    pub write_rps: Option<f64>,
-    /// Length of a value, in KiB.
-    pub value_kb: Option<f64>,
-    /// Changes in one transaction.
-    pub txn_ops: Option<usize>,
-}
-
-/// Below this not even the record of an ordinary job fits.
-const LEAST_VALUE_KB: f64 = 1.0;
-
-impl StateLimits {
-    fn check(&self) -> Result<(), (&'static str, &'static str)> {
-        let Some(n) = &self.next else { return Ok(()) };
-        let usable = |v: Option<f64>, least: f64| v.is_none_or(|v| v.is_finite() && v >= least);
-        if !usable(n.rps, 1.0) {
-            return Err(("cluster.state.next.rps", "must be a number of at least 1"));
-        }
-        if !usable(n.write_rps, 1.0) {
-            return Err(("cluster.state.next.write_rps", "must be a number of at least 1"));
-        }
-        if !usable(n.value_kb, LEAST_VALUE_KB) {
-            return Err(("cluster.state.next.value_kb", "must be a number of at least 1"));
-        }
-        if n.txn_ops.is_some_and(|n| n < 2) {
-            return Err(("cluster.state.next.txn_ops", "must be at least 2"));
-        }
-        Ok(())
-    }
-
-    /// Takes the smaller of today's and the next limits.
-    fn settle(&mut self) {
-        self.today_kb = self.value_kb;
-        if let Some(n) = &self.next {
-            self.rps = self.rps.min(n.rps.unwrap_or(f64::INFINITY));
-            self.write_rps = self.write_rps.min(n.write_rps.unwrap_or(f64::INFINITY));
-            self.value_kb = self.value_kb.min(n.value_kb.unwrap_or(f64::INFINITY));
-            self.txn_ops = self.txn_ops.min(n.txn_ops.unwrap_or(usize::MAX));
-        }
-    }
-
-    /// Bytes that a value may have.
-    pub fn value_bytes(&self) -> usize {
-        (self.value_kb * 1024.0) as usize
-    }
-}
-
-/// Limits of the cloud.
-#[derive(Debug, Clone, Deserialize)]
-pub struct CloudLimits {
-    /// Calls a second.
-    pub rps: f64,
-    /// How far the machine list lags behind, in seconds.
-    pub list_lag_s: f64,
-}
-
-/// Limits of this process.
-#[derive(Debug, Clone, Deserialize)]
-pub struct Limits {
-    /// Share of a core.
-    #[serde(default = "whole_core")]
-    pub cpu: f64,
-    /// Memory that the process may use, in MB; absent: not limited.
-    #[serde(default)]
-    pub mem_mb: Option<f64>,
-    /// Sockets that the process may have open.
-    pub max_connections: usize,
-}
-
-/// Below this a process would be ended for memory before it serves anybody: about
-/// 2 MB to start with, 2 MB for final jobs, 1 MB for names of returned machines, and
-/// as much again for the records of a first read and a few machines.
-const MIN_MEMORY_MB: f64 = 8.0;
-
-/// Taken for the error of the time of day where the file does not say.
-fn default_clock_off_ms() -> f64 {
-    500.0
-}
-
-fn whole_core() -> f64 {
-    1.0
-}
-
 impl Platform {
     /// Reads and checks the platform's file.
     pub fn load(path: &Path) -> Result<Platform, ConfigError> {
-        let (file, text) = read(path)?;
+        let (file, text) = read_file(path)?;
         Platform::parse(&file, &text)
     }
 
     /// Checks the text of the platform's file; `file` is named in errors.
     pub fn parse(file: &str, text: &str) -> Result<Platform, ConfigError> {
-        let mut p: Platform = toml::from_str(text).map_err(|e| {
-            let line = e.span().map(|s| text[..s.start].lines().count().max(1)).unwrap_or(1);
-            let at = text.lines().nth(line.saturating_sub(1)).unwrap_or("").trim();
-            let why = e.message().lines().collect::<Vec<_>>().join(" ");
-            ConfigError::Malformed { file: file.into(), why: format!("line {line} ({at}): {why}") }
-        })?;
-        p.check(file)?;
-        p.cluster.state.settle();
-        Ok(p)
+        let mut platform: Platform =
+            toml::from_str(text).map_err(|error| toml_error(file, text, &error))?;
+        platform.check().map_err(|invalid| invalid.in_file(file))?;
+        platform.cluster.state.apply_announced();
+        Ok(platform)
     }
 
-    fn check(&self, file: &str) -> Result<(), ConfigError> {
-        let bad = |field: &str, why: &str| {
-            Err(ConfigError::Field { file: file.into(), field: field.into(), why: why.into() })
-        };
+    fn check(&self) -> Result<(), InvalidSetting> {
         if self.node.is_empty() {
-            return bad("host_name", "must not be empty");
-        }
-        if self.peers.iter().any(|p| p.node == self.node) {
-            return bad("known.host_name", "names this very node");
-        }
-        let c = &self.cluster;
-        let positive = [
-            ("cluster.workers.report_s", c.workers.report_s),
-            ("cluster.workers.lease_s", c.workers.lease_s),
-            ("cluster.workers.cancel_s", c.workers.cancel_s),
-            ("cluster.state.rps", c.state.rps),
-            ("cluster.state.write_rps", c.state.write_rps),
-            ("cluster.state.value_kb", c.state.value_kb),
-            ("cluster.cloud.rps", c.cloud.rps),
-            ("cluster.limits.cpu", c.limits.cpu),
-        ];
-        for (field, v) in positive {
-            if !(v.is_finite() && v > 0.0) {
-                return bad(field, "must be a number above 0");
-            }
+            return Err(SettingError::Empty.at("host_name"));
         }
-        if !(c.clock_off_ms.is_finite() && c.clock_off_ms >= 0.0) {
-            return bad("cluster.clock_off_ms", "must be 0 or more");
+        if self.peers.iter().any(|peer| peer.node == self.node) {
+            return Err(SettingError::ThisNode.at("known.host_name"));
         }
-        if !(c.cloud.list_lag_s.is_finite() && c.cloud.list_lag_s >= 0.0) {
-            return bad("cluster.cloud.list_lag_s", "must be 0 or more");
-        }
-        if c.workers.authority_s() < LEAST_AUTHORITY_S {
-            let least = "must be above lease_s by 1.5 s and a thousandth of itself at least";
-            return bad("cluster.workers.cancel_s", least);
-        }
-        if c.state.txn_ops < 2 {
-            return bad("cluster.state.txn_ops", "must be at least 2");
-        }
-        if let Err((field, why)) = c.state.check() {
-            return bad(field, why);
-        }
-        if !(c.limits.cpu.is_finite() && c.limits.cpu > 0.0) {
-            return bad("cluster.limits.cpu", "must be above 0");
-        }
-        if c.limits.mem_mb.is_some_and(|mb| !(mb.is_finite() && mb >= MIN_MEMORY_MB)) {
-            return bad("cluster.limits.mem_mb", &format!("must be at least {MIN_MEMORY_MB}"));
-        }
-        if c.limits.max_connections < 32 {
-            return bad("cluster.limits.max_connections", "must be at least 32");
-        }
-        for t in &c.teams {
-            for (name, v) in
-                [("cpus", t.cpus), ("cpus_max", t.cpus_max), ("gpus", t.gpus), ("gpus_max", t.gpus_max)]
-            {
-                if !(v.is_finite() && v >= 0.0) {
-                    return bad(&format!("cluster.teams.{name}"), "must be 0 or more");
-                }
-            }
-        }
-        Ok(())
+        self.cluster.check()
     }
 
     /// Times that leases between cells follow from.
@@ -345,10 +193,70 @@
         }
     }
 
-    /// How long one proof of authority lasts, in milliseconds: short enough
-    /// that a holder cut off from all but its workers lets their leases end
-    /// within the time that a cancellation has.
-    pub fn control_lease_ms(&self, op: &Operator) -> u64 {
-        (op.block_lease_s.min(self.cluster.workers.authority_s()) * 1000.0) as u64
+    /// Duration of the control lease, in milliseconds: short enough that a shard owner cut
+    /// off from all but its workers lets their leases expire within the time that a
+    /// cancellation has.
+    pub fn control_lease_ms(&self, operator: &Operator) -> u64 {
+        let longest_s = self.cluster.workers.max_control_lease_s();
+        (operator.max_control_lease_s.min(longest_s) * 1000.0) as u64
     }
 }
+
+impl Cluster {
+    fn check(&self) -> Result<(), InvalidSetting> {
+        self.check_positive()?;
+        let not_negative = [
+            ("cluster.clock_off_ms", self.clock_off_ms),
+            ("cluster.cloud.list_lag_s", self.cloud.list_lag_s),
+        ];
+        for (field, number) in not_negative {
+            check_not_negative(field, number)?;
+        }
+        if self.workers.max_control_lease_s() < MIN_CONTROL_LEASE_S {
+            return Err(SettingError::CancelTimeTooShort.at("cluster.workers.cancel_s"));
+        }
+        self.state.check()?;
+        self.limits.check()?;
+        self.teams.iter().try_for_each(Team::check)
+    }
+
+    fn check_positive(&self) -> Result<(), InvalidSetting> {
+        let positive = [
+            ("cluster.workers.report_s", self.workers.report_s),
+            ("cluster.workers.lease_s", self.workers.lease_s),
+            ("cluster.workers.cancel_s", self.workers.cancel_s),
+            ("cluster.state.rps", self.state.rps),
+            ("cluster.state.write_rps", self.state.write_rps),
+            ("cluster.state.value_kb", self.state.value_kb),
+            ("cluster.cloud.rps", self.cloud.rps),
+            ("cluster.limits.cpu", self.limits.cpu),
+        ];
+        for (field, number) in positive {
+            if !(number.is_finite() && number > 0.0) {
+                return Err(SettingError::NotPositive.at(field));
+            }
+        }
+        Ok(())
+    }
+}
+
+impl Team {
+    fn check(&self) -> Result<(), InvalidSetting> {
+        check_not_negative("cluster.teams.cpus", self.cpus)?;
+        check_not_negative("cluster.teams.cpus_max", self.cpus_max)?;
+        check_not_negative("cluster.teams.gpus", self.gpus)?;
+        check_not_negative("cluster.teams.gpus_max", self.gpus_max)
+    }
+}
+
+fn check_not_negative(field: &str, number: f64) -> Result<(), InvalidSetting> {
+    if number.is_finite() && number >= 0.0 { Ok(()) } else { Err(SettingError::Negative.at(field)) }
+}
+
+/// The error with the line that it is about.
+fn toml_error(file: &str, text: &str, error: &toml::de::Error) -> ConfigError {
+    let line = error.span().map_or(1, |span| text[..span.start].lines().count().max(1));
+    let line_text = text.lines().nth(line - 1).unwrap_or("").trim();
+    let message = error.message().lines().collect::<Vec<_>>().join(" ");
+    ConfigError::Toml { file: file.into(), line, text: line_text.into(), message }
+}
--- a/src/io/outputs.rs
+++ b/src/io/outputs.rs
@@ -46,7 +46,7 @@
         let max_direct_calls = (max_connections / 32).clamp(8, 64);
         let endpoints = &platform.endpoints;
         Outputs {
-            store: Client::new(endpoints.state, STORE_IDLE_CONNECTIONS, max_store_calls),
+            store: Client::new(endpoints.store, STORE_IDLE_CONNECTIONS, max_store_calls),
             cloud: Client::new(endpoints.cloud, CLOUD_IDLE_CONNECTIONS, MAX_CLOUD_CALLS),
             peers,
             cells,
