--- a/crates/standins/src/history.rs
+++ b/crates/fakes/src/history.rs
@@ -1,12 +1,12 @@
-//! What all workers did, for a checker to read afterwards.
+//! What all workers did, for a test to check afterwards.
 
-use std::collections::{BTreeMap, HashMap};
+use std::collections::{BTreeMap, HashMap, HashSet};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
 /// What happened to an attempt on a worker.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Step {
-    /// An order to run it arrived.
+    /// A command to run it arrived.
     Ordered,
     /// It began to run.
     Started,
@@ -39,12 +39,12 @@
     }
 
     /// Adds an entry.
-    pub fn note(&self, task: &str, attempt: u64, machine: &str, step: Step) {
+    pub fn record(&self, task: &str, attempt: u64, machine: &str, step: Step) {
         let (task, machine) = (task.to_string(), machine.to_string());
         self.entries().push(Entry { task, attempt, machine, step });
     }
 
-    /// How often each task began to run.
+    /// How often each task was started.
     pub fn starts(&self) -> BTreeMap<String, u32> {
         let mut starts = BTreeMap::new();
         for entry in self.entries().iter().filter(|entry| entry.step == Step::Started) {
@@ -53,7 +53,7 @@
         starts
     }
 
-    /// The machines on which each task began to run, in the order of its starts.
+    /// The machines on which each task was started, in the order of its starts.
     pub fn machines(&self) -> BTreeMap<String, Vec<String>> {
         let mut machines: BTreeMap<String, Vec<String>> = BTreeMap::new();
         for entry in self.entries().iter().filter(|entry| entry.step == Step::Started) {
@@ -62,7 +62,7 @@
         machines
     }
 
-    /// Tasks that run now, with their machines.
+    /// Tasks that are running now, with their machines.
     pub fn running(&self) -> BTreeMap<String, String> {
         let mut running = BTreeMap::new();
         for entry in self.entries().iter() {
@@ -79,11 +79,11 @@
         running
     }
 
-    /// Attempts that workers were ordered to run.
+    /// Number of attempts that workers were told to run.
     pub fn ordered(&self) -> usize {
         let entries = self.entries();
         let ordered = entries.iter().filter(|entry| entry.step == Step::Ordered);
-        ordered.map(|entry| (&entry.task, entry.attempt)).collect::<std::collections::HashSet<_>>().len()
+        ordered.map(|entry| (&entry.task, entry.attempt)).collect::<HashSet<_>>().len()
     }
 
     /// How many attempts were stopped, or dropped at the end of a lease.
@@ -91,7 +91,7 @@
         self.entries().iter().filter(|entry| entry.step == Step::Stopped).count()
     }
 
-    /// Tasks that ran on two machines at once.
+    /// Tasks that were started while another attempt was running, once for each such start.
     pub fn ran_twice(&self) -> Vec<String> {
         let mut running: HashMap<String, u32> = HashMap::new();
         let mut twice = Vec::new();
--- a/crates/standins/src/lib.rs
+++ b/crates/fakes/src/lib.rs
@@ -1,17 +1,18 @@
-//! Stand-ins for the state service, the cloud and the workers, written from their
-//! published protocols, for tests with real processes of the service on loopback.
+//! Fakes of the key-value store, the cloud and the workers, written from their published
+//! protocols, for tests with real processes of the service on loopback.
 //!
-//! They are correct, not fast: everything is kept in memory under one lock each.
+//! They are correct, not fast: everything is kept in memory under one lock each. They share
+//! no code with the service, so that a mistake in its formats doesn't cancel itself out.
 
 pub mod cloud;
 pub mod history;
-pub mod state_service;
+pub mod store;
 pub mod worker;
 
 use salvo::prelude::*;
 use std::net::SocketAddr;
 
-/// Serves a router on a free port of the loopback interface.
+/// Serves a router on a free port of the loopback interface, until the runtime ends.
 async fn serve(router: Router) -> std::io::Result<SocketAddr> {
     let listener = tokio::net::TcpListener::bind(("127.0.0.1", 0)).await?;
     let address = listener.local_addr()?;
--- a/tests/cells_loopback.rs
+++ b/tests/cells_loopback.rs
@@ -13,10 +13,10 @@
 use std::fmt::Write as _;
 use std::net::SocketAddr;
 use std::time::Duration;
-use woadlever_standins::cloud::Cloud;
-use woadlever_standins::history::History;
-use woadlever_standins::state_service::StateService;
-use woadlever_standins::worker::WorkerSettings;
+use woadlever_fakes::cloud::FakeCloud;
+use woadlever_fakes::history::History;
+use woadlever_fakes::store::FakeStore;
+use woadlever_fakes::worker::WorkerSettings;
 
 const CELLS: usize = 3;
 const NODES: usize = 2;
@@ -36,8 +36,8 @@
 struct Cell {
     front: Vec<SocketAddr>,
     cluster: Cluster,
-    state: StateService,
-    _cloud: Cloud,
+    state: FakeStore,
+    _cloud: FakeCloud,
 }
 
 fn cell_name(cell: usize) -> String {
@@ -64,7 +64,7 @@
     history: &History,
 ) -> Cell {
     let front: Vec<SocketAddr> = nodes.iter().map(|node| node.front).collect();
-    let (state, state_address) = StateService::start().await.unwrap();
+    let (state, state_address) = FakeStore::start().await.unwrap();
     let workers = WorkerSettings {
         nodes: (0..NODES).map(|node| (format!("n{node}"), front[node])).collect(),
         heartbeat: Duration::from_secs(1),
@@ -74,7 +74,8 @@
     };
     let zones = ZONES.map(String::from).to_vec();
     let first = cell as u32 * MACHINES_APART;
-    let (cloud, cloud_address) = Cloud::start_from(first, zones, CAPACITY[cell], workers).await.unwrap();
+    let (cloud, cloud_address) =
+        FakeCloud::start_from(first, zones, CAPACITY[cell], workers).await.unwrap();
     let mut cluster = Cluster::new(&ClusterSettings {
         name: ["cells-0", "cells-1", "cells-2"][cell],
         nodes,
--- a/tests/loopback.rs
+++ b/tests/loopback.rs
@@ -1,4 +1,4 @@
-//! Real processes of the service on loopback, against this repository's stand-ins: all
+//! Real processes of the service on loopback, against this repository's fakes: all
 //! controllers are killed at once, several times, with work running. What is asserted is
 //! the history of all workers and what users are told, never how long it took; the bound
 //! on the number of looks only ends a test that would never end.
@@ -12,10 +12,10 @@
 };
 use std::net::SocketAddr;
 use std::time::Duration;
-use woadlever_standins::cloud::Cloud;
-use woadlever_standins::history::History;
-use woadlever_standins::state_service::StateService;
-use woadlever_standins::worker::WorkerSettings;
+use woadlever_fakes::cloud::FakeCloud;
+use woadlever_fakes::history::History;
+use woadlever_fakes::store::FakeStore;
+use woadlever_fakes::worker::WorkerSettings;
 
 const NODES: usize = 3;
 const MACHINES: usize = 200;
@@ -29,7 +29,7 @@
     let nodes: Vec<Addresses> =
         ports.chunks(2).map(|pair| Addresses { front: pair[0], inner: pair[1] }).collect();
     let front: Vec<SocketAddr> = nodes.iter().map(|node| node.front).collect();
-    let (state, state_address) = StateService::start().await.unwrap();
+    let (state, state_address) = FakeStore::start().await.unwrap();
     let history = History::default();
     let settings = WorkerSettings {
         nodes: (0..NODES).map(|node| (format!("n{node}"), front[node])).collect(),
@@ -39,7 +39,7 @@
         history: history.clone(),
     };
     let zones = ZONES.map(String::from).to_vec();
-    let (cloud, cloud_address) = Cloud::start(zones, MACHINES, settings).await.unwrap();
+    let (cloud, cloud_address) = FakeCloud::start(zones, MACHINES, settings).await.unwrap();
     let mut cluster = Cluster::new(&ClusterSettings {
         name: "loopback",
         nodes,
--- a/tests/processes/mod.rs
+++ b/tests/processes/mod.rs
@@ -1,4 +1,4 @@
-//! Real processes of the service on loopback, against this repository's stand-ins.
+//! Real processes of the service on loopback, against this repository's fakes.
 
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
