--- a/src/core/common/context.rs
+++ b/src/core/common/context.rs
@@ -130,7 +130,7 @@
         }
     }
 
-    /// How many returned machines are kept in mind. One that reports after that is
+    /// How many returned machines are kept in mind. One that is heard after that is
     /// treated as any that the cloud does not list: it gets no work.
     pub fn returned_kept(&self) -> usize {
         let cloud = &self.platform.cluster.cloud;
--- a/src/core/common/job_table.rs
+++ b/src/core/common/job_table.rs
@@ -1,7 +1,7 @@
 //! The jobs that a node keeps in memory.
 //!
 //! All live jobs are here. Of the jobs in a final state only the most recent are:
-//! a final record never changes, so it is read from the state service when
+//! a final record never changes, so it is read from the store when
 //! somebody asks for it. Memory therefore follows from the number of live jobs
 //! and from [`MAX_FINAL_JOBS`], not from how many jobs there ever were.
 //!
@@ -37,7 +37,7 @@
     pub tasks: u32,
     /// When the present state was learned.
     pub state_since: Ms,
-    /// The jobs that it awaits and those that await it.
+    /// Its place in the dependency graph.
     pub links: DependencyLinks,
     /// Another node has confirmed the cancellation, but the record that says so
     /// has not been seen here yet. The job takes no task any more; users are
@@ -95,7 +95,7 @@
         }
     }
 
-    /// Whether it was withdrawn here, and the record says that its cell has offered it
+    /// Whether it was cancelled here, and the record says that its cell has offered it
     /// again since: the one final state that another can follow.
     pub(crate) fn is_tombstone_before(&self, record: &JobRecord) -> bool {
         let is_newer = |old: &Origin, new: &Origin| old.cell == new.cell && old.epoch < new.epoch;
@@ -186,7 +186,7 @@
         index
     }
 
-    /// The job, or a stand-in for one that has been dropped.
+    /// The job; one that has been dropped looks cancelled.
     pub fn get(&self, index: JobIndex) -> &Job {
         self.entries.get(&index).map_or(&self.dropped, |entry| &entry.job)
     }
--- a/src/core/common/lookups.rs
+++ b/src/core/common/lookups.rs
@@ -1,10 +1,10 @@
 //! Reads the records of jobs that others refer to and that are not in memory.
 //!
-//! A job may await one that was done long ago, and a machine's record may name a
+//! A job may depend on one that was done long ago, and a placement record may name a
 //! task of one that has been final for long. Neither is among the final jobs that
 //! a node keeps (see `job_table`), so the record is read by itself.
 
-use super::watch_cache::job_key;
+use super::store_keys::job_key;
 use super::{context::NodeContext, job_records::RecordSource};
 use crate::core::{StoreCallOwner, StoreRequest, StoreResponse};
 use crate::model::{JobIndex, Ms};
@@ -33,10 +33,10 @@
         if context.jobs.watched_revision().is_none() || context.clock.now() < self.retry_at {
             return;
         }
-        let room = MAX_IN_FLIGHT.saturating_sub(self.in_flight.len());
+        let free = MAX_IN_FLIGHT.saturating_sub(self.in_flight.len());
         let unread = context.jobs.unread().iter().copied();
         let due: Vec<JobIndex> =
-            unread.filter(|index| !self.in_flight.contains(index)).take(room).collect();
+            unread.filter(|index| !self.in_flight.contains(index)).take(free).collect();
         for index in due {
             self.in_flight.insert(index);
             let key = job_key(context.jobs.id(index));
--- a/src/core/common/mod.rs
+++ b/src/core/common/mod.rs
@@ -1,5 +1,8 @@
 //! What every role of a node uses: the watched records, the election, jobs,
-//! tables, and the rules on machines and work that leader and holder share.
+//! tables, and the rules on machines and work that leader and shard owners share.
+//!
+//! Each part has a file and private fields; `context` holds the parts. Nothing here imports a
+//! role.
 
 pub mod cell_leases;
 pub mod clock;
--- a/src/core/leader/cells/hosted_jobs.rs
+++ b/src/core/leader/cells/hosted_jobs.rs
@@ -74,7 +74,7 @@
     /// the one that the lease on record rests on.
     fn origin_state(&self, context: &NodeContext, cell: &str) -> Option<OriginState> {
         let (forwarded, revision) = self.neighbors[cell].forwarded()?;
-        let (lease, _) = context.cell_leases.get(cell);
+        let lease = context.cell_leases.get(cell).lease;
         let is_current = revision >= lease.revision;
         is_current.then(|| OriginState {
             cell: cell.to_string(),
@@ -132,7 +132,7 @@
 fn is_abandoned(context: &NodeContext, index: JobIndex) -> bool {
     let job = context.job(index);
     let Some(origin) = job.origin() else { return false };
-    let (lease, _) = context.cell_leases.get(&origin.cell);
+    let lease = context.cell_leases.get(&origin.cell).lease;
     let is_lease_long_over = lease.until_ms + ABANDONED_AFTER_MS < context.clock.wall();
     // One accepted a moment ago may have no lease yet.
     is_lease_long_over && job.state_since + ABANDONED_AFTER_MS < context.clock.now()
--- a/src/core/leader/cells/lease_extension.rs
+++ b/src/core/leader/cells/lease_extension.rs
@@ -4,8 +4,9 @@
 use super::hosted_jobs::{HostedEntry, OriginState};
 use super::record_writes::{CellCall, WriteState, put_if_unchanged, send_write};
 use crate::core::StoreResponse;
-use crate::core::common::cell_leases::cell_lease_key;
+use crate::core::common::cell_leases::KnownCellLease;
 use crate::core::common::context::NodeContext;
+use crate::core::common::store_keys::cell_lease_key;
 use crate::core::leader::Leader;
 use crate::model::Ms;
 use crate::wire::encoded::Encoded;
@@ -29,7 +30,7 @@
         if !is_extension_allowed(hosted) {
             return;
         }
-        let (known, version) = context.cell_leases.get(&origin.cell);
+        let KnownCellLease { lease: known, version } = context.cell_leases.get(&origin.cell);
         let lease = CellLease { until_ms: origin.forwarded.lease_until_ms, revision: origin.revision };
         let is_later = lease.until_ms >= known.until_ms + MIN_EXTENSION_MS;
         let state = self.lease_writes.get(&origin.cell);
