--- a/src/core/leader/attempts.rs
+++ b/src/core/leader/attempts.rs
@@ -149,7 +149,7 @@
 
 impl Leader {
     /// Creates an attempt at a task on an instance.
-    pub fn new_attempt(&mut self, job: JobIndex, task: u32, location: InstanceLocation) {
+    pub(super) fn new_attempt(&mut self, job: JobIndex, task: u32, location: InstanceLocation) {
         let Some(live) = self.jobs.get(&job) else { return };
         let attempt = Attempt {
             job,
--- a/src/core/leader/free_capacity.rs
+++ b/src/core/leader/free_capacity.rs
@@ -206,7 +206,7 @@
 
 impl Leader {
     /// Free capacity on the instances that may get tasks now.
-    pub fn free_capacity(&self, context: &NodeContext) -> FreeCapacity {
+    pub(super) fn free_capacity(&self, context: &NodeContext) -> FreeCapacity {
         let used = self.used_by_instance();
         let mut free_capacity = FreeCapacity::default();
         for (index, instance) in self.fleet.machines.iter() {
--- a/src/core/leader/mod.rs
+++ b/src/core/leader/mod.rs
@@ -50,6 +50,7 @@
 use serde::{Deserialize, Serialize};
 use shards::ShardAssignment;
 use std::collections::{BTreeMap, HashMap};
+use timer::Timer;
 
 /// Least time between two polls that look at jobs, machines and attempts.
 const POLL_GAP_MS: Ms = 20;
@@ -130,37 +131,37 @@
     /// Which records have been read.
     loading: RecordLoading,
     /// Whether all records have been read. Before that it decides nothing.
-    pub is_active: bool,
+    is_active: bool,
     /// When it became active.
-    pub activated_at: Ms,
+    activated_at: Ms,
     /// Live jobs whose dependencies are done.
-    pub jobs: BTreeMap<JobIndex, LiveJob>,
+    jobs: BTreeMap<JobIndex, LiveJob>,
     /// Attempts that are or may be on a machine.
     pub attempts: Attempts,
     /// Id of the next attempt.
     next_attempt: u64,
     /// All shards.
-    pub shards: Vec<ShardAssignment>,
+    shards: Vec<ShardAssignment>,
     /// The machines, and all calls to the cloud.
     pub fleet: Fleet,
     /// Learned ratio of run time to estimate, by class of jobs.
-    pub ratios: BTreeMap<String, f64>,
-    /// Until when no task is preempted.
-    preempt_at: Ms,
+    ratios: BTreeMap<String, f64>,
+    /// When tasks may be preempted again.
+    preemption_timer: Timer,
     /// Scheduling cycles of this term.
     cycles: u64,
     /// Scale-out plans of this term.
     pub plans: u64,
     /// Whether something has changed that the next scheduling cycle should look at.
-    pub cycle_due: bool,
+    cycle_due: bool,
     /// When the next poll is due.
-    poll_at: Ms,
+    poll_timer: Timer,
     /// When the last scheduling cycle began.
     cycle_at: Ms,
     /// When progress may be recorded next.
-    record_at: Ms,
-    /// When tasks were last counted.
-    counted_at: Ms,
+    record_timer: Timer,
+    /// When tasks are to be counted next.
+    task_count_timer: Timer,
     /// Progress that has been read before its job was known, by id of the job.
     unclaimed_progress: HashMap<String, Vec<LoadedSegment>>,
     /// Records of progress that nobody needs any more.
@@ -188,14 +189,14 @@
             shards: context.shards.iter().map(|_| ShardAssignment::new()).collect(),
             fleet: Fleet::new(context),
             ratios: BTreeMap::new(),
-            preempt_at: 0,
+            preemption_timer: Timer::default(),
             cycles: 0,
             plans: 0,
             cycle_due: true,
-            poll_at: 0,
+            poll_timer: Timer::default(),
             cycle_at: 0,
-            record_at: 0,
-            counted_at: 0,
+            record_timer: Timer::default(),
+            task_count_timer: Timer::default(),
             unclaimed_progress: HashMap::new(),
             deletions: DeletionQueue::default(),
             has_lowered_limits: false,
@@ -205,11 +206,11 @@
     }
 
     /// The compare under which everything is written: this term is the present one.
-    pub fn compare_term(&self) -> Compare {
+    fn compare_term(&self) -> Compare {
         Compare { key: LEADER.into(), version: self.term }
     }
 
-    /// Does what is due.
+    /// Does the periodic work that is due.
     pub fn poll(&mut self, context: &mut NodeContext) {
         if !self.is_active {
             self.load(context);
@@ -220,10 +221,10 @@
         self.assign_shards(context);
         // All else looks at jobs, machines or attempts one by one, and must not do so with each
         // input.
-        if context.clock.now() < self.poll_at {
+        if !self.poll_timer.is_due(context.clock.now()) {
             return;
         }
-        self.poll_at = context.clock.now() + POLL_GAP_MS;
+        self.poll_timer.set(context.clock.now() + POLL_GAP_MS);
         self.follow_jobs(context);
         self.write_cancellations(context);
         self.poll_cells(context);
--- a/src/core/leader/order.rs
+++ b/src/core/leader/order.rs
@@ -20,7 +20,7 @@
 
 impl Leader {
     /// Jobs with a task to admit, the most urgent first.
-    pub fn order(&mut self, context: &NodeContext) -> Vec<JobIndex> {
+    pub(super) fn order(&mut self, context: &NodeContext) -> Vec<JobIndex> {
         let within_guarantee = self.jobs_within_guarantee(context);
         let inherited_urgency = self.inherited_urgency(context);
         let now = context.clock.now();
--- a/src/core/leader/persistence.rs
+++ b/src/core/leader/persistence.rs
@@ -39,7 +39,7 @@
 impl Leader {
     /// Writes the machine types of the catalog. They go into several records only where one
     /// would be too long: the version before reads the first record alone.
-    pub fn save_catalog(&mut self, context: &mut NodeContext, types: Vec<cloud::MachineType>) {
+    pub(super) fn save_catalog(&mut self, context: &mut NodeContext, types: Vec<cloud::MachineType>) {
         let state = &context.platform.cluster.state;
         let limit_kb = if self.has_lowered_limits { state.value_kb } else { state.today_kb };
         let max_mutations = state.txn_ops.min(MAX_CATALOG_MUTATIONS);
@@ -57,7 +57,7 @@
     /// Writes the record of the fleet, shortened to the limit on values: a record beyond it
     /// would be rejected window after window. With many machine types, or hundreds of machines
     /// of each, the history gets long.
-    pub fn save_fleet(&mut self, context: &mut NodeContext, mut record: FleetRecord) {
+    pub(super) fn save_fleet(&mut self, context: &mut NodeContext, mut record: FleetRecord) {
         let limit = context.platform.cluster.state.value_bytes();
         let is_too_long =
             |record: &FleetRecord| serde_json::to_string(record).map_or(0, |text| text.len()) > limit;
--- a/src/core/leader/preemption.rs
+++ b/src/core/leader/preemption.rs
@@ -65,8 +65,9 @@
         waiting: &[(JobIndex, u32)],
         used_by_team: Vec<Resources>,
     ) {
+        let now = context.clock.now();
         let is_stopping = |a: &Attempt| !a.is_wanted && a.occupies_capacity();
-        if context.clock.now() < self.preempt_at || self.attempts.values().any(is_stopping) {
+        if !self.preemption_timer.is_due(now) || self.attempts.values().any(is_stopping) {
             return;
         }
         let overdue = self.overdue_jobs(context, waiting);
@@ -225,6 +226,6 @@
             state.budget -= 1;
             tracing::debug!(job = context.jobs.id(attempt.job), task = attempt.task, "task preempted");
         }
-        self.preempt_at = context.clock.now() + PREEMPTION_GAP_MS;
+        self.preemption_timer.set(context.clock.now() + PREEMPTION_GAP_MS);
     }
 }
--- a/src/core/leader/progress/deletion.rs
+++ b/src/core/leader/progress/deletion.rs
@@ -41,7 +41,7 @@
         let keys: Vec<String> = queue.keys.drain(..count).collect();
         let mutations = keys.iter().map(|key| Mutation::Delete { key: key.clone() }).collect();
         let request = CompareAndSwap { compares: vec![self.compare_term()], mutations };
-        self.record_at = context.clock.now() + RECORD_GAP_MS;
+        self.record_timer.set(context.clock.now() + RECORD_GAP_MS);
         context.send_store_request(
             StoreCallOwner::Leader(LeaderCall::DeleteProgress { keys }),
             StoreRequest::CompareAndSwap(request),
--- a/src/core/leader/progress/job_progress.rs
+++ b/src/core/leader/progress/job_progress.rs
@@ -32,7 +32,7 @@
 }
 
 impl JobProgress {
-    /// No progress of a job with so many tasks.
+    /// The progress of a job with this number of tasks, none of which is done.
     pub fn new(tasks: u32) -> JobProgress {
         JobProgress {
             recorded: TaskSet::with_room(tasks),
@@ -74,7 +74,7 @@
         self.segments.iter().find(|(_, version)| version.is_none()).map(|(segment, _)| *segment)
     }
 
-    /// Ends a write or a reread. What is in doubt is read before anything is written again.
+    /// Ends a write or a reread. While a segment is in doubt nothing more is written.
     pub(super) fn settle_write(&mut self) {
         self.is_write_pending = self.segment_in_doubt().is_some();
     }
--- a/src/core/leader/progress/recording.rs
+++ b/src/core/leader/progress/recording.rs
@@ -39,7 +39,7 @@
     pub(in crate::core::leader) fn record(&mut self, context: &mut NodeContext) {
         self.write_final_states(context);
         let now = context.clock.now();
-        if now < self.record_at {
+        if !self.record_timer.is_due(now) {
             return;
         }
         self.reread_segments(context);
@@ -53,7 +53,7 @@
         }
         let writes_per_s = context.platform.cluster.state.write_rps * WRITE_RATE_SHARE;
         let cost_ms = request.mutations.len() as f64 * 1000.0 / writes_per_s;
-        self.record_at = now + RECORD_GAP_MS.max(cost_ms as Ms);
+        self.record_timer.set(now + RECORD_GAP_MS.max(cost_ms as Ms));
         context.send_store_request(
             StoreCallOwner::Leader(LeaderCall::Record { writes }),
             StoreRequest::CompareAndSwap(request),
@@ -135,12 +135,12 @@
             self.stop_recorded_attempts(write.job);
         }
         if version.is_none() {
-            self.record_at = self.record_at.max(context.clock.now() + context.retry_ms(RETRY_MS));
+            self.record_timer.postpone(context.clock.now() + context.retry_ms(RETRY_MS));
         }
         if matches!(response, StoreResponse::Malformed) {
             // In parts the progress fits. What else may be wrong is not tried at each poll.
             self.has_lowered_limits = true;
-            self.record_at = context.clock.now() + MALFORMED_RETRY_MS;
+            self.record_timer.set(context.clock.now() + MALFORMED_RETRY_MS);
         }
     }
 
@@ -157,7 +157,7 @@
     }
 }
 
-/// Whether progress of a job with so many tasks is written in parts: a whole segment may
+/// Whether progress of a job with this number of tasks is written in parts: a whole segment may
 /// exceed the limit on values, the present one or the lower one once that is in force.
 fn must_write_parts(context: &NodeContext, tasks: u32, has_lowered_limits: bool) -> bool {
     let text_len = ProgressSegment::whole_text_len(tasks);
--- a/src/core/leader/progress/rereads.rs
+++ b/src/core/leader/progress/rereads.rs
@@ -52,7 +52,7 @@
                 live.progress.segments.insert(segment, Some(0));
             }
             _ => {
-                self.record_at = self.record_at.max(context.clock.now() + context.retry_ms(RETRY_MS));
+                self.record_timer.postpone(context.clock.now() + context.retry_ms(RETRY_MS));
             }
         }
         live.progress.settle_write();
--- a/src/core/leader/progress/segment.rs
+++ b/src/core/leader/progress/segment.rs
@@ -32,7 +32,7 @@
         }
     }
 
-    /// Length of a whole segment's JSON text, in bytes, for a job of so many tasks.
+    /// Length of a whole segment's JSON text, in bytes, for a job with this number of tasks.
     pub(super) fn whole_text_len(tasks: u32) -> usize {
         let digits = tasks.min(SEGMENT_TASKS).div_ceil(4) as usize;
         let quotes = 2;
--- a/src/core/leader/rebuild.rs
+++ b/src/core/leader/rebuild.rs
@@ -6,6 +6,7 @@
 
 use super::attempts::Attempt;
 use super::progress::{LoadedSegment, ProgressSegment};
+use super::timer::Timer;
 use super::{FleetRecord, Leader, LeaderCall};
 use crate::core::common::context::NodeContext;
 use crate::core::{StoreCallOwner, StoreRequest, StoreResponse};
@@ -51,7 +52,7 @@
     placements: LoadState,
     progress: LoadState,
     fleet: LoadState,
-    retry_at: Ms,
+    retry: Timer,
 }
 
 impl RecordLoading {
@@ -71,7 +72,7 @@
 impl Leader {
     /// Reads the records that have not been read, and activates the leader once all have been.
     pub(super) fn load(&mut self, context: &mut NodeContext) {
-        if context.clock.now() < self.loading.retry_at {
+        if !self.loading.retry.is_due(context.clock.now()) {
             return;
         }
         for kind in RecordKind::ALL {
@@ -132,7 +133,7 @@
             }
             _ => {
                 *self.loading.state_mut(kind) = LoadState::Due;
-                self.loading.retry_at = context.clock.now() + context.jitter(RETRY_MS);
+                self.loading.retry.set(context.clock.now() + context.jitter(RETRY_MS));
                 return;
             }
         }
--- a/src/core/leader/run_times.rs
+++ b/src/core/leader/run_times.rs
@@ -33,7 +33,7 @@
 
 impl Leader {
     /// Expected run time of a job's tasks, in seconds.
-    pub fn expected_s(&self, spec: &JobSpec) -> f64 {
+    pub(super) fn expected_s(&self, spec: &JobSpec) -> f64 {
         expected_run_s(&self.ratios, spec)
     }
 }
--- a/src/core/leader/scheduling_cycle.rs
+++ b/src/core/leader/scheduling_cycle.rs
@@ -46,7 +46,7 @@
 
 impl Leader {
     /// Runs one scheduling cycle.
-    pub fn run_cycle(&mut self, context: &mut NodeContext) {
+    pub(super) fn run_cycle(&mut self, context: &mut NodeContext) {
         if context.machine_types.is_empty() {
             return;
         }
--- a/src/core/leader/shards.rs
+++ b/src/core/leader/shards.rs
@@ -26,7 +26,7 @@
 /// Pause after a write of an assignment.
 const ASSIGNMENT_GAP_MS: Ms = 300;
 
-/// What the leader knows of a shard, and what it has told the owner.
+/// What the leader knows of a shard, and what it has sent to the owner.
 #[derive(Debug)]
 pub struct ShardAssignment {
     /// Serial of the last desired state.
@@ -91,7 +91,7 @@
     }
 
     /// Notes the fencing token of a shard. With a new one the owner knows only what is in the
-    /// records, so that it is told everything again.
+    /// records, so that everything is sent again.
     fn follow_fencing_token(&mut self, index: ShardIndex, fencing_token: u64) {
         let shard = &mut self.shards[index.place()];
         if shard.fencing_token == fencing_token {
--- a/src/core/leader/task_counts.rs
+++ b/src/core/leader/task_counts.rs
@@ -17,10 +17,11 @@
 impl Leader {
     /// Counts the tasks anew, if that is due, for the next heartbeat.
     pub(super) fn announce_task_counts(&mut self, context: &mut NodeContext) {
-        if context.clock.now() < self.counted_at + COUNT_INTERVAL_MS {
+        let now = context.clock.now();
+        if !self.task_count_timer.is_due(now) {
             return;
         }
-        self.counted_at = context.clock.now();
+        self.task_count_timer.set(now + COUNT_INTERVAL_MS);
         let mut running_here: FxHashMap<JobIndex, u32> = FxHashMap::default();
         for attempt in self.attempts.values().filter(|a| a.state == ReportedPhase::Running) {
             *running_here.entry(attempt.job).or_default() += 1;
--- a/src/core/leader/timer.rs
+++ b/src/core/leader/timer.rs
@@ -18,4 +18,9 @@
     pub(in crate::core::leader) fn set(&mut self, due_at: Ms) {
         self.due_at = due_at;
     }
+
+    /// Makes it due no earlier than this time.
+    pub(in crate::core::leader) fn postpone(&mut self, due_at: Ms) {
+        self.due_at = self.due_at.max(due_at);
+    }
 }
