--- a/src/core/leader/cells/capacity.rs
+++ b/src/core/leader/cells/capacity.rs
@@ -87,7 +87,7 @@
         })
     };
     let positions: Vec<Option<usize>> = free_capacity.classes.iter().map(position_of).collect();
-    for machine in &free_capacity.list {
+    for machine in &free_capacity.machines {
         let class = positions[machine.class].and_then(|position| capacity.get_mut(position));
         let Some(class) = class else { continue };
         let free = amount(&machine.free);
--- a/src/core/leader/fleet/mod.rs
+++ b/src/core/leader/fleet/mod.rs
@@ -6,7 +6,7 @@
 //!
 //! [`Leader::poll_fleet`] drives all of it: the cloud calls that are due ([`cloud_calls`]), then,
 //! at intervals, health checks ([`health_checks`]), the plan for the waiting tasks
-//! (`leader::plan`), and from it either the window rule ([`window_rule`]) or one instance for
+//! (`leader::scale_out_plan`), and from it either the window rule ([`window_rule`]) or one instance for
 //! each overloaded machine ([`overload_scale_out`]). Nothing here binds tasks to machines.
 
 mod cloud_calls;
@@ -25,7 +25,7 @@
 
 use super::Leader;
 use super::forecast::History;
-use super::plan::Plan;
+use super::scale_out_plan::ScaleOutPlan;
 use super::shards::ShardAssignment;
 use super::timer::Timer;
 use crate::core::common::context::NodeContext;
@@ -214,7 +214,7 @@
 
     /// Whether a plan is so far beyond the fleet that one request for each overloaded machine
     /// would take minutes to meet it.
-    fn is_surge(&self, plan: &Plan) -> bool {
+    fn is_surge(&self, plan: &ScaleOutPlan) -> bool {
         let missing = plan.machines() as usize;
         missing > SURGE_MIN && missing * SURGE_DIVISOR > self.machines.len()
     }
@@ -257,7 +257,7 @@
     }
 
     /// Begins a forecast window if one is due, or else requests what overloaded machines need.
-    fn scale(&mut self, context: &mut NodeContext, plan: Plan) {
+    fn scale(&mut self, context: &mut NodeContext, plan: ScaleOutPlan) {
         let now = context.clock.now();
         let may_begin_early = self.fleet.timers.early_window.is_due(now);
         // A waiting task that no machine could ever take can't overload one, so it opens a
--- a/src/core/leader/fleet/overload_scale_out.rs
+++ b/src/core/leader/fleet/overload_scale_out.rs
@@ -4,14 +4,14 @@
 use super::offer::InstanceKind;
 use crate::core::common::context::NodeContext;
 use crate::core::leader::Leader;
-use crate::core::leader::plan::Plan;
+use crate::core::leader::scale_out_plan::ScaleOutPlan;
 use crate::model::InstanceIndex;
 use rustc_hash::{FxHashMap, FxHashSet};
 
 impl Leader {
     /// Gets one instance of the plan for each machine that is projected to be overloaded, and
     /// none more while that instance is requested or boots. Never more than the plan holds.
-    pub(super) fn scale_out_for_overload(&mut self, context: &NodeContext, mut plan: Plan) {
+    pub(super) fn scale_out_for_overload(&mut self, context: &NodeContext, mut plan: ScaleOutPlan) {
         let overloaded = self.overloaded_machines();
         if overloaded.is_empty() || plan.is_empty() {
             return;
--- a/src/core/leader/fleet/window_rule.rs
+++ b/src/core/leader/fleet/window_rule.rs
@@ -5,7 +5,7 @@
 use super::offer::InstanceKind;
 use super::{Fleet, InstanceOffer, mark_changed};
 use crate::core::common::context::NodeContext;
-use crate::core::leader::plan::Plan;
+use crate::core::leader::scale_out_plan::ScaleOutPlan;
 use crate::core::leader::{FleetRecord, Leader};
 use crate::model::InstanceIndex;
 use rustc_hash::{FxHashMap, FxHashSet};
@@ -14,7 +14,7 @@
 /// What one application of the window rule works with.
 struct WindowScaling {
     /// What the waiting tasks need; requested instances are taken out of it.
-    plan: Plan,
+    plan: ScaleOutPlan,
     /// Present bookings in whole instances' worth, by the label of the kind.
     bookings: BTreeMap<String, f64>,
     /// Instances that tasks run on.
@@ -27,7 +27,7 @@
     /// Begins a window: the target of each kind is its forecast, or its present demand if that
     /// is more. Cordoned instances are restored first, the rest is requested; a surplus is
     /// cordoned.
-    pub(super) fn start_window(&mut self, context: &mut NodeContext, plan: Plan) {
+    pub(super) fn start_window(&mut self, context: &mut NodeContext, plan: ScaleOutPlan) {
         self.fleet.window.begin(context.clock.now(), context.operator.season);
         let mut scaling = WindowScaling {
             plan,
--- /dev/null
+++ b/src/core/leader/scale_out_plan.rs
@@ -0,0 +1,340 @@
+//! The scale-out plan: machines that the waiting tasks need beyond the capacity that is free,
+//! booting or requested.
+//!
+//! It is computed anew on each look at the fleet, and is both the present need of the window
+//! rule and the bound that scale-out for overloaded machines stays within. A plan requests
+//! nothing itself; the fleet does.
+
+use super::Leader;
+use super::fleet::{InstanceOffer, InstancePhase};
+use super::free_capacity::{FreeCapacity, may_use};
+use super::quota::quota_tasks;
+use super::zones::ZoneConstraints;
+use crate::core::common::context::NodeContext;
+use crate::core::common::placement::allowed;
+use crate::model::{JobIndex, JobSpec, Resources};
+use rustc_hash::{FxHashMap, FxHashSet};
+use std::collections::BTreeMap;
+
+/// Factor on the price of a type that other work depends on, for work that fits elsewhere.
+const SCARCE_TYPE_PRICE_FACTOR: f64 = 2.0;
+/// Machines that a plan may have at least; one for a larger fleet may have as many as the
+/// fleet. It bounds the time that planning takes, and is more than one window can request.
+const MIN_PLAN_LIMIT: usize = 4_000;
+/// The most that machines which an offer already has raise its cost, as a share of it.
+const MAX_SPREAD_PENALTY: f64 = 0.2;
+/// Machines of an offer at which the penalty is half of that.
+const HALF_SPREAD_MACHINES: f64 = 20.0;
+
+/// Machines to be requested, by offer.
+#[derive(Debug, Default)]
+pub struct ScaleOutPlan {
+    machines: BTreeMap<InstanceOffer, u32>,
+}
+
+impl ScaleOutPlan {
+    /// The plan that consists of the machines planned for each offer.
+    fn from_offers(offers: Vec<OpenOffer>) -> ScaleOutPlan {
+        let planned = offers.into_iter().filter(|open| open.planned > 0);
+        ScaleOutPlan { machines: planned.map(|open| (open.offer, open.planned)).collect() }
+    }
+
+    /// Whether nothing is to be requested.
+    pub fn is_empty(&self) -> bool {
+        self.machines.is_empty()
+    }
+
+    /// Number of machines in all.
+    pub fn machines(&self) -> u32 {
+        self.machines.values().sum()
+    }
+
+    /// Number of spot or on-demand machines of one type.
+    pub fn machines_of(&self, machine_type: usize, is_spot: bool) -> u32 {
+        let of_kind = self.iter().filter(|(offer, _)| is_of_kind(offer, machine_type, is_spot));
+        of_kind.map(|(_, count)| count).sum()
+    }
+
+    /// The offers with their numbers of machines.
+    pub fn iter(&self) -> impl Iterator<Item = (&InstanceOffer, u32)> {
+        self.machines.iter().map(|(offer, count)| (offer, *count))
+    }
+
+    /// Takes one spot or on-demand machine of a type out of the plan.
+    pub fn take(&mut self, machine_type: usize, is_spot: bool) -> Option<InstanceOffer> {
+        let mut offers = self.machines.keys();
+        let offer = offers.find(|offer| is_of_kind(offer, machine_type, is_spot))?.clone();
+        self.take_one(&offer);
+        Some(offer)
+    }
+
+    /// Takes one machine of the first offer out of the plan.
+    pub fn take_first(&mut self) -> Option<InstanceOffer> {
+        let offer = self.machines.keys().next()?.clone();
+        self.take_one(&offer);
+        Some(offer)
+    }
+
+    fn take_one(&mut self, offer: &InstanceOffer) {
+        if let Some(count) = self.machines.get_mut(offer) {
+            *count -= 1;
+            if *count == 0 {
+                self.machines.remove(offer);
+            }
+        }
+    }
+}
+
+fn is_of_kind(offer: &InstanceOffer, machine_type: usize, is_spot: bool) -> bool {
+    offer.machine_type == machine_type && offer.is_spot == is_spot
+}
+
+/// Machines of a type and zone, spot or on-demand.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
+struct MachineKind<'a> {
+    machine_type: usize,
+    zone: &'a str,
+    is_spot: bool,
+}
+
+impl Leader {
+    /// The machines to be requested for the waiting tasks, the cheapest ones for what each
+    /// would run.
+    pub(super) fn plan(&self, context: &NodeContext) -> ScaleOutPlan {
+        if self.fleet.waiting.is_empty() {
+            return ScaleOutPlan::default();
+        }
+        let teams = &context.platform.cluster.teams;
+        let mut used_by_team = self.team_use(context);
+        let mut planner = Planner::new(context, self);
+        for (job, waiting) in self.most_constrained_first(context) {
+            let Some(live) = self.jobs.get(&job) else { continue };
+            let demand = live.spec.demand();
+            let used = &mut used_by_team[live.team];
+            let count = waiting.min(quota_tasks(&teams[live.team], used, &demand));
+            if count == 0 {
+                continue;
+            }
+            used.add(&demand.times(count));
+            let mut zones = ZoneConstraints::for_job(context, self, job, &live.spec);
+            let unplaced = planner.place_on_upcoming(context, &live.spec, count, &mut zones);
+            planner.plan_machines(context, &live.spec, unplaced, &mut zones);
+        }
+        ScaleOutPlan::from_offers(planner.offers)
+    }
+
+    /// Whether there is a waiting job that could run on no machine of the fleet, however free.
+    pub(super) fn has_unschedulable_job(&self, context: &NodeContext) -> bool {
+        if self.fleet.waiting.is_empty() {
+            return false;
+        }
+        let in_use = self.fleet.machines.values().filter(|m| m.phase < InstancePhase::Draining);
+        let kinds: FxHashSet<MachineKind> = in_use
+            .map(|m| MachineKind { machine_type: m.machine_type, zone: &m.zone, is_spot: m.is_spot })
+            .collect();
+        let is_unschedulable = |spec: &JobSpec| !kinds.iter().any(|kind| can_run(context, spec, kind));
+        self.fleet
+            .waiting
+            .iter()
+            .filter_map(|(job, _)| self.jobs.get(job))
+            .any(|live| is_unschedulable(&live.spec))
+    }
+
+    /// What can be requested now, with the number of machines that each offer already has.
+    fn open_offers(&self, context: &NodeContext, free_capacity: &mut FreeCapacity) -> Vec<OpenOffer> {
+        let mut existing: FxHashMap<MachineKind, u32> = FxHashMap::default();
+        for m in self.fleet.machines.values() {
+            let kind = MachineKind { machine_type: m.machine_type, zone: &m.zone, is_spot: m.is_spot };
+            *existing.entry(kind).or_default() += 1;
+        }
+        let mut offers = Vec::new();
+        for (machine_type, catalog_entry) in context.machine_types.iter().enumerate() {
+            let capacity = catalog_entry.capacity;
+            for zone in &catalog_entry.zones {
+                for is_spot in [false, true] {
+                    let offer = InstanceOffer { machine_type, zone: zone.clone(), is_spot };
+                    if self.fleet.refused_offers.is_refused(&offer, context.clock.now()) {
+                        continue;
+                    }
+                    let kind = MachineKind { machine_type, zone, is_spot };
+                    offers.push(OpenOffer {
+                        offer,
+                        class: free_capacity.class_index(machine_type, zone, is_spot, capacity),
+                        existing: existing.get(&kind).copied().unwrap_or(0),
+                        planned: 0,
+                        price: if is_spot { catalog_entry.spot_price } else { catalog_entry.price },
+                        capacity,
+                    });
+                }
+            }
+        }
+        offers
+    }
+
+    /// Waiting jobs with their numbers of tasks; those that may use the fewest machine types
+    /// come first, jobs that may use spot instances after all others.
+    ///
+    /// Counted first, a job that may use spot instances would take the on-demand capacity that
+    /// the others depend on, and no spot instance would be requested for it.
+    fn most_constrained_first(&self, context: &NodeContext) -> Vec<(JobIndex, u32)> {
+        let mut order: Vec<(bool, usize, JobIndex, u32)> = self
+            .fleet
+            .waiting
+            .iter()
+            .filter_map(|&(job, count)| {
+                let spec = &self.jobs.get(&job)?.spec;
+                Some((spec.spot, context.machine_types.usable_by(spec).count(), job, count))
+            })
+            .collect();
+        order.sort_by_key(|(is_spot, machine_types, _, _)| (*is_spot, *machine_types));
+        order.into_iter().map(|(_, _, job, count)| (job, count)).collect()
+    }
+}
+
+/// Whether a task of a job can run on an empty machine of a kind.
+fn can_run(context: &NodeContext, spec: &JobSpec, kind: &MachineKind) -> bool {
+    context.machine_types.get(kind.machine_type).is_some_and(|machine_type| {
+        allowed(spec, &machine_type.name, kind.zone, kind.is_spot)
+            && spec.demand().fits_within(&machine_type.capacity)
+    })
+}
+
+/// An offer that the cloud has not refused lately.
+#[derive(Debug)]
+struct OpenOffer {
+    offer: InstanceOffer,
+    /// Its class in the free capacity.
+    class: usize,
+    /// Machines of the fleet from this offer.
+    existing: u32,
+    planned: u32,
+    /// Price per hour.
+    price: f64,
+    /// Capacity of one machine.
+    capacity: Resources,
+}
+
+impl OpenOffer {
+    /// Factor on the cost that spreads machines over equally cheap offers. It stays small even
+    /// where an offer has hundreds of machines, so that cheap offers don't come to look dear.
+    fn spread_factor(&self) -> f64 {
+        let machines = f64::from(self.existing + self.planned);
+        1.0 + MAX_SPREAD_PENALTY * machines / (machines + HALF_SPREAD_MACHINES)
+    }
+}
+
+/// An offer that a job may use.
+struct Candidate {
+    /// Index of the offer.
+    offer: usize,
+    /// Tasks of the job that one machine holds.
+    tasks_per_machine: u32,
+    /// Price per hour, with the factor for scarce types.
+    price: f64,
+}
+
+/// A plan in the making.
+struct Planner {
+    /// Capacity that is free, upcoming or planned.
+    free_capacity: FreeCapacity,
+    offers: Vec<OpenOffer>,
+    /// Machines that may still be planned.
+    remaining_machines: usize,
+}
+
+impl Planner {
+    fn new(context: &NodeContext, leader: &Leader) -> Planner {
+        let mut free_capacity = leader.upcoming_capacity(context);
+        Planner {
+            offers: leader.open_offers(context, &mut free_capacity),
+            free_capacity,
+            remaining_machines: MIN_PLAN_LIMIT.max(leader.fleet.machines.len()),
+        }
+    }
+
+    /// Places tasks of a job on capacity that is free, upcoming or already planned; how many
+    /// are left.
+    fn place_on_upcoming(
+        &mut self,
+        context: &NodeContext,
+        spec: &JobSpec,
+        count: u32,
+        zones: &mut ZoneConstraints,
+    ) -> u32 {
+        let demand = spec.demand();
+        let mut unplaced = count;
+        let fitting =
+            self.free_capacity.machines_fitting(&demand, |class| may_use(context, spec, class));
+        for machine in fitting {
+            if unplaced == 0 {
+                break;
+            }
+            unplaced -= self.free_capacity.pack(machine, &demand, unplaced, zones);
+        }
+        unplaced
+    }
+
+    /// Plans machines for tasks of a job until all are placed, no offer is left, or the plan
+    /// has reached its limit.
+    fn plan_machines(
+        &mut self,
+        context: &NodeContext,
+        spec: &JobSpec,
+        mut unplaced: u32,
+        zones: &mut ZoneConstraints,
+    ) {
+        let demand = spec.demand();
+        let candidates = self.candidates(context, spec);
+        while unplaced > 0 && self.remaining_machines > 0 {
+            let Some(offer) = self.cheapest_offer(&candidates, unplaced, zones) else { break };
+            let offer = &mut self.offers[offer];
+            offer.planned += 1;
+            self.remaining_machines -= 1;
+            let machine = self.free_capacity.add_future_machine(offer.class);
+            unplaced -= self.free_capacity.pack(machine, &demand, unplaced, zones);
+        }
+    }
+
+    /// Offers that a job may use.
+    fn candidates(&self, context: &NodeContext, spec: &JobSpec) -> Vec<Candidate> {
+        let types = &context.machine_types;
+        let has_alternative = types.usable_by(spec).any(|machine_type| !types.is_scarce(machine_type));
+        let demand = spec.demand();
+        let mut candidates = Vec::new();
+        for (index, open) in self.offers.iter().enumerate() {
+            let InstanceOffer { machine_type, zone, is_spot } = &open.offer;
+            let tasks_per_machine = demand.count_fitting(&open.capacity);
+            let is_allowed = allowed(spec, &types[*machine_type].name, zone, *is_spot);
+            if tasks_per_machine == 0 || !is_allowed {
+                continue;
+            }
+            // Rather a type that no other work depends on.
+            let avoids_type = types.is_scarce(*machine_type) && has_alternative;
+            let factor = if avoids_type { SCARCE_TYPE_PRICE_FACTOR } else { 1.0 };
+            candidates.push(Candidate { offer: index, tasks_per_machine, price: open.price * factor });
+        }
+        candidates
+    }
+
+    /// The offer whose next machine costs least for each of the tasks that it would run.
+    fn cheapest_offer(
+        &self,
+        candidates: &[Candidate],
+        unplaced: u32,
+        zones: &ZoneConstraints,
+    ) -> Option<usize> {
+        let mut cheapest: Option<(f64, usize)> = None;
+        for candidate in candidates {
+            let open = &self.offers[candidate.offer];
+            if !zones.allows(&open.offer.zone) {
+                continue;
+            }
+            let tasks = f64::from(candidate.tasks_per_machine.min(unplaced));
+            let cost = candidate.price / tasks * open.spread_factor();
+            if cheapest.is_none_or(|(least, _)| cost < least) {
+                cheapest = Some((cost, candidate.offer));
+            }
+        }
+        cheapest.map(|(_, offer)| offer)
+    }
+}
