--- a/crates/cells/src/event.rs
+++ b/crates/cells/src/event.rs
@@ -14,9 +14,9 @@
     Forwarded,
     /// The host has accepted it.
     Accepted,
-    /// The host has left a tombstone.
-    Withdrawn,
-    /// The origin takes the job back, as the host has no room for it.
+    /// The host has left a tombstone: it cancelled the job there, or never accepted it.
+    Tombstoned,
+    /// The origin takes the job back, as the host has no capacity for it.
     RecalledRefused,
     /// The same, as the host can never run it.
     RecalledUnfit,
@@ -26,7 +26,7 @@
     RecalledIdle,
     /// The job is at its origin again, as the host released it.
     Returned,
-    /// The same, as the time of the host's lease has passed.
+    /// The same, as the host's lease must have ended.
     Reclaimed,
     /// All tasks are done.
     Done,
@@ -37,7 +37,7 @@
     pub const ALL: [MoveEvent; 10] = [
         MoveEvent::Forwarded,
         MoveEvent::Accepted,
-        MoveEvent::Withdrawn,
+        MoveEvent::Tombstoned,
         MoveEvent::RecalledRefused,
         MoveEvent::RecalledUnfit,
         MoveEvent::RecalledSilent,
@@ -52,7 +52,7 @@
         match self {
             MoveEvent::Forwarded => "forwarded",
             MoveEvent::Accepted => "accepted",
-            MoveEvent::Withdrawn => "withdrawn",
+            MoveEvent::Tombstoned => "withdrawn",
             MoveEvent::RecalledRefused => "recalled_refused",
             MoveEvent::RecalledUnfit => "recalled_unfit",
             MoveEvent::RecalledSilent => "recalled_silent",
--- a/crates/cells/src/host.rs
+++ b/crates/cells/src/host.rs
@@ -1,7 +1,9 @@
 //! The host's side: whether a job of another cell is accepted, kept or given back.
+//!
+//! Pure decisions; the host's leader carries them out and tells the origin.
 
 use crate::Millis;
-use crate::message::HostedPhase;
+use crate::message::{HostedPhase, NEVER_RETRY};
 
 /// What the newest message of the origin says of a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -17,11 +19,11 @@
 /// What the host's own record of the job says, for the epoch in question.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum HostRecord {
-    /// None that is known, or the tombstone of an earlier epoch; a write under the
-    /// condition that nothing newer is there will tell.
+    /// None that is known, or the tombstone of an earlier epoch; a write that is conditional
+    /// on it will tell whether there is a newer one.
     Unknown,
-    /// There is one of another job, or an earlier epoch of this one is not over here: it
-    /// can't be hosted.
+    /// There is one of another job, or an earlier epoch of this one has not ended here: the
+    /// job can't be hosted.
     Foreign,
     /// Accepted and not done.
     Live {
@@ -32,8 +34,8 @@
     },
     /// All tasks are done.
     Done,
-    /// Withdrawn, or never accepted: the tombstone.
-    Withdrawn {
+    /// Cancelled here, or never accepted.
+    Tombstone {
         /// Whether an attempt at one of its tasks may still be on a machine.
         has_attempts: bool,
     },
@@ -42,66 +44,97 @@
 /// Whether a job may be accepted now.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Admission {
-    /// There is room.
+    /// There is capacity.
     Accept,
     /// It can't be said yet: the lease that the origin offers has ended, or its leader
     /// has not heard of this cell.
     Undecided,
-    /// There is no room, or the job can't run here.
+    /// There is no capacity now.
     Refuse {
         /// Time until the origin should offer a job again.
         retry_after_ms: Millis,
     },
+    /// The job can never run here.
+    Unfit,
 }
 
 /// What the host writes next.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum HostStep {
     /// Nothing.
-    None,
-    /// The job's record, under the condition that there is none, or the same tombstone.
+    Wait,
+    /// The job's record, if there is none or only the tombstone that is known.
     Accept,
     /// A tombstone, under the same condition: an offer that is still on its way must not be
     /// accepted.
     Tombstone,
     /// The end of a live job, as a tombstone.
-    Withdraw,
+    Cancel,
 }
 
-/// What the host writes, and what it tells the origin.
-pub fn decide(
-    listing: Listing,
-    record: HostRecord,
-    admission: Admission,
-) -> (HostStep, Option<HostedPhase>) {
+/// What the host does about a job that the origin lists.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub struct HostDecision {
+    /// What it writes.
+    pub step: HostStep,
+    /// What it tells the origin; nothing while its own record is not settled.
+    pub phase: Option<HostedPhase>,
+}
+
+impl HostDecision {
+    fn tell(phase: HostedPhase) -> HostDecision {
+        HostDecision { step: HostStep::Wait, phase: Some(phase) }
+    }
+
+    fn write(step: HostStep) -> HostDecision {
+        HostDecision { step, phase: None }
+    }
+}
+
+/// What the host writes, and what it tells the origin. `admission` counts for jobs of which
+/// there is no record only.
+pub fn decide(listing: Listing, record: HostRecord, admission: Admission) -> HostDecision {
     match (listing, record) {
-        (_, HostRecord::Done) => (HostStep::None, Some(HostedPhase::Done)),
-        (_, HostRecord::Foreign) => (HostStep::None, Some(HostedPhase::Released)),
-        (_, HostRecord::Withdrawn { has_attempts: true }) => (HostStep::None, None),
-        (_, HostRecord::Withdrawn { has_attempts: false }) => {
-            (HostStep::None, Some(HostedPhase::Released))
-        }
+        (_, HostRecord::Done) => HostDecision::tell(HostedPhase::Done),
+        (_, HostRecord::Foreign) => HostDecision::tell(HostedPhase::Released),
+        (_, HostRecord::Tombstone { has_attempts: true }) => HostDecision::write(HostStep::Wait),
+        (_, HostRecord::Tombstone { has_attempts: false }) => HostDecision::tell(HostedPhase::Released),
         (Listing::Active, HostRecord::Live { done, running }) => {
-            (HostStep::None, Some(HostedPhase::Live { done, running }))
+            HostDecision::tell(HostedPhase::Live { done, running })
         }
-        (Listing::Recalled | Listing::Absent, HostRecord::Live { .. }) => (HostStep::Withdraw, None),
-        (Listing::Active, HostRecord::Unknown) => match admission {
-            Admission::Accept => (HostStep::Accept, None),
-            Admission::Undecided => (HostStep::None, None),
-            Admission::Refuse { retry_after_ms } => {
-                (HostStep::None, Some(HostedPhase::Refused { retry_after_ms }))
-            }
-        },
-        (Listing::Recalled, HostRecord::Unknown) => (HostStep::Tombstone, None),
-        (Listing::Absent, HostRecord::Unknown) => (HostStep::None, None),
+        (Listing::Recalled | Listing::Absent, HostRecord::Live { .. }) => {
+            HostDecision::write(HostStep::Cancel)
+        }
+        (Listing::Active, HostRecord::Unknown) => admit(admission),
+        (Listing::Recalled, HostRecord::Unknown) => HostDecision::write(HostStep::Tombstone),
+        (Listing::Absent, HostRecord::Unknown) => HostDecision::write(HostStep::Wait),
+    }
+}
+
+/// The decision on a job that was not seen before.
+fn admit(admission: Admission) -> HostDecision {
+    match admission {
+        Admission::Accept => HostDecision::write(HostStep::Accept),
+        Admission::Undecided => HostDecision::write(HostStep::Wait),
+        Admission::Refuse { retry_after_ms } => {
+            HostDecision::tell(HostedPhase::Refused { retry_after_ms })
+        }
+        Admission::Unfit => HostDecision::tell(HostedPhase::Refused { retry_after_ms: NEVER_RETRY }),
     }
 }
 
-/// Whether the lease of an origin may be extended by its newest message: not before
-/// every hosted job that the message no longer lists as active is withdrawn on record,
-/// as the lease is one for all of them.
-pub fn may_extend_lease(mut hosted: impl Iterator<Item = (Listing, HostRecord)>) -> bool {
-    hosted.all(|(listing, record)| {
-        listing == Listing::Active || !matches!(record, HostRecord::Live { .. })
-    })
+/// A hosted job as the newest message of its origin and the host's own record have it.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub struct ListedRecord {
+    /// What the message says.
+    pub listing: Listing,
+    /// What the record says.
+    pub record: HostRecord,
+}
+
+/// Whether the lease of an origin may be extended by its newest message, which `hosted` rests
+/// on: not before every hosted job that the message no longer lists as active is cancelled on
+/// record, as the lease is one for all of them.
+pub fn may_extend_lease(mut hosted: impl Iterator<Item = ListedRecord>) -> bool {
+    hosted.all(|job| job.listing == Listing::Active || !matches!(job.record, HostRecord::Live { .. }))
 }
--- a/crates/cells/src/lease.rs
+++ b/crates/cells/src/lease.rs
@@ -12,11 +12,11 @@
 /// Answers under way and timers at the host, once a lease has ended.
 const STOP_MARGIN_MS: Millis = 1_500;
 /// Timers and drift at the origin.
-const GRANT_MARGIN_MS: Millis = 500;
+const ORIGIN_MARGIN_MS: Millis = 500;
 /// A lease shorter than this would end between two ordinary messages.
 pub const MIN_LEASE_MS: Millis = 6_000;
 
-/// The times of one cell that leases follow from.
+/// The settings of one cell from which the durations of leases follow.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CellTiming {
     /// Time without an answer after which a worker drops its tasks.
@@ -35,21 +35,26 @@
         self.worker_lease_ms + self.worker_lease_ms * DRIFT_PER_MILLE / 1_000 + STOP_MARGIN_MS
     }
 
-    /// Time for which this cell, as the origin, may grant a lease to a host that stops
-    /// within `host_stop_within_ms`; none if the host takes too long to stop.
-    pub fn grant_ms(&self, host_stop_within_ms: Millis) -> Option<Millis> {
-        let left = self.cancel_ms.checked_sub(host_stop_within_ms + GRANT_MARGIN_MS)?;
+    /// Duration of a lease that this cell, as the origin, gives to a host that stops within
+    /// `host_stop_within_ms`; none if the host takes too long to stop.
+    pub fn lease_duration_ms(&self, host_stop_within_ms: Millis) -> Option<Millis> {
+        let left = self.cancel_ms.checked_sub(host_stop_within_ms + ORIGIN_MARGIN_MS)?;
         (left >= MIN_LEASE_MS).then_some(left)
     }
 
     /// Time of day until which a host may run what the origin's records said at
-    /// `proof_wall_ms`, the time of day at which they were last known to be current.
-    pub fn lease_until_ms(&self, proof_wall_ms: Millis, host_stop_within_ms: Millis) -> Option<Millis> {
-        let granted = self.grant_ms(host_stop_within_ms)?;
-        Some(proof_wall_ms.saturating_sub(self.clock_error_ms) + granted)
+    /// `renewed_wall_ms`, the time of day at which they were last known to be current.
+    pub fn lease_until_ms(
+        &self,
+        renewed_wall_ms: Millis,
+        host_stop_within_ms: Millis,
+    ) -> Option<Millis> {
+        let duration_ms = self.lease_duration_ms(host_stop_within_ms)?;
+        Some(renewed_wall_ms.saturating_sub(self.clock_error_ms) + duration_ms)
     }
 
-    /// Whether a lease has ended, by a clock that may be late by its error.
+    /// Whether a lease that ends at the time of day `until_ms` may have ended at `wall_ms`, by a
+    /// clock that may be late by its error.
     pub fn has_ended(&self, until_ms: Millis, wall_ms: Millis) -> bool {
         wall_ms + self.clock_error_ms >= until_ms
     }
--- a/crates/cells/src/lib.rs
+++ b/crates/cells/src/lib.rs
@@ -1,7 +1,7 @@
 //! Cells that share load: a whole job moves from its origin cell, whose users submitted
-//! it, to a host cell that has room, and is never run by two cells at once.
+//! it, to a host cell that has capacity, and is never run by two cells at once.
 //!
-//! Each cell is a cluster of its own, with its own controllers, state service and
+//! Each cell is a cluster of its own, with its own controllers, key-value store and
 //! machines. Safety rests on three things:
 //!
 //! - **Ownership** is one record of the origin cell. It names at most one host cell and
@@ -9,7 +9,7 @@
 //! - **A lease** lets the host run the job. It ends by itself early enough that all tasks
 //!   are gone within the origin's bound for a cancellation ([`lease`]). Taking a job back
 //!   from a silent host is therefore a cancellation there.
-//! - **A tombstone** at the host outlives a withdrawal, so that a late offer of the same
+//! - **A tombstone** at the host outlives the end of the job there, so that a late offer of the same
 //!   or an earlier epoch is not accepted ([`host`]).
 //!
 //! Cells exchange whole states ([`message`]); a lost, repeated or late message is made
--- a/crates/cells/src/message.rs
+++ b/crates/cells/src/message.rs
@@ -11,9 +11,9 @@
 /// is not known are dropped.
 pub const VERSION: u16 = 1;
 
-/// Time after which a cell is to be asked again that can't run the job at all: others may
-/// be offered at once.
-pub const FOR_GOOD: Millis = 0;
+/// The `retry_after_ms` of a cell that can never run the job. Other jobs may be offered to it
+/// at once.
+pub const NEVER_RETRY: Millis = 0;
 
 /// One cell's state, as far as it concerns another.
 #[derive(Debug, Clone, PartialEq, Encode, Decode)]
@@ -22,7 +22,7 @@
     pub cell: String,
     /// Term of the leader that sends it.
     pub term: u64,
-    /// Revision of the sender's records that the message rests on.
+    /// Revision of the sender's key-value store that the message rests on.
     pub revision: u64,
     /// What the sender has forwarded to the receiver.
     pub forwarded: ForwardedState,
@@ -52,12 +52,12 @@
     pub spec: Option<Vec<u8>>,
 }
 
-/// Jobs that a cell hosts for another, and what it has room for.
+/// Jobs that a cell hosts for another, and what it has capacity for.
 #[derive(Debug, Clone, Default, PartialEq, Encode, Decode)]
 pub struct HostedState {
     /// Time within which all tasks of a job are gone once its lease has ended.
     pub stop_within_ms: Millis,
-    /// Free room by class of machines; empty if no job is taken now.
+    /// Capacity by class of machines; empty if no job is taken now.
     pub capacity: Vec<ClassCapacity>,
     /// One entry for each job of the newest [`ForwardedState`] that there is something
     /// to say about.
@@ -82,7 +82,7 @@
 pub enum HostedPhase {
     /// Not accepted; another job may be offered after this time.
     Refused {
-        /// Time until the cell should be asked again; [`FOR_GOOD`] if only this job can
+        /// Time until the cell should be asked again; [`NEVER_RETRY`] if only this job can
         /// never run there.
         retry_after_ms: Millis,
     },
--- a/crates/cells/src/neighbor.rs
+++ b/crates/cells/src/neighbor.rs
@@ -2,12 +2,15 @@
 
 use crate::Millis;
 use crate::message::{CellMessage, ForwardedState, HostedJob, HostedPhase, HostedState};
+use crate::routing::ClassCapacity;
 use std::collections::HashMap;
 
-/// A cell is offered nothing after so long a silence, well before its jobs are recalled.
+/// A cell that has been silent for this long is offered nothing, well before its jobs are
+/// recalled.
 const SUSPECT_AFTER_MS: Millis = 5_000;
 /// Longest pause after refusals in a row.
 const MAX_BACKOFF_MS: Millis = 120_000;
+/// The pause doubles at most this many times.
 const MAX_DOUBLINGS: u32 = 6;
 
 /// How a cell looks from here.
@@ -21,6 +24,22 @@
     Silent,
 }
 
+/// How far one of our jobs is at another cell.
+#[derive(Debug, Clone, Copy)]
+struct ReportedJob {
+    epoch: u64,
+    phase: HostedPhase,
+}
+
+/// What another cell has forwarded to this one.
+#[derive(Debug, Clone, Copy)]
+pub struct Forwarded<'a> {
+    /// The jobs, with the lease for them.
+    pub state: &'a ForwardedState,
+    /// Revision of the other cell's key-value store that this rests on.
+    pub revision: u64,
+}
+
 /// Another cell.
 #[derive(Debug)]
 pub struct Neighbor {
@@ -31,9 +50,11 @@
     revision: u64,
     forwarded: ForwardedState,
     hosted: HostedState,
-    /// What it says of each of our jobs: epoch and phase.
-    phases: HashMap<String, (u64, HostedPhase)>,
+    /// What it says of each of our jobs, by id.
+    reported: HashMap<String, ReportedJob>,
+    /// Refusals since it last ran a job of ours.
     refusals: u32,
+    /// No job is offered to it before this time.
     offer_after: Millis,
 }
 
@@ -47,23 +68,27 @@
             revision: 0,
             forwarded: ForwardedState::default(),
             hosted: HostedState::default(),
-            phases: HashMap::new(),
+            reported: HashMap::new(),
             refusals: 0,
             offer_after: 0,
         }
     }
 
-    /// Takes a message in; what it says of our jobs is handed back. None: it is older
-    /// than one that is known, or of a leader that has been replaced.
+    /// Takes in a message and returns what it says of our jobs. None: it is older than one
+    /// that is known, or of a leader that has been replaced.
     pub fn receive(&mut self, message: CellMessage, now: Millis) -> Option<Vec<HostedJob>> {
         if (message.term, message.revision) < (self.term, self.revision) {
             return None;
         }
-        (self.term, self.revision) = (message.term, message.revision);
-        (self.heard_at, self.was_heard) = (now, true);
+        self.term = message.term;
+        self.revision = message.revision;
+        self.heard_at = now;
+        self.was_heard = true;
         self.forwarded = message.forwarded;
         let jobs = message.hosted.jobs.iter();
-        self.phases = jobs.map(|job| (job.id.clone(), (job.epoch, job.phase))).collect();
+        self.reported = jobs
+            .map(|job| (job.id.clone(), ReportedJob { epoch: job.epoch, phase: job.phase }))
+            .collect();
         let HostedState { stop_within_ms, capacity, jobs } = message.hosted;
         self.hosted = HostedState { stop_within_ms, capacity, jobs: Vec::new() };
         Some(jobs)
@@ -83,25 +108,24 @@
         }
     }
 
-    /// What it has forwarded to us, and the revision of its records that this rests on;
-    /// none before it was heard.
-    pub fn forwarded(&self) -> Option<(&ForwardedState, u64)> {
-        self.was_heard.then_some((&self.forwarded, self.revision))
+    /// What it has forwarded to us; none before it was heard.
+    pub fn forwarded(&self) -> Option<Forwarded<'_>> {
+        self.was_heard.then_some(Forwarded { state: &self.forwarded, revision: self.revision })
     }
 
-    /// What it has room for, and how fast it stops; none before it was heard.
+    /// What it has capacity for, and how fast it stops; none before it was heard.
     pub fn hosted(&self) -> Option<&HostedState> {
         self.was_heard.then_some(&self.hosted)
     }
 
-    /// What is left of its room until it tells anew.
-    pub fn capacity_mut(&mut self) -> &mut [crate::routing::ClassCapacity] {
+    /// What is left of its capacity until it tells anew.
+    pub fn capacity_mut(&mut self) -> &mut [ClassCapacity] {
         &mut self.hosted.capacity
     }
 
     /// What it says of one of our jobs in this epoch.
     pub fn phase_of(&self, id: &str, epoch: u64) -> Option<HostedPhase> {
-        self.phases.get(id).filter(|(of, _)| *of == epoch).map(|(_, phase)| *phase)
+        self.reported.get(id).filter(|job| job.epoch == epoch).map(|job| job.phase)
     }
 
     /// Whether it may be offered a job now.
@@ -109,7 +133,7 @@
         self.health(now, silence_ms) == Health::Alive && now >= self.offer_after
     }
 
-    /// It refused a job: it is asked again later, the later the more often it refused.
+    /// It refused a job: it is offered one again later, the later the more often it refused.
     /// Jobs that were offered together are refused together, which counts once.
     pub fn note_refusal(&mut self, now: Millis, retry_after_ms: Millis) {
         if now < self.offer_after {
--- a/crates/cells/src/origin.rs
+++ b/crates/cells/src/origin.rs
@@ -1,15 +1,15 @@
 //! The origin's side: what becomes of a job that was forwarded.
 
 use crate::Millis;
-use crate::message::{FOR_GOOD, HostedPhase};
+use crate::message::{HostedPhase, NEVER_RETRY};
 use crate::record::ForwardPhase;
 
 /// Times after which the origin acts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct OriginLimits {
-    /// A host cell that has been silent for so long must give its jobs back.
+    /// A host cell that has been silent for this long must give its jobs back.
     pub silence_ms: Millis,
-    /// So must one at which no task of the job has run for so long, and none is done.
+    /// So must one at which no task of the job has run for this long, and none is done.
     pub idle_ms: Millis,
     /// See [`crate::lease::CellTiming::reclaim_after_ms`].
     pub reclaim_after_ms: Millis,
@@ -33,7 +33,7 @@
 /// Why a job is to be given back.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RecallReason {
-    /// The host has no room for it now.
+    /// The host has no capacity for it now.
     Refused,
     /// The host can never run it.
     Unfit,
@@ -50,18 +50,18 @@
     Wait,
     /// Put the recall on record.
     Recall(RecallReason),
-    /// Put on record that the job is here again. `is_confirmed` is false if the host
-    /// said nothing and the time of its lease has passed.
+    /// Put on record that the job is here again.
     Return {
-        /// Whether the host released the job.
+        /// Whether the host released the job. False: it said nothing, and its lease must have
+        /// ended.
         is_confirmed: bool,
     },
     /// Put on record that the job is done.
     Finish,
 }
 
-/// The next step. The host's word on a job that is done or released is final; all else
-/// rests on time.
+/// The next step with a forwarded job. What the host says of one that is done or released is
+/// final; all else rests on time.
 pub fn next_step(view: &ForwardView, limits: &OriginLimits) -> OriginStep {
     match (view.phase, view.reported) {
         (ForwardPhase::Returned, _) => OriginStep::Wait,
@@ -71,7 +71,7 @@
             OriginStep::Return { is_confirmed: false }
         }
         (ForwardPhase::Recalled, _) => OriginStep::Wait,
-        (ForwardPhase::Active, Some(HostedPhase::Refused { retry_after_ms: FOR_GOOD })) => {
+        (ForwardPhase::Active, Some(HostedPhase::Refused { retry_after_ms: NEVER_RETRY })) => {
             OriginStep::Recall(RecallReason::Unfit)
         }
         (ForwardPhase::Active, Some(HostedPhase::Refused { .. })) => {
--- a/crates/cells/src/record.rs
+++ b/crates/cells/src/record.rs
@@ -18,7 +18,7 @@
     /// How far the forwarding is.
     #[serde(rename = "p")]
     pub phase: ForwardPhase,
-    /// The host had no room for the job.
+    /// The host had no capacity for the job.
     #[serde(rename = "n", default, skip_serializing_if = "is_false")]
     pub is_refused: bool,
     /// Cells that can't run the job, accepted it and did not run it, or were silent. It is
@@ -33,7 +33,7 @@
 }
 
 impl Forwarding {
-    /// The job is forwarded to `cell`, by a change of the record's version `epoch`.
+    /// The job is forwarded to `cell`, by a change of its record of version `epoch`.
     pub fn begin(cell: &str, epoch: u64, previous: Option<&Forwarding>) -> Forwarding {
         let tried = previous.map(|previous| previous.tried.clone()).unwrap_or_default();
         let (cell, phase) = (cell.to_string(), ForwardPhase::Active);
@@ -97,7 +97,7 @@
     /// Time of day at which it ends.
     #[serde(rename = "u")]
     pub until_ms: Millis,
-    /// Revision of the origin's records that it rests on. Older messages are ignored.
+    /// Revision of the origin's key-value store that it rests on. Older messages are ignored.
     #[serde(rename = "r")]
     pub revision: u64,
 }
--- a/crates/cells/src/routing.rs
+++ b/crates/cells/src/routing.rs
@@ -1,4 +1,7 @@
-//! Which cell a job goes to: what cells have room for, and what a job needs.
+//! Which cell a job goes to: the capacity of cells, and the demand of a job.
+//!
+//! All of it is an estimate: capacity is summed over machines of a class, and may be free in
+//! pieces too small for a task.
 
 use bitcode::{Decode, Encode};
 use std::collections::BTreeMap;
@@ -6,7 +9,7 @@
 /// Sums of decimals drift; a machine must not count as full for a rounding.
 const EPSILON: f64 = 1e-6;
 
-/// An amount of machine.
+/// An amount of resources.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Encode, Decode)]
 pub struct Amount {
     /// CPUs.
@@ -18,8 +21,8 @@
 }
 
 impl Amount {
-    /// How many times `need` goes into this.
-    pub fn holds(&self, demand: &Amount) -> u32 {
+    /// How many times `demand` fits into this.
+    pub fn count_fitting(&self, demand: &Amount) -> u32 {
         let share = |free: f64, demand: f64| {
             if demand > 0.0 { ((free + EPSILON) / demand).floor().max(0.0) } else { f64::INFINITY }
         };
@@ -36,8 +39,8 @@
         self.memory_gb += other.memory_gb;
     }
 
-    /// Takes away so many times `need`, down to nothing.
-    pub fn reduce(&mut self, demand: &Amount, times: u32) {
+    /// Subtracts `demand` the given number of times, down to nothing.
+    pub fn subtract(&mut self, demand: &Amount, times: u32) {
         let times = f64::from(times);
         self.cpus = (self.cpus - demand.cpus * times).max(0.0);
         self.gpus = (self.gpus - demand.gpus * times).max(0.0);
@@ -45,7 +48,7 @@
     }
 }
 
-/// Room on the machines of one type, zone and kind.
+/// Capacity on spot or on-demand machines of one type in one zone.
 #[derive(Debug, Clone, PartialEq, Encode, Decode)]
 pub struct ClassCapacity {
     /// Machine type.
@@ -56,45 +59,45 @@
     pub is_spot: bool,
     /// What one machine has.
     pub machine: Amount,
-    /// Free room of all machines that are up.
+    /// Free capacity of all machines that are up.
     pub free: Amount,
     /// The most that any one of them has free.
     pub largest: Amount,
-    /// Machines that may be rented: the cloud has refused none of late.
-    pub rentable: u32,
+    /// Machines that may be requested from the cloud: it has refused none of late.
+    pub requestable: u32,
 }
 
 impl ClassCapacity {
-    fn tasks_in_free_room(&self, demand: &Amount) -> u32 {
-        if self.largest.holds(demand) == 0 { 0 } else { self.free.holds(demand) }
+    fn tasks_in_free_capacity(&self, demand: &Amount) -> u32 {
+        if self.largest.count_fitting(demand) == 0 { 0 } else { self.free.count_fitting(demand) }
     }
 
-    fn tasks_on_rented(&self, demand: &Amount) -> u32 {
-        self.machine.holds(demand).saturating_mul(self.rentable)
+    fn tasks_on_requested(&self, demand: &Amount) -> u32 {
+        self.machine.count_fitting(demand).saturating_mul(self.requestable)
     }
 
-    /// Takes room for up to `tasks` tasks; how many found some.
+    /// Takes capacity for up to `tasks` tasks. Returns how many found some.
     fn reserve(&mut self, demand: &Amount, tasks: u32) -> u32 {
-        let in_free_room = self.tasks_in_free_room(demand).min(tasks);
-        self.free.reduce(demand, in_free_room);
-        let on_rented = self.tasks_on_rented(demand).min(tasks - in_free_room);
-        if on_rented > 0 {
-            self.rentable -= on_rented.div_ceil(self.machine.holds(demand));
+        let in_free = self.tasks_in_free_capacity(demand).min(tasks);
+        self.free.subtract(demand, in_free);
+        let on_requested = self.tasks_on_requested(demand).min(tasks - in_free);
+        if on_requested > 0 {
+            self.requestable -= on_requested.div_ceil(self.machine.count_fitting(demand));
         }
-        in_free_room + on_rented
+        in_free + on_requested
     }
 }
 
-/// Which room counts.
+/// Which capacity counts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Room {
+pub enum CapacityScope {
     /// On machines that are up.
     Free,
-    /// That, and on machines that may be rented.
-    FreeOrRentable,
+    /// That, and on machines that may be requested.
+    FreeOrRequestable,
 }
 
-/// What a job needs.
+/// What a job demands of machines.
 #[derive(Debug, Clone, Copy)]
 pub struct JobShape<'a> {
     /// What one task takes.
@@ -120,13 +123,13 @@
             && (self.allows_spot || !class.is_spot)
     }
 
-    /// How many tasks of the job find room. An estimate: room may be in pieces too small.
-    pub fn tasks_that_fit(&self, capacity: &[ClassCapacity], room: Room) -> u32 {
+    /// How many tasks of the job find capacity.
+    pub fn tasks_that_fit(&self, capacity: &[ClassCapacity], scope: CapacityScope) -> u32 {
         let mut by_zone: BTreeMap<&str, u32> = BTreeMap::new();
         for class in capacity.iter().filter(|class| self.may_use(class)) {
-            let mut fitting = class.tasks_in_free_room(&self.demand);
-            if room == Room::FreeOrRentable {
-                fitting = fitting.saturating_add(class.tasks_on_rented(&self.demand));
+            let mut fitting = class.tasks_in_free_capacity(&self.demand);
+            if scope == CapacityScope::FreeOrRequestable {
+                fitting = fitting.saturating_add(class.tasks_on_requested(&self.demand));
             }
             let tasks = by_zone.entry(&class.zone).or_default();
             *tasks = tasks.saturating_add(fitting);
@@ -138,22 +141,24 @@
         fitting.min(self.tasks)
     }
 
-    /// How many tasks like the job's find room, whatever their number.
+    /// How many tasks like the job's find capacity, whatever their number.
     fn spare_tasks(&self, capacity: &[ClassCapacity]) -> u32 {
         let classes = capacity.iter().filter(|class| self.may_use(class));
         let tasks = classes.map(|class| {
-            class.tasks_in_free_room(&self.demand).saturating_add(class.tasks_on_rented(&self.demand))
+            class
+                .tasks_in_free_capacity(&self.demand)
+                .saturating_add(class.tasks_on_requested(&self.demand))
         });
         tasks.fold(0, u32::saturating_add)
     }
 
-    /// Whether at least `least_share` of the tasks, and one at the least, find room.
-    pub fn fits_within(&self, capacity: &[ClassCapacity], least_share: f64) -> bool {
-        let least = (f64::from(self.tasks) * least_share).ceil().max(1.0);
-        f64::from(self.tasks_that_fit(capacity, Room::FreeOrRentable)) >= least
+    /// Whether at least the share `min_share` of the tasks, and one at the least, find capacity.
+    pub fn fits_within(&self, capacity: &[ClassCapacity], min_share: f64) -> bool {
+        let min_tasks = (f64::from(self.tasks) * min_share).ceil().max(1.0);
+        f64::from(self.tasks_that_fit(capacity, CapacityScope::FreeOrRequestable)) >= min_tasks
     }
 
-    /// Takes the job's tasks out of the room that is left for the next job.
+    /// Takes what the job's tasks use out of the capacity that is left for the next job.
     pub fn reserve(&self, capacity: &mut [ClassCapacity]) {
         let mut left = self.tasks;
         for class in capacity.iter_mut().filter(|class| self.may_use(class)) {
@@ -162,19 +167,39 @@
     }
 }
 
-/// The cell with room for most of the job's tasks on machines that are up, then on ones
-/// to be rented, then with most room beside them; of equal cells the first. `offers` are cells that may be asked now, with
-/// what they have left.
+/// How well a cell suits a job: the fields count in their order, more is better.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct CellRank {
+    /// Tasks of the job that find capacity on machines that are up.
+    on_free: u32,
+    /// The same with machines that may be requested.
+    in_all: u32,
+    /// Tasks like the job's for which there is capacity.
+    spare: u32,
+}
+
+impl CellRank {
+    fn of(job: &JobShape, capacity: &[ClassCapacity]) -> CellRank {
+        CellRank {
+            on_free: job.tasks_that_fit(capacity, CapacityScope::Free),
+            in_all: job.tasks_that_fit(capacity, CapacityScope::FreeOrRequestable),
+            spare: job.spare_tasks(capacity),
+        }
+    }
+}
+
+/// The cell with capacity for most of the job's tasks on machines that are up, then with those
+/// that may be requested, then with most capacity in all; of equal cells the first. `offers`
+/// are the cells that may be asked now, with what they have left. Cells with capacity for less
+/// than the share `min_share` of the tasks are left out.
 pub fn choose<'a>(
     job: &JobShape,
     offers: impl Iterator<Item = (&'a str, &'a [ClassCapacity])>,
-    least_share: f64,
+    min_share: f64,
 ) -> Option<&'a str> {
-    let mut best: Option<((u32, u32, u32), &str)> = None;
-    for (cell, capacity) in offers.filter(|(_, capacity)| job.fits_within(capacity, least_share)) {
-        let free = job.tasks_that_fit(capacity, Room::Free);
-        let in_all = job.tasks_that_fit(capacity, Room::FreeOrRentable);
-        let rank = (free, in_all, job.spare_tasks(capacity));
+    let mut best: Option<(CellRank, &str)> = None;
+    for (cell, capacity) in offers.filter(|(_, capacity)| job.fits_within(capacity, min_share)) {
+        let rank = CellRank::of(job, capacity);
         if best.is_none_or(|(highest, _)| rank > highest) {
             best = Some((rank, cell));
         }
--- a/crates/cells/tests/decisions.rs
+++ b/crates/cells/tests/decisions.rs
@@ -4,29 +4,39 @@
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic, reason = "a test fails by panicking")]
 
 use proptest::prelude::*;
-use woadlever_cells::host::{Admission, HostRecord, HostStep, Listing, decide, may_extend_lease};
+use woadlever_cells::host::{
+    Admission, HostDecision, HostRecord, HostStep, ListedRecord, Listing, decide, may_extend_lease,
+};
 use woadlever_cells::lease::{CellTiming, MIN_LEASE_MS};
 use woadlever_cells::message::{
-    CellMessage, ForwardedJob, ForwardedState, HostedJob, HostedPhase, HostedState,
+    CellMessage, ForwardedJob, ForwardedState, HostedJob, HostedPhase, HostedState, NEVER_RETRY,
 };
 use woadlever_cells::neighbor::{Health, Neighbor};
 use woadlever_cells::origin::RecallReason;
 use woadlever_cells::record::{ForwardPhase, Forwarding};
-use woadlever_cells::routing::{Amount, ClassCapacity, JobShape, Room, choose};
+use woadlever_cells::routing::{Amount, CapacityScope, ClassCapacity, JobShape, choose};
 
 const MACHINE: Amount = Amount { cpus: 16.0, gpus: 0.0, memory_gb: 64.0 };
-const NEED: Amount = Amount { cpus: 4.0, gpus: 0.0, memory_gb: 4.0 };
+const DEMAND: Amount = Amount { cpus: 4.0, gpus: 0.0, memory_gb: 4.0 };
 
-fn class(zone: &str, is_spot: bool, free_cpus: f64, rentable: u32) -> ClassCapacity {
+fn class(zone: &str, is_spot: bool, free_cpus: f64, requestable: u32) -> ClassCapacity {
     let free = Amount { cpus: free_cpus, gpus: 0.0, memory_gb: free_cpus * 4.0 };
     let largest = Amount { cpus: free_cpus.min(16.0), ..free };
     let machine_type = "m16".to_string();
-    ClassCapacity { machine_type, zone: zone.into(), is_spot, machine: MACHINE, free, largest, rentable }
+    ClassCapacity {
+        machine_type,
+        zone: zone.into(),
+        is_spot,
+        machine: MACHINE,
+        free,
+        largest,
+        requestable,
+    }
 }
 
 fn job(tasks: u32) -> JobShape<'static> {
     JobShape {
-        demand: NEED,
+        demand: DEMAND,
         tasks,
         types: None,
         zone: None,
@@ -37,10 +47,11 @@
 }
 
 #[test]
-fn free_room_comes_before_machines_to_be_rented_and_then_the_emptier_cell() {
-    let (full, rents, free) =
-        ([class("z", true, 0.0, 0)], [class("z", true, 0.0, 50)], [class("z", true, 32.0, 0)]);
-    let offers = [("a", &full[..]), ("b", &rents[..]), ("c", &free[..])];
+fn free_capacity_comes_before_requestable_machines_and_then_the_emptier_cell() {
+    let full = [class("z", true, 0.0, 0)];
+    let elastic = [class("z", true, 0.0, 50)];
+    let free = [class("z", true, 32.0, 0)];
+    let offers = [("a", &full[..]), ("b", &elastic[..]), ("c", &free[..])];
     assert_eq!(choose(&job(8), offers.into_iter(), 0.5), Some("c"));
     assert_eq!(choose(&job(8), offers.into_iter().take(2), 0.5), Some("b"));
     assert_eq!(choose(&job(8), offers.into_iter().take(1), 0.5), None);
@@ -50,13 +61,13 @@
 }
 
 #[test]
-fn a_cell_without_the_zone_type_or_kind_of_machine_has_no_room() {
+fn a_cell_without_the_zone_type_or_kind_of_machine_has_no_capacity() {
     let capacity = [class("east", true, 64.0, 0)];
     assert!(job(4).fits_within(&capacity, 1.0));
     assert!(!JobShape { zone: Some("west"), ..job(4) }.fits_within(&capacity, 0.0));
     assert!(!JobShape { types: Some(&["m64".to_string()]), ..job(4) }.fits_within(&capacity, 0.0));
     assert!(!JobShape { allows_spot: false, ..job(4) }.fits_within(&capacity, 0.0));
-    let large = Amount { cpus: 32.0, ..NEED };
+    let large = Amount { cpus: 32.0, ..DEMAND };
     assert!(
         !JobShape { demand: large, ..job(1) }.fits_within(&capacity, 0.0),
         "no machine holds a task"
@@ -66,7 +77,7 @@
 #[test]
 fn rules_on_zones_bound_what_fits() {
     let capacity = [class("east", true, 16.0, 0), class("west", true, 32.0, 0)];
-    let all = |job: JobShape| job.tasks_that_fit(&capacity, Room::Free);
+    let all = |job: JobShape| job.tasks_that_fit(&capacity, CapacityScope::Free);
     assert_eq!(all(job(12)), 12);
     assert_eq!(all(JobShape { one_zone: true, ..job(12) }), 8);
     assert_eq!(all(JobShape { spread: true, ..job(10) }), 4 + 5);
@@ -75,9 +86,9 @@
 #[test]
 fn a_host_that_stops_too_slowly_gets_no_lease() {
     let timing = CellTiming { worker_lease_ms: 27_000, cancel_ms: 52_000, clock_error_ms: 25 };
-    assert_eq!(timing.grant_ms(timing.stop_within_ms()), Some(22_973));
-    assert_eq!(timing.grant_ms(46_000), None);
-    assert_eq!(timing.grant_ms(60_000), None);
+    assert_eq!(timing.lease_duration_ms(timing.stop_within_ms()), Some(22_973));
+    assert_eq!(timing.lease_duration_ms(46_000), None);
+    assert_eq!(timing.lease_duration_ms(60_000), None);
 }
 
 #[test]
@@ -138,23 +149,42 @@
 fn what_is_final_at_the_host_is_told_whatever_the_origin_lists() {
     let refuse = Admission::Refuse { retry_after_ms: 1 };
     for listing in [Listing::Active, Listing::Recalled, Listing::Absent] {
-        let (step, phase) = decide(listing, HostRecord::Done, refuse);
-        assert_eq!((step, phase), (HostStep::None, Some(HostedPhase::Done)));
-        let (step, phase) = decide(listing, HostRecord::Foreign, Admission::Accept);
-        assert_eq!((step, phase), (HostStep::None, Some(HostedPhase::Released)));
-        let held = HostRecord::Withdrawn { has_attempts: true };
-        assert_eq!(decide(listing, held, refuse), (HostStep::None, None), "not released yet");
+        let done = decide(listing, HostRecord::Done, refuse);
+        assert_eq!(done, decision(HostStep::Wait, Some(HostedPhase::Done)));
+        let foreign = decide(listing, HostRecord::Foreign, Admission::Accept);
+        assert_eq!(foreign, decision(HostStep::Wait, Some(HostedPhase::Released)));
+        let stopping = HostRecord::Tombstone { has_attempts: true };
+        assert_eq!(
+            decide(listing, stopping, refuse),
+            decision(HostStep::Wait, None),
+            "not released yet"
+        );
     }
     let unknown = decide(Listing::Recalled, HostRecord::Unknown, Admission::Accept);
-    assert_eq!(unknown, (HostStep::Tombstone, None));
+    assert_eq!(unknown, decision(HostStep::Tombstone, None));
     let live = HostRecord::Live { done: 0, running: 1 };
-    assert_eq!(decide(Listing::Absent, live, refuse).0, HostStep::Withdraw);
-    assert!(!may_extend_lease([(Listing::Active, live), (Listing::Recalled, live)].into_iter()));
-    assert!(may_extend_lease([(Listing::Active, live), (Listing::Recalled, held())].into_iter()));
+    assert_eq!(decide(Listing::Absent, live, refuse).step, HostStep::Cancel);
+}
+
+#[test]
+fn a_lease_is_extended_only_once_all_that_is_recalled_has_ended() {
+    let active =
+        ListedRecord { listing: Listing::Active, record: HostRecord::Live { done: 0, running: 1 } };
+    let recalled = ListedRecord { listing: Listing::Recalled, ..active };
+    let ended = ListedRecord { record: HostRecord::Tombstone { has_attempts: false }, ..recalled };
+    assert!(!may_extend_lease([active, recalled].into_iter()));
+    assert!(may_extend_lease([active, ended].into_iter()));
+}
+
+#[test]
+fn a_job_that_can_never_run_here_is_refused_without_a_retry() {
+    let unfit = decide(Listing::Active, HostRecord::Unknown, Admission::Unfit);
+    let phase = HostedPhase::Refused { retry_after_ms: NEVER_RETRY };
+    assert_eq!(unfit, decision(HostStep::Wait, Some(phase)));
 }
 
-fn held() -> HostRecord {
-    HostRecord::Withdrawn { has_attempts: false }
+fn decision(step: HostStep, phase: Option<HostedPhase>) -> HostDecision {
+    HostDecision { step, phase }
 }
 
 #[test]
@@ -167,7 +197,7 @@
     assert_eq!(second.tried, ["b"]);
     assert_eq!(second.returned().tried, ["b", "c"]);
     let refused = second.recalled(RecallReason::Refused).returned();
-    assert_eq!(refused.tried, ["b"], "one that had no room may be asked again");
+    assert_eq!(refused.tried, ["b"], "one that had no capacity may be asked again");
 }
 
 fn message(term: u64, revision: u64, phase: HostedPhase) -> CellMessage {
@@ -199,7 +229,7 @@
     })]
 
     /// However the clocks of the two cells differ within their bounds, a host has stopped
-    /// within the origin's bound for cancellations, counted from the proof.
+    /// within the origin's bound for cancellations, counted from the lease's last renewal.
     #[test]
     fn a_lease_and_the_stop_after_it_end_within_the_bound_of_cancellations(
         worker_lease_ms in 1_000u64..60_000,
@@ -211,31 +241,31 @@
         let timing = CellTiming { worker_lease_ms, cancel_ms, clock_error_ms };
         let error = clock_error_ms as i64;
         let (origin_off, host_off) = (origin_clock.clamp(0, 2 * error) - error, host_clock.clamp(0, 2 * error) - error);
-        let proof_true = 10_000_000i64;
-        let proof_wall = (proof_true + origin_off) as u64;
-        let Some(until) = timing.lease_until_ms(proof_wall, timing.stop_within_ms()) else { return Ok(()) };
+        let renewed_true = 10_000_000i64;
+        let renewed_wall = (renewed_true + origin_off) as u64;
+        let Some(until) = timing.lease_until_ms(renewed_wall, timing.stop_within_ms()) else { return Ok(()) };
         // The first moment, in true time, at which the host's clock calls it ended.
         let ended_true = until as i64 - error - host_off;
         prop_assert!(timing.has_ended(until, (ended_true + host_off) as u64));
-        let gone_true = ended_true.max(proof_true) + timing.stop_within_ms() as i64;
-        prop_assert!(gone_true <= proof_true + cancel_ms as i64);
-        prop_assert!(timing.grant_ms(timing.stop_within_ms()).unwrap() >= MIN_LEASE_MS);
+        let gone_true = ended_true.max(renewed_true) + timing.stop_within_ms() as i64;
+        prop_assert!(gone_true <= renewed_true + cancel_ms as i64);
+        prop_assert!(timing.lease_duration_ms(timing.stop_within_ms()).unwrap() >= MIN_LEASE_MS);
         prop_assert!(timing.reclaim_after_ms() >= cancel_ms);
     }
 
-    /// No room is counted twice, however many jobs are taken out of it.
+    /// No capacity is counted twice, however many jobs are taken out of it.
     #[test]
-    fn room_that_is_reserved_is_gone(
+    fn capacity_that_is_reserved_is_gone(
         free in 0u32..40,
-        rentable in 0u32..10,
+        requestable in 0u32..10,
         sizes in proptest::collection::vec(1u32..30, 1..20),
     ) {
-        let mut capacity = [class("east", false, f64::from(free) * 4.0, rentable), class("west", true, 0.0, 3)];
-        let all = job(u32::MAX).tasks_that_fit(&capacity, Room::FreeOrRentable);
+        let mut capacity = [class("east", false, f64::from(free) * 4.0, requestable), class("west", true, 0.0, 3)];
+        let all = job(u32::MAX).tasks_that_fit(&capacity, CapacityScope::FreeOrRequestable);
         let mut taken = 0;
         for tasks in sizes {
             let shape = job(tasks);
-            let fits_within = shape.tasks_that_fit(&capacity, Room::FreeOrRentable);
+            let fits_within = shape.tasks_that_fit(&capacity, CapacityScope::FreeOrRequestable);
             shape.reserve(&mut capacity);
             taken += fits_within;
         }
--- /dev/null
+++ b/crates/cells/tests/model/network.rs
@@ -0,0 +1,106 @@
+//! The links between the origin and the two hosts.
+
+use super::{HOSTS, Model, State, TIMING};
+use rand::RngExt;
+use woadlever_cells::Millis;
+use woadlever_cells::message::HostedPhase;
+use woadlever_cells::record::ForwardPhase;
+
+/// Time that a message takes.
+const DELAY_MS: Millis = 20;
+
+/// What the origin tells a host.
+#[derive(Debug, Clone)]
+pub struct Offer {
+    pub revision: u64,
+    pub lease_until_ms: Millis,
+    pub job: Option<OfferedJob>,
+}
+
+/// The job, as the origin lists it.
+#[derive(Debug, Clone, Copy)]
+pub struct OfferedJob {
+    pub epoch: u64,
+    pub is_recalled: bool,
+}
+
+/// What a host tells the origin.
+#[derive(Debug, Clone, Copy)]
+pub struct Status {
+    pub epoch: u64,
+    pub phase: HostedPhase,
+}
+
+/// A message under way.
+#[derive(Debug)]
+struct Delivery<T> {
+    at: Millis,
+    /// Index of the host that sends or gets it.
+    host: usize,
+    message: T,
+}
+
+#[derive(Debug, Default)]
+pub struct Network {
+    to_hosts: Vec<Delivery<Offer>>,
+    to_origin: Vec<Delivery<Option<Status>>>,
+    /// Until then nothing gets through between the origin and a host.
+    pub cut_until: [Millis; 2],
+}
+
+/// Takes out the messages that arrive now.
+fn take_due<T>(deliveries: &mut Vec<Delivery<T>>, now: Millis) -> Vec<Delivery<T>> {
+    let all = std::mem::take(deliveries).into_iter();
+    let (due, later) = all.partition(|delivery| delivery.at <= now);
+    *deliveries = later;
+    due
+}
+
+impl Model {
+    /// Sends the origin's state to both hosts; now and then a copy arrives much later.
+    pub fn send_offers(&mut self) {
+        if self.now < self.origin.down_until {
+            return;
+        }
+        for host in 0..HOSTS.len() {
+            let message = self.offer_to(host);
+            if self.now >= self.network.cut_until[host] {
+                let at = self.now + DELAY_MS;
+                self.network.to_hosts.push(Delivery { at, host, message: message.clone() });
+            }
+            if self.chance(self.fault_rate * 4.0) {
+                let at = self.now + self.rng.random_range(1_000..120_000);
+                self.network.to_hosts.push(Delivery { at, host, message });
+            }
+        }
+    }
+
+    fn offer_to(&self, host: usize) -> Offer {
+        let record = &self.origin.record;
+        let forwarding = record.forwarding.as_ref().filter(|f| f.is_away() && f.cell == HOSTS[host]);
+        let listed = forwarding.filter(|_| record.state == State::Live);
+        let job = listed.map(|forwarding| OfferedJob {
+            epoch: forwarding.epoch,
+            is_recalled: forwarding.phase == ForwardPhase::Recalled,
+        });
+        let lease_until_ms = TIMING.lease_until_ms(self.now, TIMING.stop_within_ms()).unwrap_or(0);
+        Offer { revision: self.origin.revision, lease_until_ms, job }
+    }
+
+    /// Sends what a host says to the origin.
+    pub fn send_status(&mut self, host: usize, message: Option<Status>) {
+        if self.now >= self.network.cut_until[host] {
+            self.network.to_origin.push(Delivery { at: self.now + DELAY_MS, host, message });
+        }
+    }
+
+    /// Delivers what arrives now.
+    pub fn deliver(&mut self) {
+        for Delivery { host, message, .. } in take_due(&mut self.network.to_hosts, self.now) {
+            self.hosts[host].receive(message, self.now);
+        }
+        for Delivery { host, message, .. } in take_due(&mut self.network.to_origin, self.now) {
+            self.origin.receive(host, message, self.now);
+        }
+    }
+}
--- a/src/core/leader/cells/acceptance.rs
+++ b/src/core/leader/cells/acceptance.rs
@@ -17,8 +17,8 @@
 use crate::wire::store::{JobRecord, JobState};
 use crate::wire::users::{MAX_TASKS, valid_id};
 use woadlever_cells::event::MoveEvent;
-use woadlever_cells::host::{Admission, HostRecord, HostStep, Listing, decide};
-use woadlever_cells::message::{FOR_GOOD, ForwardedJob, HostedJob};
+use woadlever_cells::host::{Admission, HostDecision, HostRecord, HostStep, Listing, decide};
+use woadlever_cells::message::{ForwardedJob, HostedJob};
 use woadlever_cells::record::Origin;
 
 /// Time after which an origin should offer a job again.
@@ -50,7 +50,7 @@
             return None;
         }
         let admission = self.admission(context, origin, job, spec.as_ref());
-        let (step, phase) = decide(listing, record, admission);
+        let HostDecision { step, phase } = decide(listing, record, admission);
         match step {
             HostStep::Accept => {
                 if let Some(spec) = &spec {
@@ -60,7 +60,7 @@
             }
             HostStep::Tombstone => self.create_record(leader, context, &origin.cell, job, None),
             // A live job that is recalled is cancelled with the others of its cell.
-            HostStep::None | HostStep::Withdraw => {}
+            HostStep::Wait | HostStep::Cancel => {}
         }
         let done = done_bits(leader, context, &job.id, record);
         phase.map(|phase| HostedJob { id: job.id.clone(), epoch: job.epoch, phase, done })
@@ -80,7 +80,7 @@
             return Admission::Undecided;
         }
         let Some(spec) = spec.filter(|spec| can_be_hosted(context, &job.id, spec)) else {
-            return Admission::Refuse { retry_after_ms: FOR_GOOD };
+            return Admission::Unfit;
         };
         if self.has_capacity_for(context, spec) {
             Admission::Accept
@@ -130,7 +130,7 @@
             StoreResponse::Committed { revision } => {
                 self.creations.remove(&id);
                 let is_live = record.state == JobState::Live;
-                let event = if is_live { MoveEvent::Accepted } else { MoveEvent::Withdrawn };
+                let event = if is_live { MoveEvent::Accepted } else { MoveEvent::Tombstoned };
                 log_record(&id, &record, event);
                 context.apply_job_record(&id, record, *revision, RecordSource::Single);
             }
@@ -183,7 +183,7 @@
             running: running.get(&index).copied().unwrap_or(0),
         },
         JobState::Done => HostRecord::Done,
-        JobState::Cancelled => HostRecord::Withdrawn { has_attempts },
+        JobState::Cancelled => HostRecord::Tombstone { has_attempts },
     }
 }
 
@@ -194,7 +194,7 @@
         HostRecord::Live { .. } => {
             leader.jobs.get(&index).map(|job| job.done.to_hex(0, usize::MAX)).unwrap_or_default()
         }
-        HostRecord::Withdrawn { .. } => {
+        HostRecord::Tombstone { .. } => {
             context.job(index).origin().map(|origin| origin.done.clone()).unwrap_or_default()
         }
         HostRecord::Unknown | HostRecord::Foreign | HostRecord::Done => String::new(),
--- a/src/core/leader/cells/capacity.rs
+++ b/src/core/leader/cells/capacity.rs
@@ -115,7 +115,7 @@
                     machine: amount(&known_type.capacity),
                     free: Amount::default(),
                     largest: Amount::default(),
-                    rentable: if is_refused { 0 } else { requestable },
+                    requestable: if is_refused { 0 } else { requestable },
                 });
             }
         }
--- a/src/core/leader/cells/forwarded_jobs.rs
+++ b/src/core/leader/cells/forwarded_jobs.rs
@@ -10,7 +10,7 @@
 use crate::model::{JobIndex, Ms};
 use crate::wire::store::JobRecord;
 use woadlever_cells::event::MoveEvent;
-use woadlever_cells::message::{FOR_GOOD, HostedJob, HostedPhase};
+use woadlever_cells::message::{HostedJob, HostedPhase, NEVER_RETRY};
 use woadlever_cells::origin::{ForwardView, OriginLimits, OriginStep, next_step};
 use woadlever_cells::record::Forwarding;
 
@@ -166,7 +166,7 @@
         let Some(observed) = self.observed.get_mut(&index) else { return };
         let Some(neighbor) = self.neighbors.get_mut(cell) else { return };
         let is_counted = std::mem::replace(&mut observed.is_refusal_counted, true);
-        if !is_counted && retry_after_ms != FOR_GOOD {
+        if !is_counted && retry_after_ms != NEVER_RETRY {
             neighbor.note_refusal(context.clock.now(), retry_after_ms);
         }
     }
--- a/src/core/leader/cells/hosted_jobs.rs
+++ b/src/core/leader/cells/hosted_jobs.rs
@@ -73,13 +73,13 @@
     /// What the newest message of a cell says; none before the first, or if it is older than
     /// the one that the lease on record rests on.
     fn origin_state(&self, context: &NodeContext, cell: &str) -> Option<OriginState> {
-        let (forwarded, revision) = self.neighbors[cell].forwarded()?;
+        let forwarded = self.neighbors[cell].forwarded()?;
         let (lease, _) = context.cell_leases.get(cell);
-        let is_current = revision >= lease.revision;
+        let is_current = forwarded.revision >= lease.revision;
         is_current.then(|| OriginState {
             cell: cell.to_string(),
-            forwarded: forwarded.clone(),
-            revision,
+            forwarded: forwarded.state.clone(),
+            revision: forwarded.revision,
         })
     }
 
@@ -87,7 +87,7 @@
     fn forget_creations(&mut self) {
         let neighbors = self.neighbors.values().filter_map(Neighbor::forwarded);
         let listed: HashSet<&str> =
-            neighbors.flat_map(|(state, _)| &state.jobs).map(|job| job.id.as_str()).collect();
+            neighbors.flat_map(|forwarded| &forwarded.state.jobs).map(|job| job.id.as_str()).collect();
         self.creations
             .retain(|id, state| *state == WriteState::InFlight || listed.contains(id.as_str()));
     }
@@ -123,7 +123,7 @@
             // Some tasks are then run again by the origin.
             record = JobRecord::tombstone(tasks, origin);
         }
-        let change = RecordChange { job: entry.job, record, event: MoveEvent::Withdrawn };
+        let change = RecordChange { job: entry.job, record, event: MoveEvent::Tombstoned };
         self.change_record(leader, context, change);
     }
 }
--- a/src/core/leader/cells/lease_extension.rs
+++ b/src/core/leader/cells/lease_extension.rs
@@ -9,7 +9,7 @@
 use crate::core::leader::Leader;
 use crate::model::Ms;
 use crate::wire::encoded::Encoded;
-use woadlever_cells::host::{HostRecord, Listing, may_extend_lease};
+use woadlever_cells::host::{HostRecord, ListedRecord, Listing, may_extend_lease};
 use woadlever_cells::record::CellLease;
 
 /// A lease is written anew when the origin has extended it by this much, so that it costs one
@@ -63,6 +63,7 @@
 /// Whether the lease is needed, and the message has been met by what is on record.
 fn is_extension_allowed(hosted: &[HostedEntry]) -> bool {
     let is_needed = hosted.iter().any(|entry| entry.listing == Listing::Active);
-    let live = HostRecord::Live { done: 0, running: 0 };
-    is_needed && may_extend_lease(hosted.iter().map(|entry| (entry.listing, live)))
+    let record = HostRecord::Live { done: 0, running: 0 };
+    let listed = hosted.iter().map(|entry| ListedRecord { listing: entry.listing, record });
+    is_needed && may_extend_lease(listed)
 }
--- a/src/core/leader/cells/offers.rs
+++ b/src/core/leader/cells/offers.rs
@@ -60,7 +60,7 @@
         let tried = context.job(index).forwarding().map(|f| f.tried.as_slice()).unwrap_or_default();
         let offers = self.neighbors.iter().filter_map(|(cell, neighbor)| {
             let hosted = neighbor.hosted()?;
-            let stops_in_time = timing.grant_ms(hosted.stop_within_ms).is_some();
+            let stops_in_time = timing.lease_duration_ms(hosted.stop_within_ms).is_some();
             let is_below_limit =
                 hosted_counts.get(cell).is_none_or(|jobs| *jobs < settings.max_forwarded);
             let may_be_offered = neighbor.may_be_offered(context.clock.now(), settings.silence_ms)
