--- a/crates/overload/src/class.rs
+++ b/crates/overload/src/class.rs
@@ -1,33 +1,33 @@
-//! The importance of a request.
+//! The importance of a request, and how long its client waits for the answer.
 
 use crate::Millis;
 
-/// What is asked, the most important first.
+/// What a request is about, the most important first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum RequestClass {
-    /// The load balancer asks whether the node is ready.
+    /// The load balancer checks whether the node is ready.
     Probe,
-    /// A worker's report: unanswered, its tasks are lost.
+    /// A worker's heartbeat: left unanswered for a lease, its tasks are lost.
     WorkerHeartbeat,
     /// A user's cancellation.
     Cancellation,
     /// A user's submission.
     Submission,
-    /// A user's question.
-    Question,
+    /// A user's poll for the status of a job.
+    StatusQuery,
 }
 
-/// Bytes of a request that are enough to tell its class.
+/// Bytes at the beginning of a request that are enough to tell its class.
 pub const HEAD_BYTES: usize = 64;
 
-/// How long a worker waits for the answer to a report.
-const REPORT_PATIENCE_MS: Millis = 4_000;
+/// How long a worker waits for the answer to a heartbeat.
+const HEARTBEAT_TIMEOUT_MS: Millis = 4_000;
 /// How long a user waits for the answer to a submission or a cancellation.
-const SUBMISSION_PATIENCE_MS: Millis = 5_000;
-/// How long a user waits for the answer to a question.
-const QUESTION_PATIENCE_MS: Millis = 2_000;
-/// How long the load balancer waits.
-const PROBE_PATIENCE_MS: Millis = 1_000;
+const SUBMISSION_TIMEOUT_MS: Millis = 5_000;
+/// How long a user waits for the status of a job.
+const STATUS_QUERY_TIMEOUT_MS: Millis = 2_000;
+/// How long the load balancer waits for the answer to a probe.
+const PROBE_TIMEOUT_MS: Millis = 1_000;
 
 impl RequestClass {
     /// All classes, the most important first.
@@ -36,11 +36,11 @@
         RequestClass::WorkerHeartbeat,
         RequestClass::Cancellation,
         RequestClass::Submission,
-        RequestClass::Question,
+        RequestClass::StatusQuery,
     ];
 
-    /// The class of a request that begins with these bytes. What can't be told is
-    /// taken for a question, the least important class.
+    /// The class of a request that begins with these bytes. What can't be recognized is
+    /// taken for a status query, the least important class.
     pub fn of_head(head: &[u8]) -> RequestClass {
         let line = head.split(|byte| *byte == b'\r').next().unwrap_or_default();
         let mut words = line.split(|byte| *byte == b' ');
@@ -50,38 +50,33 @@
             (b"POST", b"/checkin") => RequestClass::WorkerHeartbeat,
             (b"POST", b"/api/jobs") => RequestClass::Submission,
             (b"POST", path) if path.ends_with(b"/cancel") => RequestClass::Cancellation,
-            _ => RequestClass::Question,
+            _ => RequestClass::StatusQuery,
         }
     }
 
-    /// How long whoever asks waits for the answer.
-    pub fn patience_ms(self) -> Millis {
+    /// How long a client waits for the answer, in milliseconds.
+    pub fn client_timeout_ms(self) -> Millis {
         match self {
-            RequestClass::Probe => PROBE_PATIENCE_MS,
-            RequestClass::WorkerHeartbeat => REPORT_PATIENCE_MS,
-            RequestClass::Cancellation | RequestClass::Submission => SUBMISSION_PATIENCE_MS,
-            RequestClass::Question => QUESTION_PATIENCE_MS,
+            RequestClass::Probe => PROBE_TIMEOUT_MS,
+            RequestClass::WorkerHeartbeat => HEARTBEAT_TIMEOUT_MS,
+            RequestClass::Cancellation | RequestClass::Submission => SUBMISSION_TIMEOUT_MS,
+            RequestClass::StatusQuery => STATUS_QUERY_TIMEOUT_MS,
         }
     }
 
-    /// Name in logs.
+    /// Name in reports for operators.
     pub fn name(self) -> &'static str {
         match self {
             RequestClass::Probe => "probe",
             RequestClass::WorkerHeartbeat => "report",
             RequestClass::Cancellation => "cancellation",
             RequestClass::Submission => "submission",
-            RequestClass::Question => "question",
+            RequestClass::StatusQuery => "question",
         }
     }
 
-    /// The class with this name.
-    pub fn from_name(name: &str) -> Option<RequestClass> {
-        RequestClass::ALL.into_iter().find(|class| class.name() == name)
-    }
-
-    /// Place of the class in [`RequestClass::ALL`].
-    pub(crate) fn index(self) -> usize {
+    /// Index of the class in [`RequestClass::ALL`].
+    pub fn index(self) -> usize {
         self as usize
     }
 }
--- a/crates/overload/src/lag.rs
+++ b/crates/overload/src/lag.rs
@@ -1,14 +1,14 @@
 //! How late the event loop is.
 //!
-//! A loop that gets to its timer late has had more to do than its share of the
-//! processor allows. Whoever asked meanwhile has waited at least as long, wherever in
-//! the process or the kernel the request was. That makes the lag of a timer a better
-//! measure of pressure than the length of any one queue, as most of what waits is in
-//! none of ours.
+//! A loop that gets to its timer late has had more to do than its share of the processor
+//! allows. Clients whose requests arrived meanwhile have waited at least as long, wherever in
+//! the process or the kernel the requests were. That makes the lag of a timer a better
+//! measure of pressure than the length of any one queue, as most requests that wait are in
+//! no queue of this process.
 
 use crate::Millis;
 
-/// Follows the lag of a timer.
+/// Decides from the lag of a timer whether the node is under pressure.
 #[derive(Debug)]
 pub struct LagMonitor {
     target_ms: Millis,
@@ -41,7 +41,7 @@
         self.late_since.is_some_and(|since| now >= since + self.interval_ms)
     }
 
-    /// How late the last timer was.
+    /// How late the last timer was, in milliseconds.
     pub fn lag_ms(&self) -> Millis {
         self.last_lag_ms
     }
--- a/crates/overload/tests/decisions.rs
+++ b/crates/overload/tests/decisions.rs
@@ -16,10 +16,10 @@
         (b"POST /checkin HTTP/1.1\r\n", RequestClass::WorkerHeartbeat),
         (b"POST /api/jobs HTTP/1.1\r\n", RequestClass::Submission),
         (b"POST /api/jobs/run-000001/cancel HTTP/1.1", RequestClass::Cancellation),
-        (b"GET /api/jobs/run-000001 HTTP/1.1", RequestClass::Question),
-        (b"", RequestClass::Question),
-        (b"\x16\x03\x01 garbage", RequestClass::Question),
-        (b"GET /checkin HTTP/1.1", RequestClass::Question),
+        (b"GET /api/jobs/run-000001 HTTP/1.1", RequestClass::StatusQuery),
+        (b"", RequestClass::StatusQuery),
+        (b"\x16\x03\x01 garbage", RequestClass::StatusQuery),
+        (b"GET /checkin HTTP/1.1", RequestClass::StatusQuery),
     ];
     for (head, class) in cases {
         assert_eq!(RequestClass::of_head(head), class, "{}", String::from_utf8_lossy(head));
@@ -82,7 +82,7 @@
     admission.note_pressure(true, 0);
     assert_eq!(admission.retry_after_s(7, 0), 1, "nobody was turned away");
     for _ in 0..400 {
-        admission.admit(RequestClass::Question, 1);
+        admission.admit(RequestClass::StatusQuery, 1);
     }
     let waits: Vec<u32> = (0..100).map(|random| admission.retry_after_s(random, 2)).collect();
     assert!(waits.iter().all(|wait| (1..=31).contains(wait)));
@@ -133,11 +133,11 @@
                 0..=4 => {
                     let shed = queue.push(RequestClass::ALL[action], pushed, now);
                     pushed += 1;
-                    out.extend(shed.map(|(Shed::NoRoom(_, n) | Shed::Expired(_, n))| n));
+                    out.extend(shed.map(|(Shed::QueueFull(_, n) | Shed::Expired(_, n))| n));
                 }
                 5 => out.extend(queue.pop(under_pressure).map(|(_, n)| n)),
                 _ => {
-                    while let Some(Shed::Expired(_, n) | Shed::NoRoom(_, n)) = queue.pop_expired(now) {
+                    while let Some(Shed::Expired(_, n) | Shed::QueueFull(_, n)) = queue.pop_expired(now) {
                         out.push(n);
                     }
                 }
@@ -171,7 +171,7 @@
             let was_limiting = admission.is_limiting();
             let is_admitted = admission.admit(class, now);
             taken_on += f64::from(u8::from(is_admitted && was_limiting && class != RequestClass::Probe));
-            prop_assert!(admission.pause_ms(now) <= 1_000);
+            prop_assert!(admission.accept_delay_ms(now) <= 1_000);
         }
         let most = settings.connections_per_core * share * (now as f64 / 1_000.0 + 2.0) + 5.0;
         prop_assert!(taken_on <= most, "{taken_on} of {most}");
--- a/crates/overload/tests/metastable.rs
+++ b/crates/overload/tests/metastable.rs
@@ -20,7 +20,7 @@
 };
 /// A user with one question.
 const USER: Behavior = Behavior {
-    class: RequestClass::Question,
+    class: RequestClass::StatusQuery,
     period_ms: None,
     retry_ms: 1_000,
     heeds_retry_after: true,
--- a/crates/overload/tests/support/mod.rs
+++ b/crates/overload/tests/support/mod.rs
@@ -188,7 +188,7 @@
         let client = &mut self.clients[index];
         client.attempt += 1;
         let (attempt, is_new_connection) = (client.attempt, !client.is_connected);
-        let patience_ms = client.behavior.class.patience_ms();
+        let client_timeout_ms = client.behavior.class.client_timeout_ms();
         let request = Request { client: index, attempt, is_new_connection, sent: at };
         if !is_new_connection {
             self.arrived.push(request);
@@ -200,7 +200,7 @@
             let retry_at = at + client.behavior.retry_ms;
             return self.try_again(index, retry_at);
         }
-        self.schedule(at + patience_ms, Event::GiveUp(index, attempt));
+        self.schedule(at + client_timeout_ms, Event::GiveUp(index, attempt));
     }
 
     fn give_up(&mut self, index: usize, attempt: u64, at: Millis) {
@@ -252,12 +252,12 @@
     }
 
     fn must_pause(&mut self) -> bool {
-        self.admission.as_mut().is_some_and(|admission| admission.pause_ms(self.now) > 0)
+        self.admission.as_mut().is_some_and(|admission| admission.accept_delay_ms(self.now) > 0)
     }
 
     fn answer(&mut self, request: &Request, is_admitted: bool, at: Millis) {
         let client = &mut self.clients[request.client];
-        let is_late = at > request.sent + client.behavior.class.patience_ms();
+        let is_late = at > request.sent + client.behavior.class.client_timeout_ms();
         if client.attempt != request.attempt || is_late {
             return;
         }
--- a/src/config/overload.rs
+++ b/src/config/overload.rs
@@ -45,9 +45,9 @@
             "rejections_per_core" => {
                 self.admission.rejections_per_core = number_within(value, 10.0, 1e7)?;
             }
-            "least_share" => self.admission.least_share = number_within(value, 0.01, 1.0)?,
+            "least_share" => self.admission.min_share = number_within(value, 0.01, 1.0)?,
             "cut_interval_ms" => {
-                self.admission.interval_ms = number_within(value, 100.0, 60_000.0)? as u64;
+                self.admission.cut_interval_ms = number_within(value, 100.0, 60_000.0)? as u64;
             }
             _ => return Err(SettingError::Unknown),
         }
--- a/src/io/gate/mod.rs
+++ b/src/io/gate/mod.rs
@@ -30,11 +30,11 @@
 /// How long a connection may take to send the first bytes of its request while it is to
 /// be classified.
 const HEAD_TIMEOUT: Duration = Duration::from_millis(500);
-/// How long writing the answer to a connection that is turned away may take.
+/// How long writing the answer to a connection that is rejected may take.
 const REJECTION_TIMEOUT: Duration = HEAD_TIMEOUT;
 /// Admitted connections that the HTTP server has not taken yet.
 const ADMITTED_QUEUE: usize = 64;
-/// What is read of a request that is turned away, so that closing the connection does
+/// What is read of a request that is rejected, so that closing the connection does
 /// not destroy the answer on its way.
 const DISCARD_BYTES: usize = 16 << 10;
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
@@ -62,14 +62,14 @@
     Ok(GatedAcceptor::new(local_address, admitted, admission))
 }
 
-/// Accepts connections and admits them or turns them away.
+/// Accepts connections and admits them or rejects them.
 struct Gate {
     listener: TcpListener,
     /// One permit for each connection that may be open.
     permits: Arc<Semaphore>,
     pressure: Arc<Pressure>,
     admitted: Sender<AdmittedConnection>,
-    /// Connections that are being classified or turned away; each ends by a timeout.
+    /// Connections that are being classified or rejected; each ends by a timeout.
     tasks: JoinSet<()>,
 }
 
@@ -88,7 +88,7 @@
             let Ok(permit) = self.permits.clone().try_acquire_owned() else {
                 // Beyond the limit a client is told at once.
                 self.pressure.count_over_limit();
-                self.tasks.spawn_local(turn_away(stream, self.pressure.retry_after_s()));
+                self.tasks.spawn_local(reject(stream, self.pressure.retry_after_s()));
                 continue;
             };
             let stream = AdmittedStream { stream, permit };
@@ -103,7 +103,7 @@
     }
 }
 
-/// Admits a connection, or turns it away, by the class of its request.
+/// Admits a connection, or rejects it, by the class of its request.
 async fn classify(
     connection: AdmittedConnection,
     pressure: Arc<Pressure>,
@@ -122,13 +122,13 @@
     } else {
         let AdmittedStream { stream, permit } = connection.stream;
         drop(permit);
-        turn_away(stream, pressure.retry_after_s()).await;
+        reject(stream, pressure.retry_after_s()).await;
     }
 }
 
 /// Answers without reading the request, beyond what can be read without waiting. The
 /// reading is done at once, the rest by the future.
-fn turn_away(mut stream: TcpStream, retry_after_s: u32) -> impl Future<Output = ()> {
+fn reject(mut stream: TcpStream, retry_after_s: u32) -> impl Future<Output = ()> {
     let answer = format!(
         "HTTP/1.1 503 Service Unavailable\r\nretry-after: {retry_after_s}\r\n\
          content-type: application/json\r\ncontent-length: 22\r\nconnection: close\r\n\r\n\
--- a/src/io/gate/pressure.rs
+++ b/src/io/gate/pressure.rs
@@ -30,7 +30,7 @@
 #[derive(Default)]
 struct Counts {
     admitted: u32,
-    turned_away: [u32; RequestClass::ALL.len()],
+    rejected: [u32; RequestClass::ALL.len()],
     expired: u32,
 }
 
@@ -81,14 +81,14 @@
         if is_admitted {
             state.counts.admitted += 1;
         } else {
-            state.counts.turned_away[class as usize] += 1;
+            state.counts.rejected[class.index()] += 1;
         }
         is_admitted
     }
 
     /// Counts a connection beyond the limit on connections; its class is not known.
     pub fn count_over_limit(&self) {
-        self.state().counts.turned_away[RequestClass::Question as usize] += 1;
+        self.state().counts.rejected[RequestClass::StatusQuery.index()] += 1;
     }
 
     /// Counts a request whose client no longer waits for the answer.
@@ -96,7 +96,7 @@
         self.state().counts.expired += 1;
     }
 
-    /// Seconds until a client that is turned away should come back.
+    /// Seconds until a client that is rejected should come back.
     pub fn retry_after_s(&self) -> u32 {
         let now = self.now();
         self.state().admission.retry_after_s(rand::random(), now)
@@ -105,8 +105,8 @@
     /// How long to wait before the next connection is accepted.
     pub fn accept_delay(&self) -> Option<Duration> {
         let now = self.now();
-        let pause_ms = self.state().admission.pause_ms(now);
-        (pause_ms > 0).then(|| Duration::from_millis(pause_ms))
+        let accept_delay_ms = self.state().admission.accept_delay_ms(now);
+        (accept_delay_ms > 0).then(|| Duration::from_millis(accept_delay_ms))
     }
 
     /// Connections that the kernel is to keep until they are accepted.
@@ -118,11 +118,11 @@
 impl State {
     fn log(&mut self) {
         let counts = std::mem::take(&mut self.counts);
-        let turned_away: u32 = counts.turned_away.iter().sum();
-        if turned_away == 0 && counts.expired == 0 {
+        let rejected: u32 = counts.rejected.iter().sum();
+        if rejected == 0 && counts.expired == 0 {
             return;
         }
-        let [probes, heartbeats, cancellations, submissions, questions] = counts.turned_away;
+        let [probes, heartbeats, cancellations, submissions, questions] = counts.rejected;
         tracing::info!(
             target: "woadlever::overload",
             format = LOG_FORMAT,
--- a/src/io/requests.rs
+++ b/src/io/requests.rs
@@ -57,13 +57,13 @@
     fn push(&mut self, pending: PendingRequest) {
         let class = class_of(&pending.request);
         if let Some(shed) = self.queue.push(class, pending, self.pressure.now()) {
-            self.turn_away(shed);
+            self.reject(shed);
         }
     }
 
     fn pop(&mut self) -> Option<PendingRequest> {
         while let Some(shed) = self.queue.pop_expired(self.pressure.now()) {
-            self.turn_away(shed);
+            self.reject(shed);
         }
         loop {
             let (_, pending) = self.queue.pop(self.pressure.is_limiting())?;
@@ -75,8 +75,8 @@
         }
     }
 
-    fn turn_away(&self, shed: Shed<PendingRequest>) {
-        let (Shed::Expired(_, pending) | Shed::NoRoom(_, pending)) = shed;
+    fn reject(&self, shed: Shed<PendingRequest>) {
+        let (Shed::Expired(_, pending) | Shed::QueueFull(_, pending)) = shed;
         self.pressure.count_expired();
         let _ = pending.answer.send(overloaded(self.pressure.retry_after_s()));
     }
@@ -88,6 +88,6 @@
         HttpRequest::WorkerHeartbeat(_) => RequestClass::WorkerHeartbeat,
         HttpRequest::Cancel(_) => RequestClass::Cancellation,
         HttpRequest::Submit(_) => RequestClass::Submission,
-        HttpRequest::Status(_) => RequestClass::Question,
+        HttpRequest::Status(_) => RequestClass::StatusQuery,
     }
 }
