--- a/crates/recovery-report/src/lib.rs
+++ b/crates/recovery-report/src/lib.rs
@@ -1,9 +1,8 @@
-//! Reads the logs of a cluster's nodes and tells on one HTML page how recoveries went
-//! what was shed under overload, and which jobs moved between cells.
+//! Reads the logs of a cluster's nodes and draws one HTML page: how recoveries went, what was
+//! shed under overload, and which jobs moved between cells.
 //!
-//! [`log_line`] reads one line, [`history`] gathers what all lines say ([`moves`] of jobs
-//! between cells, for one), [`page`] draws
-//! it. Nothing here reads or writes a file.
+//! [`log_line`] reads one line, [`history`] gathers what all lines say ([`moves`]: of jobs
+//! that moved between cells), [`page`] draws it. Nothing here reads or writes a file.
 
 pub mod history;
 pub mod log_line;
--- a/crates/recovery-report/src/log_line.rs
+++ b/crates/recovery-report/src/log_line.rs
@@ -14,7 +14,7 @@
 const CELLS_TARGET: &str = " woadlever::cells: ";
 const OVERLOAD_TARGET: &str = " woadlever::overload: ";
 
-/// Why a line of recovery, overload or cells can't be used.
+/// Why a line about recovery, overload or cells can't be used.
 #[derive(Debug, Error, PartialEq, Eq)]
 pub enum LineError {
     /// The line does not begin with a time.
@@ -37,27 +37,27 @@
     pub fencing_token: u64,
     /// The phase.
     pub phase: RecoveryPhase,
-    /// Time since the shard was assigned.
+    /// Time since the shard was assigned, in milliseconds.
     pub age_ms: u64,
     /// Attempts that its records listed.
     pub recorded: u64,
     /// Attempts reconciled so far.
-    pub tally: ReconciliationCounts,
+    pub counts: ReconciliationCounts,
 }
 
 /// What a node has shed in about a second.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Shed {
-    /// Lag of the event loop.
+    /// Lag of the event loop, in milliseconds.
     pub lag_ms: u64,
     /// Rate of new connections a second.
     pub rate: u64,
-    /// Connections taken on.
+    /// Connections admitted.
     pub admitted: u64,
-    /// Requests dropped because their askers had gone.
+    /// Requests dropped because their clients no longer waited.
     pub expired: u64,
-    /// Connections turned away, by class.
-    pub turned_away: [u64; RequestClass::ALL.len()],
+    /// Connections rejected, by index of their class.
+    pub rejected: [u64; RequestClass::ALL.len()],
 }
 
 /// A step of a job that moves between cells.
@@ -69,11 +69,11 @@
     pub cell: String,
     /// Epoch of the forwarding.
     pub epoch: u64,
-    /// What was put on record.
+    /// The step.
     pub event: MoveEvent,
 }
 
-/// What a line tells.
+/// What a line is about.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Event {
     /// About a recovery.
@@ -89,11 +89,11 @@
 pub struct LogLine {
     /// Time of day in milliseconds.
     pub at_ms: i64,
-    /// What it tells.
+    /// What it is about.
     pub event: Event,
 }
 
-/// Fields of a line by name; texts without their quotes.
+/// Fields of a line by name.
 struct Fields<'a>(HashMap<&'a str, &'a str>);
 
 impl<'a> Fields<'a> {
@@ -116,18 +116,16 @@
 /// Reads the fields of one kind of line.
 type ReadFields = fn(&Fields) -> Result<Event, LineError>;
 
+/// The kinds of lines that are read, by their targets.
+const LINE_KINDS: [(&str, ReadFields); 3] =
+    [(RECOVERY_TARGET, read_phase), (OVERLOAD_TARGET, read_shed), (CELLS_TARGET, read_move)];
+
 /// Reads a line; none if it is about something else.
 pub fn parse(line: &str) -> Result<Option<LogLine>, LineError> {
-    let (head, fields, read): (_, _, ReadFields) =
-        if let Some((head, fields)) = line.split_once(RECOVERY_TARGET) {
-            (head, fields, read_phase)
-        } else if let Some((head, fields)) = line.split_once(OVERLOAD_TARGET) {
-            (head, fields, read_shed)
-        } else if let Some((head, fields)) = line.split_once(CELLS_TARGET) {
-            (head, fields, read_move)
-        } else {
-            return Ok(None);
-        };
+    let found = LINE_KINDS
+        .into_iter()
+        .find_map(|(target, read)| line.split_once(target).map(|(head, fields)| (head, fields, read)));
+    let Some((head, fields, read)) = found else { return Ok(None) };
     let time = head.split_ascii_whitespace().find_map(|word| OffsetDateTime::parse(word, &Rfc3339).ok());
     let at = time.ok_or(LineError::NoTime)?;
     let fields = Fields::of(fields);
@@ -140,7 +138,8 @@
 }
 
 fn read_phase(fields: &Fields) -> Result<Event, LineError> {
-    let count = |name| fields.number(name).map(|n| n as u32);
+    let count = |name| fields.number(name).map(|count| count as u32);
+    // Format 1 names a shard a block, and its fencing token a grant.
     let [shard, fencing_token] = match fields.number("format")? {
         1 => ["block", "grant"],
         _ => ["shard", "fencing_token"],
@@ -151,7 +150,7 @@
         phase: RecoveryPhase::from_name(fields.text("phase")?).ok_or(LineError::BadField("phase"))?,
         age_ms: fields.number("age_ms")?,
         recorded: fields.number("recorded")?,
-        tally: ReconciliationCounts {
+        counts: ReconciliationCounts {
             confirmed: count("confirmed")?,
             absent: count("absent")?,
             lease_ended: count("lease_ended")?,
@@ -171,8 +170,8 @@
 
 fn read_shed(fields: &Fields) -> Result<Event, LineError> {
     let names = ["probes", "reports", "cancellations", "submissions", "questions"];
-    let mut turned_away = [0; RequestClass::ALL.len()];
-    for (count, name) in turned_away.iter_mut().zip(names) {
+    let mut rejected = [0; RequestClass::ALL.len()];
+    for (count, name) in rejected.iter_mut().zip(names) {
         *count = fields.number(name)?;
     }
     Ok(Event::Shed(Shed {
@@ -180,6 +179,6 @@
         rate: fields.number("rate")?,
         admitted: fields.number("admitted")?,
         expired: fields.number("expired")?,
-        turned_away,
+        rejected,
     }))
 }
--- a/crates/recovery-report/src/main.rs
+++ b/crates/recovery-report/src/main.rs
@@ -1,12 +1,17 @@
 //! Command line: reads logs, writes one page or nothing.
 
 use clap::Parser;
+use std::io;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
-use woadlever_recovery_report::history::History;
-use woadlever_recovery_report::page;
+use thiserror::Error;
+use woadlever_recovery_report::history::{History, HistoryError, Log};
+use woadlever_recovery_report::page::{self, PlotError};
 
-/// Tells on one HTML page how recoveries went and what was shed.
+/// Exit status when no page is written.
+const FAILED: u8 = 2;
+
+/// Draws one HTML page on how recoveries went and what was shed.
 #[derive(Parser)]
 #[command(name = "woadlever-recovery-report", version, about)]
 struct Args {
@@ -18,33 +23,47 @@
     logs: Vec<PathBuf>,
 }
 
+/// Why no page is written.
+#[derive(Debug, Error)]
+enum ReportError {
+    #[error("{file}: {source}")]
+    File { file: String, source: io::Error },
+    #[error(transparent)]
+    History(#[from] HistoryError),
+    #[error(transparent)]
+    Plot(#[from] PlotError),
+}
+
 fn main() -> ExitCode {
     match run(&Args::parse()) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(why) => {
-            eprintln!("woadlever-recovery-report: {why}");
-            ExitCode::from(2)
+        Err(error) => {
+            eprintln!("woadlever-recovery-report: {error}");
+            ExitCode::from(FAILED)
         }
     }
 }
 
-fn run(args: &Args) -> Result<(), String> {
-    let mut logs = Vec::new();
-    for path in &args.logs {
-        let name = path.display().to_string();
-        let text = std::fs::read_to_string(path).map_err(|error| format!("{name}: {error}"))?;
-        logs.push((name, text));
-    }
-    let history = History::read(&logs).map_err(|error| error.to_string())?;
+fn run(args: &Args) -> Result<(), ReportError> {
+    let logs = args.logs.iter().map(|path| read_log(path)).collect::<Result<Vec<Log>, _>>()?;
+    let history = History::read(&logs)?;
     write_whole(&args.output, &page::render(&history)?)
 }
 
-/// Writes the page beside its place first, so that no half of it is ever there.
-fn write_whole(path: &Path, text: &str) -> Result<(), String> {
-    let name = |path: &Path, error: std::io::Error| format!("{}: {error}", path.display());
-    let mut beside = path.as_os_str().to_owned();
-    beside.push(".part");
-    let beside = PathBuf::from(beside);
-    std::fs::write(&beside, text).map_err(|error| name(&beside, error))?;
-    std::fs::rename(&beside, path).map_err(|error| name(path, error))
+fn read_log(path: &Path) -> Result<Log, ReportError> {
+    let text = std::fs::read_to_string(path).map_err(|source| file_error(path, source))?;
+    Ok(Log { name: path.display().to_string(), text })
+}
+
+/// Writes to a file beside the page first, so that there is never half a page.
+fn write_whole(path: &Path, text: &str) -> Result<(), ReportError> {
+    let mut unfinished = path.as_os_str().to_owned();
+    unfinished.push(".part");
+    let unfinished = PathBuf::from(unfinished);
+    std::fs::write(&unfinished, text).map_err(|source| file_error(&unfinished, source))?;
+    std::fs::rename(&unfinished, path).map_err(|source| file_error(path, source))
+}
+
+fn file_error(path: &Path, source: io::Error) -> ReportError {
+    ReportError::File { file: path.display().to_string(), source }
 }
--- a/crates/recovery-report/src/moves.rs
+++ b/crates/recovery-report/src/moves.rs
@@ -1,4 +1,4 @@
-//! Jobs that moved between cells, as the logs of all cells tell it.
+//! Jobs that moved between cells, from the logs of all cells.
 
 use crate::log_line::MoveStep;
 use std::collections::BTreeMap;
@@ -31,7 +31,7 @@
 }
 
 impl Outcome {
-    /// All of them.
+    /// All outcomes, in the order in which the page lists them.
     pub const ALL: [Outcome; 4] = [Outcome::Done, Outcome::Returned, Outcome::Reclaimed, Outcome::Open];
 
     /// Its name on the page.
@@ -51,22 +51,30 @@
         Move { job, cell, epoch: step.epoch, steps: BTreeMap::new() }
     }
 
-    /// When it began.
+    /// When it began, in milliseconds.
     pub fn began_ms(&self) -> i64 {
         self.steps.values().copied().min().unwrap_or(0)
     }
 
-    /// How it ended, and when.
-    pub fn outcome(&self) -> (Outcome, Option<i64>) {
-        let ends = [
-            (MoveEvent::Done, Outcome::Done),
-            (MoveEvent::Returned, Outcome::Returned),
-            (MoveEvent::Reclaimed, Outcome::Reclaimed),
-        ];
-        let found = ends
-            .into_iter()
-            .find_map(|(event, outcome)| self.steps.get(&event).map(|at| (outcome, Some(*at))));
-        found.unwrap_or((Outcome::Open, None))
+    /// How it ended.
+    pub fn outcome(&self) -> Outcome {
+        match self.last_step() {
+            Some(MoveEvent::Done) => Outcome::Done,
+            Some(MoveEvent::Returned) => Outcome::Returned,
+            Some(_) => Outcome::Reclaimed,
+            None => Outcome::Open,
+        }
+    }
+
+    /// When it ended, in milliseconds.
+    pub fn ended_ms(&self) -> Option<i64> {
+        self.last_step().and_then(|event| self.steps.get(&event).copied())
+    }
+
+    /// The step that ended it.
+    fn last_step(&self) -> Option<MoveEvent> {
+        let ends = [MoveEvent::Done, MoveEvent::Returned, MoveEvent::Reclaimed];
+        ends.into_iter().find(|event| self.steps.contains_key(event))
     }
 
     /// Why it was recalled, if it was.
@@ -81,14 +89,21 @@
     }
 }
 
-/// Moves by job and epoch. The logs of origin and host tell of the same one.
+/// What tells moves apart.
+#[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct MoveKey {
+    job: String,
+    epoch: u64,
+}
+
+/// All moves. The logs of origin and host tell of the same one.
 #[derive(Debug, Default)]
-pub struct Moves(BTreeMap<(String, u64), Move>);
+pub struct Moves(BTreeMap<MoveKey, Move>);
 
 impl Moves {
-    /// Takes a line in.
+    /// Adds a step.
     pub fn add(&mut self, at_ms: i64, step: &MoveStep) {
-        let key = (step.job.clone(), step.epoch);
+        let key = MoveKey { job: step.job.clone(), epoch: step.epoch };
         let known = self.0.entry(key).or_insert_with(|| Move::new(step));
         if step.event == MoveEvent::Forwarded {
             known.cell.clone_from(&step.cell);
@@ -97,7 +112,7 @@
         *first = (*first).min(at_ms);
     }
 
-    /// Whether no log tells of any.
+    /// Whether there are none.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
@@ -105,10 +120,10 @@
     /// All moves in the order in which they began, with times from `start_ms` on.
     pub fn into_list(self, start_ms: i64) -> Vec<Move> {
         let mut moves: Vec<Move> = self.0.into_values().collect();
-        for at in moves.iter_mut().flat_map(|one| one.steps.values_mut()) {
+        for at in moves.iter_mut().flat_map(|moved| moved.steps.values_mut()) {
             *at -= start_ms;
         }
-        moves.sort_by_key(|one| (one.began_ms(), one.job.clone()));
+        moves.sort_by_key(|moved| (moved.began_ms(), moved.job.clone()));
         moves
     }
 }
--- a/crates/recovery-report/tests/report.rs
+++ b/crates/recovery-report/tests/report.rs
@@ -6,7 +6,7 @@
 use std::process::{Command, Output};
 use woadlever_cells::event::MoveEvent;
 use woadlever_recovery::shard::ReconciliationCounts;
-use woadlever_recovery_report::history::{History, HistoryError};
+use woadlever_recovery_report::history::{History, HistoryError, Log};
 use woadlever_recovery_report::log_line::LineError;
 use woadlever_recovery_report::moves::Outcome;
 use woadlever_recovery_report::page;
@@ -18,21 +18,25 @@
 2026-12-02T10:00:04.000000Z  INFO woadlever::recovery: recovery format=1 block=\"east.0\" grant=70 phase=\"squared\" age_ms=3000 revision=71 recorded=9 confirmed=7 absent=1 lease_ended=1 unrecorded=2
 ";
 
-fn logs(text: &str) -> Vec<(String, String)> {
-    vec![("n0.log".to_string(), text.to_string())]
+fn log(name: &str, text: &str) -> Log {
+    Log { name: name.into(), text: text.into() }
+}
+
+fn logs(text: &str) -> Vec<Log> {
+    vec![log("n0.log", text)]
 }
 
 #[test]
-fn a_recovery_is_told_from_its_grant_to_squared() {
+fn a_recovery_is_told_from_assignment_to_reconciled() {
     let history = History::read(&logs(LOG)).unwrap();
     let [recovery] = history.recoveries.as_slice() else { panic!("one recovery") };
     assert_eq!(
-        (recovery.granted_ms, recovery.read_ms, recovery.squared_ms),
+        (recovery.assigned_ms, recovery.read_ms, recovery.reconciled_ms),
         (0, Some(500), Some(3_000))
     );
-    let tally = ReconciliationCounts { confirmed: 7, absent: 1, lease_ended: 1, unrecorded: 2 };
-    assert_eq!((recovery.tally, history.totals()), (tally, tally));
-    assert_eq!(history.shed[0].2.turned_away, [0, 40, 0, 2, 7]);
+    let counts = ReconciliationCounts { confirmed: 7, absent: 1, lease_ended: 1, unrecorded: 2 };
+    assert_eq!((recovery.counts, history.totals()), (counts, counts));
+    assert_eq!(history.shed[0].shed.rejected, [0, 40, 0, 2, 7]);
     let page = page::render(&history).unwrap();
     assert!(page.contains("<svg") && page.contains("east.0") && page.contains("3.0 s"));
     assert!(!page.contains("http://www.example") && !page.contains("<script"), "self-contained");
@@ -47,10 +51,10 @@
 }
 
 #[test]
-fn a_block_that_was_never_squared_is_pointed_out() {
+fn a_shard_that_was_never_reconciled_is_pointed_out() {
     let cut = LOG.lines().take(3).collect::<Vec<_>>().join("\n");
     let page = page::render(&History::read(&logs(&cut)).unwrap()).unwrap();
-    assert!(page.contains("1 never squared"));
+    assert!(page.contains("1 never reconciled"));
 }
 
 #[test]
@@ -95,12 +99,13 @@
         .replace("10:00:00", "10:00:01")
         .replace("cell=\"b\"", "cell=\"a\"")
         .replace("forwarded", "accepted");
-    let logs = [("b.log".to_string(), host), ("a.log".to_string(), CELL_LOG.to_string())];
+    let logs = [log("b.log", &host), log("a.log", CELL_LOG)];
     let history = History::read(&logs).unwrap();
     let [done, lost] = history.moves.as_slice() else { panic!("two moves") };
-    assert_eq!((done.cell.as_str(), done.outcome()), ("b", (Outcome::Done, Some(9_000))));
+    assert_eq!((done.cell.as_str(), done.outcome()), ("b", Outcome::Done));
+    assert_eq!(done.ended_ms(), Some(9_000));
     assert_eq!(done.steps[&MoveEvent::Accepted], 1_000);
-    assert_eq!(lost.outcome(), (Outcome::Reclaimed, Some(52_000)));
+    assert_eq!((lost.outcome(), lost.ended_ms()), (Outcome::Reclaimed, Some(52_000)));
     assert_eq!(lost.recall(), Some(MoveEvent::RecalledSilent));
     let page = page::render(&history).unwrap();
     assert!(page.contains("1 done there, 0 came back, 1 taken back from a silent cell, 0 not over"));
