--- a/src/core/leader/cells/capacity.rs
+++ b/src/core/leader/cells/capacity.rs
@@ -46,10 +46,10 @@
         }
         let requestable = MIN_REQUESTABLE.max(instances as u32);
         self.capacity = upcoming_class_capacity(leader, context, requestable);
-        for (job, tasks) in &leader.fleet.waiting {
-            let Some(job) = leader.jobs.get(job) else { continue };
-            let waiting = JobShape { tasks: *tasks, ..shape_of(&job.spec) };
-            waiting.reserve(&mut self.capacity);
+        for waiting in &leader.fleet.waiting {
+            let Some(job) = leader.jobs.get(&waiting.job) else { continue };
+            let shape = JobShape { tasks: waiting.tasks, ..shape_of(&job.spec) };
+            shape.reserve(&mut self.capacity);
         }
     }
 
--- a/src/core/leader/cells/offers.rs
+++ b/src/core/leader/cells/offers.rs
@@ -23,7 +23,7 @@
     pub(super) fn offer_waiting_jobs(&mut self, leader: &mut Leader, context: &mut NodeContext) {
         let mut hosted_counts = count_hosted_elsewhere(leader, context);
         let mut upcoming = upcoming_class_capacity(leader, context, 0);
-        let waiting: Vec<JobIndex> = leader.fleet.waiting.iter().map(|(job, _)| *job).collect();
+        let waiting: Vec<JobIndex> = leader.fleet.waiting.iter().map(|waiting| waiting.job).collect();
         for index in waiting {
             let Some(job) = leader.jobs.get(&index) else { continue };
             let shape = shape_of(&job.spec);
--- a/src/core/leader/demand_samples.rs
+++ b/src/core/leader/demand_samples.rs
@@ -1,29 +1,27 @@
 //! Samples of the demand for machines, which the forecast of the window rule is made from.
 //!
-//! Demand is measured in machines of each type, spot and on-demand apart: what attempts book,
-//! and what the scale-out plan adds. Each look at the fleet takes a sample; the window rule
-//! averages them.
+//! Demand is measured in machines of each kind: what attempts book, and what the scale-out
+//! plan adds. Each look at the fleet takes a sample; the window rule averages them.
 
 use super::Leader;
-use super::fleet::machine_type_label;
+use super::fleet::InstanceKind;
 use super::scale_out_plan::ScaleOutPlan;
 use crate::core::common::context::NodeContext;
 use crate::model::Resources;
 use std::collections::BTreeMap;
 
 impl Leader {
-    /// What attempts book now, in machines, by label of the machine type.
+    /// What attempts book now, in machines, by label of the kind.
     pub(super) fn bookings(&self, context: &NodeContext) -> BTreeMap<String, f64> {
-        let mut booked: BTreeMap<(usize, bool), Resources> = BTreeMap::new();
+        let mut booked: BTreeMap<InstanceKind, Resources> = BTreeMap::new();
         for attempt in self.attempts.values().filter(|attempt| attempt.occupies_capacity()) {
             if let Some(instance) = attempt.machine.and_then(|index| self.fleet.machines.get(index)) {
-                let kind = (instance.machine_type, instance.is_spot);
-                booked.entry(kind).or_default().add(&attempt.demand);
+                booked.entry(instance.kind()).or_default().add(&attempt.demand);
             }
         }
-        let machines_of = |((machine_type, is_spot), demand): ((usize, bool), Resources)| {
-            let label = machine_type_label(context, machine_type, is_spot);
-            (label, demand.dominant_share(&context.machine_types[machine_type].capacity))
+        let machines_of = |(kind, demand): (InstanceKind, Resources)| {
+            let capacity = &context.machine_types[kind.machine_type].capacity;
+            (kind.label(context), demand.dominant_share(capacity))
         };
         booked.into_iter().map(machines_of).collect()
     }
@@ -34,14 +32,10 @@
             self.fleet.window.add_bookings(label, machines);
         }
         for (offer, machines) in plan.iter() {
-            let label = machine_type_label(context, offer.machine_type, offer.is_spot);
-            self.fleet.window.add_bookings(label, f64::from(machines));
+            self.fleet.window.add_bookings(offer.kind().label(context), f64::from(machines));
         }
-        for machine_type in 0..context.machine_types.len() {
-            for is_spot in [false, true] {
-                let label = machine_type_label(context, machine_type, is_spot);
-                self.fleet.window.count_sample(label);
-            }
+        for kind in InstanceKind::all(context.machine_types.len()) {
+            self.fleet.window.count_sample(kind.label(context));
         }
     }
 }
--- a/src/core/leader/desired_states.rs
+++ b/src/core/leader/desired_states.rs
@@ -3,6 +3,7 @@
 //! Sent soon after a change, and again every so often, so that a lost message doesn't matter.
 
 use super::Leader;
+use super::scheduling_cycle::WaitingJob;
 use crate::core::common::context::NodeContext;
 use crate::core::common::shard_map::KnownOwner;
 use crate::model::{JobIndex, Ms, ShardIndex};
@@ -13,7 +14,7 @@
 const CHANGED_GAP_MS: Ms = 30;
 /// Time until a desired state is sent again although nothing has changed.
 const UNCHANGED_GAP_MS: Ms = 500;
-/// How long machines that are gone are listed.
+/// How long instances that are gone are listed.
 const GONE_KEPT_MS: Ms = 30_000;
 /// Expected run time of a task whose job is not known, in seconds.
 const UNKNOWN_RUN_S: f64 = 1.0;
@@ -50,7 +51,7 @@
                 waiting: waiting_tasks(context, &assignment.waiting),
                 cordoned: directives.cordoned,
                 decommission: directives.decommission,
-                gone: assignment.gone.iter().map(|(name, _)| name.clone()).collect(),
+                gone: assignment.gone.iter().map(|instance| instance.name.clone()).collect(),
                 quarantined: directives.quarantined,
             };
             context.send(&owner.node, PeerMessage::DesiredState(state));
@@ -71,7 +72,7 @@
             shard.dirty = false;
             shard.sent_at = Some(now);
             shard.serial += 1;
-            shard.gone.retain(|(_, gone_at)| gone_at + GONE_KEPT_MS > now);
+            shard.gone.retain(|instance| instance.confirmed_at + GONE_KEPT_MS > now);
             due.push(ShardIndex::at(place));
         }
         due
@@ -102,10 +103,10 @@
     }
 }
 
-fn waiting_tasks(context: &NodeContext, waiting: &[(JobIndex, u32)]) -> Vec<WaitingTasks> {
-    let waiting_task = |(job, count): &(JobIndex, u32)| WaitingTasks {
+fn waiting_tasks(context: &NodeContext, waiting: &[WaitingJob]) -> Vec<WaitingTasks> {
+    let to_wire = |WaitingJob { job, tasks }: &WaitingJob| WaitingTasks {
         job: context.jobs.id(*job).to_string(),
-        count: *count,
+        count: *tasks,
     };
-    waiting.iter().map(waiting_task).collect()
+    waiting.iter().map(to_wire).collect()
 }
--- a/src/core/leader/fleet/cloud_calls/termination.rs
+++ b/src/core/leader/fleet/cloud_calls/termination.rs
@@ -4,6 +4,7 @@
 use crate::core::common::context::{MAX_RETURNS, NodeContext};
 use crate::core::leader::Leader;
 use crate::core::leader::fleet::{Fleet, InstancePhase};
+use crate::core::leader::shards::GoneInstance;
 use crate::core::{CloudRequest, CloudResponse};
 use crate::model::{InstanceIndex, Ms};
 use crate::wire::cloud::ReturnRequest;
@@ -59,7 +60,8 @@
         let Some(instance) = self.fleet.machines.remove(index) else { return };
         self.fleet.terminated.insert(&instance.name);
         if let Some(assignment) = self.shards.get_mut(instance.shard.place()) {
-            assignment.gone.push((instance.name, context.clock.now()));
+            let confirmed_at = context.clock.now();
+            assignment.gone.push(GoneInstance { name: instance.name, confirmed_at });
             assignment.dirty = true;
         }
     }
--- a/src/core/leader/fleet/instance.rs
+++ b/src/core/leader/fleet/instance.rs
@@ -123,7 +123,7 @@
     }
 
     /// Its machine type, as spot or on-demand instance.
-    pub(super) fn kind(&self) -> InstanceKind {
+    pub(in crate::core::leader) fn kind(&self) -> InstanceKind {
         InstanceKind { machine_type: self.machine_type, is_spot: self.is_spot }
     }
 
--- a/src/core/leader/fleet/mod.rs
+++ b/src/core/leader/fleet/mod.rs
@@ -21,11 +21,13 @@
 mod window_rule;
 
 pub use instance::InstancePhase;
+pub(in crate::core::leader) use offer::InstanceKind;
 pub use offer::{InstanceOffer, machine_type_label};
 
 use super::Leader;
 use super::forecast::History;
 use super::scale_out_plan::ScaleOutPlan;
+use super::scheduling_cycle::WaitingJob;
 use super::shards::ShardAssignment;
 use super::timer::Timer;
 use crate::core::common::context::NodeContext;
@@ -82,9 +84,8 @@
     pub machines: NamedTable<InstanceIndex, Instance>,
     /// Terminated instances; late lists and heartbeats must not bring them back.
     terminated: RecentNames,
-    /// Jobs with the numbers of their tasks that found no capacity in the last scheduling
-    /// cycle.
-    pub waiting: Vec<(JobIndex, u32)>,
+    /// Jobs with tasks that found no capacity in the last scheduling cycle.
+    pub waiting: Vec<WaitingJob>,
     /// What is asked of the cloud.
     pub(in crate::core::leader) scale_out: ScaleOutRequests,
     /// What the cloud does not have at present.
@@ -223,10 +224,10 @@
     fn least_used_offer(
         &self,
         context: &NodeContext,
-        kind: offer::InstanceKind,
+        kind: InstanceKind,
         counts: &FxHashMap<InstanceOffer, u32>,
     ) -> Option<InstanceOffer> {
-        let offer::InstanceKind { machine_type, is_spot } = kind;
+        let InstanceKind { machine_type, is_spot } = kind;
         let zones = &context.machine_types.get(machine_type)?.zones;
         zones
             .iter()
--- a/src/core/leader/fleet/offer.rs
+++ b/src/core/leader/fleet/offer.rs
@@ -17,31 +17,31 @@
 
 impl InstanceOffer {
     /// The kind of the instances that it is for.
-    pub(super) fn kind(&self) -> InstanceKind {
+    pub(in crate::core::leader) fn kind(&self) -> InstanceKind {
         InstanceKind { machine_type: self.machine_type, is_spot: self.is_spot }
     }
 }
 
 /// A machine type together with how it is paid for, in any zone. The forecast and the targets
 /// of the window rule are per kind.
-#[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub(super) struct InstanceKind {
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub(in crate::core::leader) struct InstanceKind {
     /// Index of the machine type.
-    pub(super) machine_type: usize,
+    pub(in crate::core::leader) machine_type: usize,
     /// Whether these are spot instances.
-    pub(super) is_spot: bool,
+    pub(in crate::core::leader) is_spot: bool,
 }
 
 impl InstanceKind {
     /// All kinds of the first `machine_types` types, the on-demand one of a type before the
     /// spot one.
-    pub(super) fn all(machine_types: usize) -> impl Iterator<Item = InstanceKind> {
+    pub(in crate::core::leader) fn all(machine_types: usize) -> impl Iterator<Item = InstanceKind> {
         (0..machine_types)
             .flat_map(|machine_type| [false, true].map(|is_spot| InstanceKind { machine_type, is_spot }))
     }
 
     /// Its label, see [`machine_type_label`].
-    pub(super) fn label(self, context: &NodeContext) -> String {
+    pub(in crate::core::leader) fn label(self, context: &NodeContext) -> String {
         machine_type_label(context, self.machine_type, self.is_spot)
     }
 }
--- a/src/core/leader/fleet/window_rule.rs
+++ b/src/core/leader/fleet/window_rule.rs
@@ -54,7 +54,7 @@
         scaling: &mut WindowScaling,
     ) -> u32 {
         let label = kind.label(context);
-        let waiting = scaling.plan.machines_of(kind.machine_type, kind.is_spot);
+        let waiting = scaling.plan.machines_of(kind);
         let booked = scaling.bookings.get(&label).copied().unwrap_or(0.0);
         let target = self.fleet.target(context, kind, booked + f64::from(waiting));
         let mut usable = self.fleet.count_usable(kind);
@@ -63,7 +63,7 @@
         let missing = target.max(usable + waiting) - usable;
         let restored = self.uncordon(kind, missing);
         for _ in 0..restored {
-            scaling.plan.take(kind.machine_type, kind.is_spot);
+            scaling.plan.take(kind);
         }
         usable += restored;
         self.request_instances(context, kind, missing - restored, scaling);
@@ -87,7 +87,7 @@
         scaling: &mut WindowScaling,
     ) {
         for _ in 0..count {
-            let planned = scaling.plan.take(kind.machine_type, kind.is_spot);
+            let planned = scaling.plan.take(kind);
             let offer =
                 planned.or_else(|| self.fleet.least_used_offer(context, kind, &scaling.instances));
             let Some(offer) = offer else { break };
--- a/src/core/leader/preemption.rs
+++ b/src/core/leader/preemption.rs
@@ -9,6 +9,7 @@
 use super::attempts::Attempt;
 use super::free_capacity::{FreeCapacity, FreeMachine, may_use};
 use super::live_jobs::LiveJob;
+use super::scheduling_cycle::WaitingJob;
 use super::zones::ZoneConstraints;
 use crate::core::common::context::NodeContext;
 use crate::model::{InstanceIndex, JobIndex, JobSpec, Ms, Priority, Resources};
@@ -62,7 +63,7 @@
         &mut self,
         context: &NodeContext,
         free_capacity: &FreeCapacity,
-        waiting: &[(JobIndex, u32)],
+        waiting: &[WaitingJob],
         used_by_team: Vec<Resources>,
     ) {
         let now = context.clock.now();
@@ -93,12 +94,12 @@
     }
 
     /// Waiting jobs that are old enough to preempt others.
-    fn overdue_jobs(&self, context: &NodeContext, waiting: &[(JobIndex, u32)]) -> Vec<JobIndex> {
+    fn overdue_jobs(&self, context: &NodeContext, waiting: &[WaitingJob]) -> Vec<JobIndex> {
         let is_overdue =
             |live: &LiveJob| live.age_s(context.clock.wall()) >= context.operator.preempt_after_s;
         waiting
             .iter()
-            .map(|(job, _)| *job)
+            .map(|waiting| waiting.job)
             .filter(|job| self.jobs.get(job).is_some_and(is_overdue))
             .collect()
     }
--- a/src/core/leader/scale_out_plan.rs
+++ b/src/core/leader/scale_out_plan.rs
@@ -6,13 +6,14 @@
 //! nothing itself; the fleet does.
 
 use super::Leader;
-use super::fleet::{InstanceOffer, InstancePhase};
+use super::fleet::{InstanceKind, InstanceOffer, InstancePhase};
 use super::free_capacity::{FreeCapacity, may_use};
 use super::quota::quota_tasks;
+use super::scheduling_cycle::WaitingJob;
 use super::zones::ZoneConstraints;
 use crate::core::common::context::NodeContext;
 use crate::core::common::placement::allowed;
-use crate::model::{JobIndex, JobSpec, Resources};
+use crate::model::{JobSpec, Resources};
 use rustc_hash::{FxHashMap, FxHashSet};
 use std::collections::BTreeMap;
 
@@ -49,9 +50,9 @@
         self.machines.values().sum()
     }
 
-    /// Number of spot or on-demand machines of one type.
-    pub fn machines_of(&self, machine_type: usize, is_spot: bool) -> u32 {
-        let of_kind = self.iter().filter(|(offer, _)| is_of_kind(offer, machine_type, is_spot));
+    /// Number of machines of one kind.
+    pub fn machines_of(&self, kind: InstanceKind) -> u32 {
+        let of_kind = self.iter().filter(|(offer, _)| offer.kind() == kind);
         of_kind.map(|(_, count)| count).sum()
     }
 
@@ -60,10 +61,9 @@
         self.machines.iter().map(|(offer, count)| (offer, *count))
     }
 
-    /// Takes one spot or on-demand machine of a type out of the plan.
-    pub fn take(&mut self, machine_type: usize, is_spot: bool) -> Option<InstanceOffer> {
-        let mut offers = self.machines.keys();
-        let offer = offers.find(|offer| is_of_kind(offer, machine_type, is_spot))?.clone();
+    /// Takes one machine of a kind out of the plan.
+    pub fn take(&mut self, kind: InstanceKind) -> Option<InstanceOffer> {
+        let offer = self.machines.keys().find(|offer| offer.kind() == kind)?.clone();
         self.take_one(&offer);
         Some(offer)
     }
@@ -85,13 +85,9 @@
     }
 }
 
-fn is_of_kind(offer: &InstanceOffer, machine_type: usize, is_spot: bool) -> bool {
-    offer.machine_type == machine_type && offer.is_spot == is_spot
-}
-
-/// Machines of a type and zone, spot or on-demand.
+/// An [`InstanceOffer`] that borrows its zone, so that instances are counted without copies.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-struct MachineKind<'a> {
+struct OfferKey<'a> {
     machine_type: usize,
     zone: &'a str,
     is_spot: bool,
@@ -107,11 +103,11 @@
         let teams = &context.platform.cluster.teams;
         let mut used_by_team = self.team_use(context);
         let mut planner = Planner::new(context, self);
-        for (job, waiting) in self.most_constrained_first(context) {
+        for WaitingJob { job, tasks } in self.most_constrained_first(context) {
             let Some(live) = self.jobs.get(&job) else { continue };
             let demand = live.spec.demand();
             let used = &mut used_by_team[live.team];
-            let count = waiting.min(quota_tasks(&teams[live.team], used, &demand));
+            let count = tasks.min(quota_tasks(&teams[live.team], used, &demand));
             if count == 0 {
                 continue;
             }
@@ -129,23 +125,24 @@
             return false;
         }
         let in_use = self.fleet.machines.values().filter(|m| m.phase < InstancePhase::Draining);
-        let kinds: FxHashSet<MachineKind> = in_use
-            .map(|m| MachineKind { machine_type: m.machine_type, zone: &m.zone, is_spot: m.is_spot })
+        let offers: FxHashSet<OfferKey> = in_use
+            .map(|m| OfferKey { machine_type: m.machine_type, zone: &m.zone, is_spot: m.is_spot })
             .collect();
-        let is_unschedulable = |spec: &JobSpec| !kinds.iter().any(|kind| can_run(context, spec, kind));
+        let is_unschedulable =
+            |spec: &JobSpec| !offers.iter().any(|offer| can_run(context, spec, offer));
         self.fleet
             .waiting
             .iter()
-            .filter_map(|(job, _)| self.jobs.get(job))
+            .filter_map(|waiting| self.jobs.get(&waiting.job))
             .any(|live| is_unschedulable(&live.spec))
     }
 
     /// What can be requested now, with the number of machines that each offer already has.
     fn open_offers(&self, context: &NodeContext, free_capacity: &mut FreeCapacity) -> Vec<OpenOffer> {
-        let mut existing: FxHashMap<MachineKind, u32> = FxHashMap::default();
+        let mut existing: FxHashMap<OfferKey, u32> = FxHashMap::default();
         for m in self.fleet.machines.values() {
-            let kind = MachineKind { machine_type: m.machine_type, zone: &m.zone, is_spot: m.is_spot };
-            *existing.entry(kind).or_default() += 1;
+            let key = OfferKey { machine_type: m.machine_type, zone: &m.zone, is_spot: m.is_spot };
+            *existing.entry(key).or_default() += 1;
         }
         let mut offers = Vec::new();
         for (machine_type, catalog_entry) in context.machine_types.iter().enumerate() {
@@ -156,11 +153,11 @@
                     if self.fleet.refused_offers.is_refused(&offer, context.clock.now()) {
                         continue;
                     }
-                    let kind = MachineKind { machine_type, zone, is_spot };
+                    let key = OfferKey { machine_type, zone, is_spot };
                     offers.push(OpenOffer {
                         offer,
                         class: free_capacity.class_index(machine_type, zone, is_spot, capacity),
-                        existing: existing.get(&kind).copied().unwrap_or(0),
+                        existing: existing.get(&key).copied().unwrap_or(0),
                         planned: 0,
                         price: if is_spot { catalog_entry.spot_price } else { catalog_entry.price },
                         capacity,
@@ -171,30 +168,30 @@
         offers
     }
 
-    /// Waiting jobs with their numbers of tasks; those that may use the fewest machine types
+    /// The waiting jobs; those that may use the fewest machine types
     /// come first, jobs that may use spot instances after all others.
     ///
     /// Counted first, a job that may use spot instances would take the on-demand capacity that
     /// the others depend on, and no spot instance would be requested for it.
-    fn most_constrained_first(&self, context: &NodeContext) -> Vec<(JobIndex, u32)> {
-        let mut order: Vec<(bool, usize, JobIndex, u32)> = self
+    fn most_constrained_first(&self, context: &NodeContext) -> Vec<WaitingJob> {
+        let mut order: Vec<(bool, usize, WaitingJob)> = self
             .fleet
             .waiting
             .iter()
-            .filter_map(|&(job, count)| {
-                let spec = &self.jobs.get(&job)?.spec;
-                Some((spec.spot, context.machine_types.usable_by(spec).count(), job, count))
+            .filter_map(|waiting| {
+                let spec = &self.jobs.get(&waiting.job)?.spec;
+                Some((spec.spot, context.machine_types.usable_by(spec).count(), *waiting))
             })
             .collect();
-        order.sort_by_key(|(is_spot, machine_types, _, _)| (*is_spot, *machine_types));
-        order.into_iter().map(|(_, _, job, count)| (job, count)).collect()
+        order.sort_by_key(|(may_use_spot, machine_types, _)| (*may_use_spot, *machine_types));
+        order.into_iter().map(|(_, _, waiting)| waiting).collect()
     }
 }
 
-/// Whether a task of a job can run on an empty machine of a kind.
-fn can_run(context: &NodeContext, spec: &JobSpec, kind: &MachineKind) -> bool {
-    context.machine_types.get(kind.machine_type).is_some_and(|machine_type| {
-        allowed(spec, &machine_type.name, kind.zone, kind.is_spot)
+/// Whether a task of a job can run on an empty machine of an offer.
+fn can_run(context: &NodeContext, spec: &JobSpec, offer: &OfferKey) -> bool {
+    context.machine_types.get(offer.machine_type).is_some_and(|machine_type| {
+        allowed(spec, &machine_type.name, offer.zone, offer.is_spot)
             && spec.demand().fits_within(&machine_type.capacity)
     })
 }
--- a/src/core/leader/scheduling_cycle.rs
+++ b/src/core/leader/scheduling_cycle.rs
@@ -25,6 +25,15 @@
 /// Up to how many waiting tasks of one job are counted.
 const MAX_WAITING_TASKS: u32 = 2_000;
 
+/// A job with tasks that wait for capacity.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub struct WaitingJob {
+    /// The job.
+    pub job: JobIndex,
+    /// Number of the tasks that its team's quota allows.
+    pub tasks: u32,
+}
+
 /// What one cycle has used up so far.
 struct CycleState {
     free_capacity: FreeCapacity,
@@ -59,11 +68,11 @@
         for job in self.starving_jobs(context, &order) {
             self.admit_starving_job(context, &mut cycle, job);
         }
-        let mut waiting: Vec<(JobIndex, u32)> = Vec::new();
+        let mut waiting: Vec<WaitingJob> = Vec::new();
         for job in order {
-            let count = self.admit_in_order(context, &mut cycle, job);
-            if count > 0 {
-                waiting.push((job, count));
+            let tasks = self.admit_in_order(context, &mut cycle, job);
+            if tasks > 0 {
+                waiting.push(WaitingJob { job, tasks });
             }
         }
         if cycle.admitted > 0 {
@@ -190,11 +199,11 @@
         &mut self,
         context: &NodeContext,
         free_capacity: &FreeCapacity,
-        waiting: &[(JobIndex, u32)],
+        waiting: &[WaitingJob],
     ) {
         let machine_counts = count_machines(free_capacity);
-        let mut by_shard: Vec<Vec<(JobIndex, u32)>> = vec![Vec::new(); self.shards.len()];
-        for &(job, count) in waiting {
+        let mut by_shard: Vec<Vec<WaitingJob>> = vec![Vec::new(); self.shards.len()];
+        for &WaitingJob { job, tasks } in waiting {
             let Some(live) = self.jobs.get(&job) else { continue };
             let is_class_usable: Vec<bool> =
                 free_capacity.classes.iter().map(|class| may_use(context, &live.spec, class)).collect();
@@ -204,15 +213,15 @@
                     usable_machines[shard.place()] += machines;
                 }
             }
-            for (shard, share) in divide(count, &usable_machines).into_iter().enumerate() {
+            for (shard, share) in divide(tasks, &usable_machines).into_iter().enumerate() {
                 if share > 0 {
-                    by_shard[shard].push((job, share));
+                    by_shard[shard].push(WaitingJob { job, tasks: share });
                 }
             }
         }
         // Not urgent: sent along with the next desired state, whenever that is due.
-        for (shard, tasks) in self.shards.iter_mut().zip(by_shard) {
-            shard.waiting = tasks;
+        for (shard, waiting) in self.shards.iter_mut().zip(by_shard) {
+            shard.waiting = waiting;
         }
     }
 }
--- a/src/core/leader/shards.rs
+++ b/src/core/leader/shards.rs
@@ -4,13 +4,14 @@
 //! The leader decides and writes the record; a node becomes the owner by seeing the record. Its
 //! version is the fencing token. Called from the leader's poll.
 
+use super::scheduling_cycle::WaitingJob;
 use super::write_state::WriteState;
 use super::{Leader, LeaderCall};
 use crate::core::common::context::NodeContext;
 use crate::core::common::shard_map::KnownOwner;
 use crate::core::common::store_keys::shard_key;
 use crate::core::{StoreCallOwner, StoreRequest};
-use crate::model::{JobIndex, Ms, ShardIndex};
+use crate::model::{Ms, ShardIndex};
 use crate::wire::encoded::Encoded;
 use crate::wire::store::{Compare, CompareAndSwap, Mutation, ShardRecord};
 
@@ -26,6 +27,15 @@
 /// Pause after a write of an assignment.
 const ASSIGNMENT_GAP_MS: Ms = 300;
 
+/// An instance whose termination the cloud has confirmed.
+#[derive(Debug)]
+pub struct GoneInstance {
+    /// Its name.
+    pub name: String,
+    /// When the cloud confirmed it.
+    pub confirmed_at: Ms,
+}
+
 /// What the leader knows of a shard, and what it has sent to the owner.
 #[derive(Debug)]
 pub struct ShardAssignment {
@@ -41,10 +51,10 @@
     pub(super) fencing_token: u64,
     /// Whether the owner with this token has reported its whole state.
     pub has_reported: bool,
-    /// Machines whose termination the cloud has confirmed, and when.
-    pub gone: Vec<(String, Ms)>,
-    /// Waiting tasks that the owner counts in its projection of load, by job.
-    pub waiting: Vec<(JobIndex, u32)>,
+    /// Instances whose termination the cloud has confirmed.
+    pub gone: Vec<GoneInstance>,
+    /// Waiting tasks that the owner counts in its projection of load.
+    pub waiting: Vec<WaitingJob>,
     /// The write of the shard's record.
     pub(super) write: WriteState,
 }
