--- a/src/core/leader/mod.rs
+++ b/src/core/leader/mod.rs
@@ -27,6 +27,7 @@
 mod reconciliation;
 mod run_times;
 mod scale_out_plan;
+mod scale_out_planner;
 mod scheduling_cycle;
 mod shards;
 mod task_counts;
