--- a/src/core/leader/fleet/mod.rs
+++ b/src/core/leader/fleet/mod.rs
@@ -36,6 +36,7 @@
 use cloud_calls::CloudCalls;
 use forecast_window::ForecastWindow;
 use instance::Instance;
+use offer::InstanceKind;
 use refused_offers::RefusedOffers;
 use rustc_hash::FxHashMap;
 use scale_out_requests::ScaleOutRequests;
@@ -51,7 +52,7 @@
 const OVERLOAD_GAP_MS: Ms = 1_000;
 /// Pause between two windows that begin before their time.
 const EARLY_WINDOW_GAP_MS: Ms = 4_000;
-/// A plan for more than one instance per this many of the fleet opens a window early.
+/// A plan for more instances than the fleet has, divided by this, opens a window early.
 const SURGE_DIVISOR: usize = 4;
 /// A plan for no more instances than this opens none: they come soon enough one by one.
 const SURGE_MIN: usize = 16;
@@ -223,10 +224,10 @@
     fn least_used_offer(
         &self,
         context: &NodeContext,
-        kind: offer::InstanceKind,
+        kind: InstanceKind,
         counts: &FxHashMap<InstanceOffer, u32>,
     ) -> Option<InstanceOffer> {
-        let offer::InstanceKind { machine_type, is_spot } = kind;
+        let InstanceKind { machine_type, is_spot } = kind;
         let zones = &context.machine_types.get(machine_type)?.zones;
         zones
             .iter()
--- a/src/core/leader/fleet/scale_out_requests.rs
+++ b/src/core/leader/fleet/scale_out_requests.rs
@@ -115,7 +115,7 @@
         self.requests.retain(|request| request.offer != *offer || !request.is_unsent());
     }
 
-    /// Instances of a kind that are asked for.
+    /// Number of instances of a kind that are requested.
     pub(super) fn count_instances(&self, kind: InstanceKind) -> u32 {
         let requests = self.requests.iter().filter(|request| request.offer.kind() == kind);
         requests.map(|request| request.count).sum()
