--- a/src/core/leader/rebuild.rs
+++ b/src/core/leader/rebuild.rs
@@ -9,7 +9,7 @@
 use crate::model::{Resources, ShardIndex};
 use crate::wire::peer::ReportedPhase;
 use crate::wire::store::{PlacementRecord, RecordedMachine};
-use woadlever_recovery::ledger::{self, AttemptDisposition};
+use woadlever_recovery::disposition::{AttemptDisposition, TaskStatus};
 
 impl Leader {
     pub(super) fn load(&mut self, context: &mut NodeContext) {
@@ -72,7 +72,8 @@
         for a in self.attempts.values_mut() {
             let job = self.jobs.get_mut(&a.job).filter(|job| !job.is_away());
             let is_done = job.as_ref().is_some_and(|job| job.done.contains(a.task));
-            a.is_wanted = ledger::from_record(job.is_some(), is_done) == AttemptDisposition::Keep;
+            let task = TaskStatus { job_is_live: job.is_some(), is_done };
+            a.is_wanted = AttemptDisposition::of_recorded(task) == AttemptDisposition::Keep;
             if let Some(job) = job {
                 job.issued.insert(a.task);
             }
--- a/src/core/leader/reconciliation.rs
+++ b/src/core/leader/reconciliation.rs
@@ -13,7 +13,7 @@
 };
 use rustc_hash::{FxHashMap, FxHashSet};
 use std::collections::BTreeMap;
-use woadlever_recovery::ledger::{self, AttemptDisposition};
+use woadlever_recovery::disposition::{AttemptDisposition, TaskStatus, is_proven_gone};
 
 const DESIRED_GAP_MS: Ms = 30;
 const DESIRED_EVERY_MS: Ms = 500;
@@ -77,7 +77,7 @@
             .attempts
             .iter()
             .filter(|(_, a)| a.shard == shard)
-            .filter(|(id, a)| ledger::is_gone(listed.contains(id), a.first_named_in, h.echo))
+            .filter(|(id, a)| is_proven_gone(listed.contains(id), a.first_named_in, h.echo))
             .map(|(id, _)| id)
             .collect();
         for id in gone {
@@ -102,7 +102,8 @@
             let has_attempt = self.attempts.has_task(job, t.task);
             let known = self.jobs.get(&job).filter(|known| !known.is_away());
             let is_done = known.is_some_and(|j| j.done.contains(t.task));
-            let standing = ledger::from_shard_owner(known.is_some(), is_done, has_attempt);
+            let task = TaskStatus { job_is_live: known.is_some(), is_done };
+            let standing = AttemptDisposition::of_reported(task, has_attempt);
             let want = standing == AttemptDisposition::Keep;
             if want && let Some(j) = self.jobs.get_mut(&job) {
                 j.issued.insert(t.task);
