--- a/src/core/leader/fleet/mod.rs
+++ b/src/core/leader/fleet/mod.rs
@@ -38,7 +38,6 @@
 use cloud_calls::CloudCalls;
 use forecast_window::ForecastWindow;
 use instance::Instance;
-use offer::InstanceKind;
 use refused_offers::RefusedOffers;
 use rustc_hash::FxHashMap;
 use scale_out_requests::ScaleOutRequests;
