--- a/tests/support/cloud.rs
+++ b/tests/support/cloud.rs
@@ -1,13 +1,16 @@
 //! A fake of the cloud, written from the protocol.
 
-use super::{World, ZONES};
+use super::{Worker, World, ZONES};
 use rand::RngExt;
 use serde_json::{Value, json};
 use std::collections::HashMap;
 use std::ops::Range;
 use woadlever::core::{CloudRequest, CloudResponse};
+use woadlever::wire::cloud::{RentRequest, ReturnRequest};
 
 const REQUESTS_PER_S: f64 = 5.0;
+/// Time after which a new machine is listed.
+const LIST_LAG_MS: u64 = 4_000;
 const USUAL_CAPACITY: usize = 12;
 
 /// What the cloud has rented out, and its faults.
@@ -48,80 +51,95 @@
 }
 
 impl World {
-    pub(super) fn cloud_response(&mut self, op: CloudRequest) -> CloudResponse {
-        if self.cloud.is_down {
+    /// The answer to a request, once its rate allows it.
+    pub(super) fn cloud_response(&mut self, request: CloudRequest) -> CloudResponse {
+        if self.cloud.is_down || !self.cloud.take_call(self.now) {
             return CloudResponse::NotExecuted;
         }
-        self.cloud.calls += 1;
-        let (left, at) = self.cloud.rate;
-        let left = (left + REQUESTS_PER_S * (self.now - at) as f64 / 1000.0).min(2.0 * REQUESTS_PER_S);
-        if left < 1.0 {
-            self.cloud.rate = (left, self.now);
-            self.cloud.refused += 1;
-            return CloudResponse::NotExecuted;
+        match request {
+            CloudRequest::Catalog => self.cloud.catalog(),
+            CloudRequest::List { since } => self.list_machines(&since.unwrap_or_default()),
+            CloudRequest::Rent(request) => self.rent_machines(request),
+            CloudRequest::Return(request) => self.return_machines(request),
         }
-        self.cloud.rate = (left - 1.0, self.now);
-        match op {
-            CloudRequest::Catalog => {
-                let mut types = vec![json!({"label":"m16","cores":16,"cards":0,
-                    "memory_gb":64,"cache_gb":50,"pull_gb_per_s":1.0,"price":1.0,"spot_price":0.4,
-                    "ready_s":10,"yards":ZONES})];
-                for i in 0..self.cloud.more_types {
-                    types.push(json!({"label":format!("tiny{i}"),"cores":1,"cards":0,"memory_gb":1,
-                        "cache_gb":1,"pull_gb_per_s":1.0,"price":9.0,"spot_price":9.0,"ready_s":10,
-                        "yards":ZONES}));
-                }
-                let catalog = json!({ "hulltypes": types });
-                CloudResponse::Catalog(serde_json::from_value(catalog).unwrap())
-            }
-            CloudRequest::List { since } => {
-                let after = since.unwrap_or_default();
-                let now = self.now;
-                let list: Vec<Value> = self
-                    .workers
-                    .iter()
-                    .filter(|w| w.rented + 4000 <= now && w.name > after)
-                    .filter(|w| !self.cloud.returned.contains(&w.name))
-                    .map(|w| {
-                        json!({"name_id":w.name,"hulltype":w.type_name,"yard":w.zone,"standby":w.spot,
-                            "status": if now < w.up_at {"starting"} else {"running"},
-                            "age_s":(now - w.rented) as f64 / 1000.0})
-                    })
-                    .collect();
-                CloudResponse::Page(
-                    serde_json::from_value(json!({"hulls":list,"has_next":false})).unwrap(),
-                )
-            }
-            CloudRequest::Rent(r) => {
-                assert!(r.count <= 50, "{} machines in one request", r.count);
-                if let Some(old) = self.cloud.granted.get(&r.request) {
-                    return CloudResponse::Rented(serde_json::from_value(json!({"hulls":old})).unwrap());
-                }
-                let up = self.workers.iter().filter(|w| !self.cloud.returned.contains(&w.name)).count();
-                let n = (r.count as usize).min(self.cloud.capacity.saturating_sub(up));
-                if n == 0 {
-                    return CloudResponse::NoCapacity;
-                }
-                let mut names = Vec::new();
-                for _ in 0..n {
-                    self.cloud.rented += 1;
-                    let boot = self.rng.random_range(self.cloud.boot_ms.clone());
-                    names.push(self.add_worker(self.cloud.rented, &r.zone, r.spot, boot));
-                }
-                self.cloud.granted.insert(r.request, names.clone());
-                CloudResponse::Rented(serde_json::from_value(json!({"hulls":names})).unwrap())
-            }
-            CloudRequest::Return(r) => {
-                assert!(r.machines.len() <= 100, "{} names in one request", r.machines.len());
-                for name in r.machines {
-                    if let Some(w) = self.workers.iter_mut().find(|w| w.name == name) {
-                        w.alive = false;
-                        w.tasks.clear();
-                    }
-                    self.cloud.returned.push(name);
-                }
-                CloudResponse::Returned
+    }
+
+    fn list_machines(&self, after: &str) -> CloudResponse {
+        let now = self.now;
+        let is_listed = |worker: &&Worker| {
+            worker.rented + LIST_LAG_MS <= now
+                && worker.name.as_str() > after
+                && !self.cloud.returned.contains(&worker.name)
+        };
+        let entry = |worker: &Worker| {
+            json!({"name_id":worker.name,"hulltype":worker.type_name,"yard":worker.zone,
+                "standby":worker.spot,"status": if now < worker.up_at {"starting"} else {"running"},
+                "age_s":(now - worker.rented) as f64 / 1000.0})
+        };
+        let list: Vec<Value> = self.workers.iter().filter(is_listed).map(entry).collect();
+        CloudResponse::Page(serde_json::from_value(json!({"hulls":list,"has_next":false})).unwrap())
+    }
+
+    fn rent_machines(&mut self, request: RentRequest) -> CloudResponse {
+        assert!(request.count <= 50, "{} machines in one request", request.count);
+        if let Some(names) = self.cloud.granted.get(&request.request) {
+            return rented(names);
+        }
+        let is_there = |worker: &&Worker| !self.cloud.returned.contains(&worker.name);
+        let there = self.workers.iter().filter(is_there).count();
+        let count = (request.count as usize).min(self.cloud.capacity.saturating_sub(there));
+        if count == 0 {
+            return CloudResponse::NoCapacity;
+        }
+        let mut names = Vec::new();
+        for _ in 0..count {
+            self.cloud.rented += 1;
+            let boot = self.rng.random_range(self.cloud.boot_ms.clone());
+            names.push(self.add_worker(self.cloud.rented, &request.zone, request.spot, boot));
+        }
+        let answer = rented(&names);
+        self.cloud.granted.insert(request.request, names);
+        answer
+    }
+
+    fn return_machines(&mut self, request: ReturnRequest) -> CloudResponse {
+        assert!(request.machines.len() <= 100, "{} names in one request", request.machines.len());
+        for name in request.machines {
+            if let Some(worker) = self.workers.iter_mut().find(|worker| worker.name == name) {
+                worker.alive = false;
+                worker.tasks.clear();
             }
+            self.cloud.returned.push(name);
         }
+        CloudResponse::Returned
+    }
+}
+
+fn rented(names: &[String]) -> CloudResponse {
+    CloudResponse::Rented(serde_json::from_value(json!({ "hulls": names })).unwrap())
+}
+
+impl Cloud {
+    /// Whether the rate allows one more call; if so, it is made.
+    fn take_call(&mut self, now: u64) -> bool {
+        self.calls += 1;
+        let (left, at) = self.rate;
+        let refilled = left + REQUESTS_PER_S * (now - at) as f64 / 1000.0;
+        let left = refilled.min(2.0 * REQUESTS_PER_S);
+        let is_allowed = left >= 1.0;
+        self.rate = (if is_allowed { left - 1.0 } else { left }, now);
+        self.refused += u32::from(!is_allowed);
+        is_allowed
+    }
+
+    fn catalog(&self) -> CloudResponse {
+        let mut types = vec![json!({"label":"m16","cores":16,"cards":0,"memory_gb":64,"cache_gb":50,
+            "pull_gb_per_s":1.0,"price":1.0,"spot_price":0.4,"ready_s":10,"yards":ZONES})];
+        types.extend((0..self.more_types).map(|number| {
+            json!({"label":format!("tiny{number}"),"cores":1,"cards":0,"memory_gb":1,"cache_gb":1,
+                "pull_gb_per_s":1.0,"price":9.0,"spot_price":9.0,"ready_s":10,"yards":ZONES})
+        }));
+        let catalog = json!({ "hulltypes": types });
+        CloudResponse::Catalog(serde_json::from_value(catalog).unwrap())
     }
 }
--- a/tests/support/oracle.rs
+++ b/tests/support/oracle.rs
@@ -76,67 +76,82 @@
         }
     }
 
+    /// Checks the rules at the start of a task.
     pub(super) fn started(&mut self, worker: usize, job: &str, task: u32) {
         *self.oracle.starts.entry(format!("{job}/{task}")).or_default() += 1;
-        if let Some(at) = self.users.cancelled.get(job) {
-            self.oracle.late_starts.push((format!("{job}/{task}"), self.now - at));
-            if self.now > at + CANCEL_MS {
-                self.oracle.broken.push(format!("{} ran_cancelled {job}/{task} started", self.now));
-            }
-        }
-        for (i, w) in self.workers.iter().enumerate() {
-            let there = |t: &WorkerTask| {
-                t.task == task
-                    && t.job == job
-                    && matches!(t.state, TaskState::Running | TaskState::Saving)
-            };
-            if i != worker && w.alive && w.tasks.iter().any(there) {
-                self.oracle.broken.push(format!("{} ran_twice {job}/{task}", self.now));
-            }
-        }
-        let Some(spec) = self.users.jobs.get(job) else {
+        self.check_cancelled(job, task);
+        self.check_runs_once(worker, job, task);
+        let Some(spec) = self.users.jobs.get(job).cloned() else {
             self.oracle.broken.push(format!("started an unknown job {job}"));
             return;
         };
-        for a in spec["awaits"].as_array().into_iter().flatten() {
-            let key = format!("w/job/{}", a.as_str().unwrap_or_default());
-            if self.store.keys.get(&key).is_none_or(|v| v.0["s"] != "d") {
-                self.oracle.broken.push(format!("{} too_early {job}/{task}: {a} is not done", self.now));
-            }
+        self.check_dependencies(&spec, job, task);
+        let started_on = &self.workers[worker];
+        let is_wrong_zone = spec["yard"].as_str().is_some_and(|zone| zone != started_on.zone);
+        if spec["standby"] == false && started_on.spot || is_wrong_zone {
+            self.oracle.broken.push(format!("{} wrong_place {job}/{task}", self.now));
         }
         // A look at all tasks of all machines for each start would take longer
         // than the service itself; no team's limit is near here.
-        let sums = self.size != Size::Fleet || self.oracle.starts.len().is_multiple_of(200);
-        let w = &self.workers[worker];
-        if (spec["standby"] == false && w.spot) || spec["yard"].as_str().is_some_and(|y| y != w.zone) {
-            self.oracle.broken.push(format!("{} wrong_place {job}/{task}", self.now));
+        if self.size != Size::Fleet || self.oracle.starts.len().is_multiple_of(200) {
+            self.check_sums(&spec, job, task);
+        }
+    }
+
+    fn check_cancelled(&mut self, job: &str, task: u32) {
+        let Some(at) = self.users.cancelled.get(job) else { return };
+        self.oracle.late_starts.push((format!("{job}/{task}"), self.now - at));
+        if self.now > at + CANCEL_MS {
+            self.oracle.broken.push(format!("{} ran_cancelled {job}/{task} started", self.now));
         }
-        let (one, scatter) = (spec["one_zone"] == true, spec["scatter"] == true);
-        let total = spec["pieces"].as_u64().unwrap_or(0);
+    }
+
+    fn check_runs_once(&mut self, worker: usize, job: &str, task: u32) {
+        let is_it = |other: &WorkerTask| other.task == task && other.job == job && other.runs();
+        for (index, other) in self.workers.iter().enumerate() {
+            if index != worker && other.alive && other.tasks.iter().any(is_it) {
+                self.oracle.broken.push(format!("{} ran_twice {job}/{task}", self.now));
+            }
+        }
+    }
+
+    fn check_dependencies(&mut self, spec: &Value, job: &str, task: u32) {
+        for dependency in spec["awaits"].as_array().into_iter().flatten() {
+            let key = format!("w/job/{}", dependency.as_str().unwrap_or_default());
+            if self.store.keys.get(&key).is_none_or(|record| record.0["s"] != "d") {
+                let broken = format!("{} too_early {job}/{task}: {dependency} is not done", self.now);
+                self.oracle.broken.push(broken);
+            }
+        }
+    }
+
+    /// Checks the zones of a job's tasks and what teams use in all.
+    fn check_sums(&mut self, spec: &Value, job: &str, task: u32) {
         let mut zones: HashMap<&str, u64> = HashMap::new();
         let mut used: HashMap<&str, f64> = HashMap::new();
-        for w in self.workers.iter().filter(|w| sums && w.alive) {
-            for t in w.tasks.iter().filter(|t| matches!(t.state, TaskState::Running | TaskState::Saving))
-            {
-                if t.job == job {
-                    *zones.entry(&w.zone).or_default() += 1;
+        for worker in self.workers.iter().filter(|worker| worker.alive) {
+            for running in worker.tasks.iter().filter(|running| running.runs()) {
+                if running.job == job {
+                    *zones.entry(&worker.zone).or_default() += 1;
                 }
-                if let Some(s) = self.users.jobs.get(&t.job) {
-                    *used.entry(s["crew"].as_str().unwrap()).or_default() +=
-                        s["cores"].as_f64().unwrap();
+                if let Some(spec) = self.users.jobs.get(&running.job) {
+                    *used.entry(spec["crew"].as_str().unwrap()).or_default() +=
+                        spec["cores"].as_f64().unwrap();
                 }
             }
         }
-        if one && zones.len() > 1 || scatter && zones.values().any(|n| *n > total.div_ceil(2)) {
+        let (one_zone, spread) = (spec["one_zone"] == true, spec["scatter"] == true);
+        let most = spec["pieces"].as_u64().unwrap_or(0).div_ceil(2);
+        if one_zone && zones.len() > 1 || spread && zones.values().any(|count| *count > most) {
             self.oracle.broken.push(format!("{} wrong_place (zones) {job}/{task}", self.now));
         }
-        let most = match self.size {
+        let quota = match self.size {
             Size::Small => 64.0,
             Size::Large => 4_000.0,
             Size::Fleet => 100_000.0,
         };
-        for (team, limit) in [("t0", 32.0), ("t1", most)] {
-            if used.get(team).is_some_and(|u| *u > limit) {
+        for (team, quota) in [("t0", 32.0), ("t1", quota)] {
+            if used.get(team).is_some_and(|used| *used > quota) {
                 self.oracle.broken.push(format!("{} quota {team}", self.now));
             }
         }
--- a/tests/support/workers.rs
+++ b/tests/support/workers.rs
@@ -10,6 +10,9 @@
     Command, CommandAction, DirectCommands, HeartbeatResponse, HeartbeatTask, TaskState, WorkerHeartbeat,
 };
 
+/// A worker gives an answer up after this time.
+const TIMEOUT_MS: u64 = 4_000;
+
 pub struct WorkerTask {
     pub job: String,
     pub task: u32,
@@ -72,6 +75,103 @@
     }
 }
 
+impl WorkerTask {
+    /// Whether it uses its machine.
+    pub(super) fn runs(&self) -> bool {
+        matches!(self.state, TaskState::Running | TaskState::Saving)
+    }
+
+    fn exit(&mut self, why: &str) {
+        self.state = TaskState::Exited;
+        self.why = Some(why.into());
+    }
+}
+
+impl Worker {
+    /// At the end of its lease a worker drops its tasks and counts anew.
+    fn expire_lease(&mut self, now: u64) {
+        if now > self.lease_from + LEASE_MS {
+            self.tasks.clear();
+            self.incarnation += 1;
+            self.sequence = 0;
+            self.lease_from = now;
+            self.in_flight = None;
+        }
+    }
+
+    /// Starts and ends tasks; those that were started.
+    fn advance_tasks(&mut self, now: u64, run_ms: u64) -> Vec<(String, u32)> {
+        let mut started = Vec::new();
+        for task in self.tasks.iter_mut().filter(|task| now >= task.at) {
+            if task.state == TaskState::Fetching {
+                task.state = TaskState::Running;
+                task.at = now + run_ms;
+                started.push((task.job.clone(), task.task));
+                self.changed = true;
+                if self.sick {
+                    task.exit("error");
+                }
+            } else if task.state == TaskState::Running {
+                task.exit("done");
+                self.changed = true;
+            }
+        }
+        started
+    }
+
+    /// A heartbeat without an answer is given up, and the next goes to another node.
+    fn give_up_heartbeat(&mut self, now: u64, nodes: usize) {
+        if self.in_flight.is_some_and(|(_, sent)| now > sent + TIMEOUT_MS) {
+            self.in_flight = None;
+            self.node = (self.node + 1) % nodes;
+            self.next_at = now + 1000;
+        }
+    }
+
+    fn is_heartbeat_due(&self, now: u64) -> bool {
+        let has_news = self.changed && now >= self.heartbeat_at + 500;
+        self.in_flight.is_none() && (now >= self.next_at || has_news) && !self.cut
+    }
+
+    fn note_sent(&mut self, id: u64, now: u64, gap: u64) {
+        self.changed = false;
+        self.sequence += 1;
+        self.in_flight = Some((id, now));
+        self.heartbeat_at = now;
+        self.next_at = now + gap;
+    }
+
+    /// Carries out a command from the answer to a heartbeat.
+    fn obey(&mut self, command: &Command, now: u64) {
+        let Some((job, task)) = command.task.rsplit_once('/') else { return };
+        let task: u32 = task.parse().unwrap();
+        let is_same_task = |known: &WorkerTask| known.job == job && known.task == task;
+        let is_it = |known: &WorkerTask| is_same_task(known) && known.attempt == command.attempt;
+        match (command.op, self.tasks.iter().position(is_it)) {
+            (CommandAction::Start, None) => {
+                let is_alive = |known: &WorkerTask| known.state != TaskState::Exited;
+                let busy = self.tasks.iter().any(|known| is_same_task(known) && is_alive(known));
+                self.tasks.push(WorkerTask {
+                    job: job.into(),
+                    task,
+                    attempt: command.attempt,
+                    state: if busy { TaskState::Exited } else { TaskState::Fetching },
+                    why: busy.then(|| "in_use".into()),
+                    at: now + 500,
+                });
+            }
+            (CommandAction::Stop, Some(found)) if self.tasks[found].state != TaskState::Exited => {
+                self.tasks[found].exit("halted");
+            }
+            (CommandAction::Forget, Some(found)) if self.tasks[found].state == TaskState::Exited => {
+                self.tasks.remove(found);
+            }
+            _ => return,
+        }
+        self.changed = true;
+    }
+}
+
 /// Commands that arrived at workers.
 #[derive(Debug, Clone, Default)]
 pub struct CommandCounts {
@@ -139,126 +239,67 @@
         w.next_at = now;
     }
 
-    pub(super) fn worker_tick(&mut self, i: usize) {
+    /// Lets the time pass for one worker.
+    pub(super) fn worker_tick(&mut self, index: usize) {
         let now = self.now;
         let jitter = self.rng.random_range(0..1500);
-        let rare = self.size != Size::Small;
-        let w = &mut self.workers[i];
-        if !w.alive || now < w.up_at || now < w.hung_until {
+        let worker = &mut self.workers[index];
+        if !worker.alive || now < worker.up_at || now < worker.hung_until {
             return;
         }
-        if now > w.lease_from + LEASE_MS {
-            w.tasks.clear();
-            w.incarnation += 1;
-            w.sequence = 0;
-            w.lease_from = now;
-            w.in_flight = None;
-        }
-        let mut started = Vec::new();
-        for t in &mut w.tasks {
-            if t.state == TaskState::Fetching && now >= t.at {
-                t.state = TaskState::Running;
-                t.at = now + self.run_ms;
-                started.push((t.job.clone(), t.task));
-                w.changed = true;
-                if w.sick {
-                    t.state = TaskState::Exited;
-                    t.why = Some("error".into());
-                }
-            } else if t.state == TaskState::Running && now >= t.at {
-                t.state = TaskState::Exited;
-                t.why = Some("done".into());
-                w.changed = true;
-            }
-        }
-        if let Some((_, sent)) = w.in_flight
-            && now > sent + 4000
-        {
-            w.in_flight = None;
-            w.node = (w.node + 1) % self.node_count;
-            w.next_at = now + 1000;
-        }
-        if w.in_flight.is_none()
-            && (now >= w.next_at || w.changed && now >= w.heartbeat_at + 500)
-            && !w.cut
-        {
-            w.changed = false;
-            w.sequence += 1;
+        worker.expire_lease(now);
+        let started = worker.advance_tasks(now, self.run_ms);
+        worker.give_up_heartbeat(now, self.node_count);
+        if worker.is_heartbeat_due(now) {
+            let gap = if self.size == Size::Small { 2_250 + jitter } else { 6_000 + jitter * 8 / 3 };
             let id = self.sequence + 1;
-            w.in_flight = Some((id, now));
-            w.heartbeat_at = now;
-            w.next_at = now + if rare { 6_000 + jitter * 8 / 3 } else { 2_250 + jitter };
-            let (node, heartbeat) = (w.node, Box::new(w.heartbeat()));
-            if !self.network.is_cut(node, WORKERS) && !self.workers[i].mute {
-                self.push(2, Event::WorkerHeartbeat { worker: i, id, node, heartbeat });
+            worker.note_sent(id, now, gap);
+            let (node, heartbeat) = (worker.node, Box::new(worker.heartbeat()));
+            if !worker.mute && !self.network.is_cut(node, WORKERS) {
+                self.push(2, Event::WorkerHeartbeat { worker: index, id, node, heartbeat });
             }
         }
         for (job, task) in started {
-            self.started(i, &job, task);
+            self.started(index, &job, task);
         }
     }
 
-    pub(super) fn on_heartbeat_response(&mut self, i: usize, id: u64, answer: Answer) {
+    /// The answer to a heartbeat reaches its worker.
+    pub(super) fn on_heartbeat_response(&mut self, index: usize, id: u64, answer: Answer) {
         let now = self.now;
-        let n = self.node_count;
-        let w = &mut self.workers[i];
-        let Some((_, sent)) = w.in_flight.filter(|f| f.0 == id) else { return };
-        if !w.alive || w.cut || now > sent + 4000 {
+        let nodes = self.node_count;
+        let worker = &mut self.workers[index];
+        let Some((_, sent)) = worker.in_flight.filter(|in_flight| in_flight.0 == id) else { return };
+        if !worker.alive || worker.cut || now > sent + TIMEOUT_MS {
             return;
         }
-        w.in_flight = None;
-        if answer.status == 421 {
-            let r: Value = serde_json::from_str(&answer.body).unwrap_or_default();
-            let to = r["foreman"].as_str().and_then(|s| s[1..].parse().ok());
-            w.node = to.unwrap_or((w.node + 1) % n);
-            w.next_at = now + 100;
-            return;
-        }
-        if answer.status != 200 {
-            w.node = (w.node + 1) % n;
-            w.next_at = now + 1000;
-            return;
+        worker.in_flight = None;
+        match answer.status {
+            200 => {}
+            421 => {
+                let redirect: Value = serde_json::from_str(&answer.body).unwrap_or_default();
+                let to = redirect["foreman"].as_str().and_then(|node| node[1..].parse().ok());
+                worker.node = to.unwrap_or((worker.node + 1) % nodes);
+                worker.next_at = now + 100;
+                return;
+            }
+            _ => {
+                worker.node = (worker.node + 1) % nodes;
+                worker.next_at = now + 1000;
+                return;
+            }
         }
-        let a: HeartbeatResponse = serde_json::from_str(&answer.body).expect("answer to a heartbeat");
-        if a.fencing_token < w.fencing_token {
+        let response: HeartbeatResponse =
+            serde_json::from_str(&answer.body).expect("answer to a heartbeat");
+        if response.fencing_token < worker.fencing_token {
             return;
         }
-        w.changed |= a.fencing_token > w.fencing_token;
-        w.fencing_token = a.fencing_token;
-        w.lease_from = w.lease_from.max(sent);
-        for c in a.commands {
-            self.commands.count(&c);
-            let Some((job, task)) = c.task.rsplit_once('/') else { continue };
-            let task: u32 = task.parse().unwrap();
-            let found =
-                w.tasks.iter().position(|t| t.job == job && t.task == task && t.attempt == c.attempt);
-            match (c.op, found) {
-                (CommandAction::Start, None) => {
-                    let busy = w
-                        .tasks
-                        .iter()
-                        .any(|t| t.job == job && t.task == task && t.state != TaskState::Exited);
-                    w.tasks.push(WorkerTask {
-                        job: job.into(),
-                        task,
-                        attempt: c.attempt,
-                        state: if busy { TaskState::Exited } else { TaskState::Fetching },
-                        why: busy.then(|| "in_use".into()),
-                        at: now + 500,
-                    });
-                    w.changed = true;
-                }
-                (CommandAction::Stop, Some(t)) if w.tasks[t].state != TaskState::Exited => {
-                    w.tasks[t].state = TaskState::Exited;
-                    w.tasks[t].why = Some("halted".into());
-                    w.changed = true;
-                }
-                (CommandAction::Forget, Some(t)) if w.tasks[t].state == TaskState::Exited => {
-                    w.tasks.remove(t);
-                    w.changed = true;
-                }
-                _ => {}
-            }
+        worker.changed |= response.fencing_token > worker.fencing_token;
+        worker.fencing_token = response.fencing_token;
+        worker.lease_from = worker.lease_from.max(sent);
+        for command in response.commands {
+            self.commands.count(&command);
+            worker.obey(&command, now);
         }
     }
 
