--- a/crates/overload/tests/decisions.rs
+++ b/crates/overload/tests/decisions.rs
@@ -44,21 +44,21 @@
 #[test]
 fn no_class_is_starved_by_a_flood_of_reports() {
     let mut admission = Admission::new(&AdmissionSettings::default(), 0.03, 0);
-    let mut taken_on = [0; 5];
+    let mut admitted = [0; 5];
     for now in 0..60_000 {
         if now % 100 == 0 {
             admission.note_pressure(true, now);
         }
-        // A thousand reports a second, and ten of everything else.
-        taken_on[1] += u32::from(admission.admit(RequestClass::WorkerHeartbeat, now));
+        // A thousand heartbeats a second, and ten requests of every other class.
+        admitted[1] += u32::from(admission.admit(RequestClass::WorkerHeartbeat, now));
         if now % 100 == 0 {
-            for (place, class) in RequestClass::ALL.into_iter().enumerate().skip(2) {
-                taken_on[place] += u32::from(admission.admit(class, now));
+            for (index, class) in RequestClass::ALL.into_iter().enumerate().skip(2) {
+                admitted[index] += u32::from(admission.admit(class, now));
             }
         }
     }
-    assert!(taken_on[1] > 400, "{taken_on:?}");
-    assert!(taken_on[2..].iter().all(|n| *n >= 30), "{taken_on:?}");
+    assert!(admitted[1] > 400, "{admitted:?}");
+    assert!(admitted[2..].iter().all(|n| *n >= 30), "{admitted:?}");
 }
 
 #[test]
@@ -77,10 +77,10 @@
 }
 
 #[test]
-fn those_turned_away_are_spread_over_the_time_it_takes_to_take_them_on() {
+fn rejected_clients_are_spread_over_the_time_it_takes_to_admit_them() {
     let mut admission = Admission::new(&AdmissionSettings::default(), 0.01, 0);
     admission.note_pressure(true, 0);
-    assert_eq!(admission.retry_after_s(7, 0), 1, "nobody was turned away");
+    assert_eq!(admission.retry_after_s(7, 0), 1, "no client was rejected");
     for _ in 0..400 {
         admission.admit(RequestClass::StatusQuery, 1);
     }
@@ -118,8 +118,8 @@
 proptest! {
     #![proptest_config(fixed_seed())]
 
-    /// Whatever is pushed comes out once: served, expired or turned away for room; the
-    /// queue keeps its bound, and nothing more important waits behind what is served.
+    /// Every request that is pushed comes out once: served, expired or shed as the queue is
+    /// full; the queue keeps its bound, and no request is served before a more important one.
     #[test]
     fn the_queue_loses_nothing(
         limit in 1_usize..20,
@@ -154,8 +154,8 @@
         prop_assert_eq!(out, (0..pushed).collect::<Vec<_>>());
     }
 
-    /// However requests and pressure come, no more than the highest rate is taken on, and
-    /// the pause before the next connection is bounded.
+    /// However requests and pressure come, no more than the maximum rate is admitted, and the
+    /// delay before the next connection is bounded.
     #[test]
     fn admission_keeps_within_its_rate(
         share in 0.005_f64..1.0,
@@ -163,17 +163,17 @@
     ) {
         let settings = AdmissionSettings::default();
         let mut admission = Admission::new(&settings, share, 0);
-        let (mut now, mut taken_on) = (0, 0.0);
+        let (mut now, mut admitted) = (0, 0.0);
         for (class, pause, late) in steps {
             now += pause;
             admission.note_pressure(late, now);
             let class = RequestClass::ALL[class];
             let was_limiting = admission.is_limiting();
             let is_admitted = admission.admit(class, now);
-            taken_on += f64::from(u8::from(is_admitted && was_limiting && class != RequestClass::Probe));
+            admitted += f64::from(u8::from(is_admitted && was_limiting && class != RequestClass::Probe));
             prop_assert!(admission.accept_delay_ms(now) <= 1_000);
         }
         let most = settings.connections_per_core * share * (now as f64 / 1_000.0 + 2.0) + 5.0;
-        prop_assert!(taken_on <= most, "{taken_on} of {most}");
+        prop_assert!(admitted <= most, "{admitted} of {most}");
     }
 }
--- a/crates/overload/tests/metastable.rs
+++ b/crates/overload/tests/metastable.rs
@@ -1,5 +1,5 @@
-//! Work whose asker has gone keeps a node busy for ever, and admission ends that. All
-//! times are simulated, and each request is charged to them.
+//! Work for clients that have given up keeps a node busy for ever, and admission ends that.
+//! All times are simulated, and each request is charged to them.
 
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic, reason = "a test fails by panicking")]
 
@@ -8,7 +8,7 @@
 use support::{Behavior, Simulation};
 use woadlever_overload::class::RequestClass;
 
-/// 3.2% of a core, on which reports of this many workers take a quarter of the time.
+/// 3.2% of a core, on which heartbeats of this many workers take a quarter of the time.
 const CORE_SHARE: f64 = 0.032;
 const WORKERS: u64 = 700;
 const WORKER: Behavior = Behavior {
@@ -18,7 +18,7 @@
     heeds_retry_after: false,
     gives_up_after_ms: None,
 };
-/// A user with one question.
+/// A user with one status query.
 const USER: Behavior = Behavior {
     class: RequestClass::StatusQuery,
     period_ms: None,
@@ -27,8 +27,8 @@
     gives_up_after_ms: Some(60_000),
 };
 
-/// Workers that report for a minute; then the node stands still until all have given up,
-/// and all come back within a second.
+/// Workers that send heartbeats for a minute; then the node is suspended until all have given
+/// up, and all reconnect within a second.
 fn after_a_mass_reconnect(with_admission: bool) -> Simulation {
     let mut node = Simulation::new(CORE_SHARE, with_admission);
     for worker in 0..WORKERS {
@@ -88,13 +88,13 @@
 }
 
 #[test]
-fn reports_are_taken_on_before_questions() {
+fn heartbeats_are_admitted_before_status_queries() {
     let mut node = Simulation::new(CORE_SHARE, true);
     for worker in 0..WORKERS {
         node.add(WORKER, worker * 60);
     }
-    // Five times as many questions as the node could answer, for a minute, from users
-    // who ask again for a while.
+    // Five times as many status queries as the node could answer, for a minute, from users
+    // who retry for a while.
     let user = Behavior { gives_up_after_ms: Some(5_000), ..USER };
     for user_number in 0..36_000u64 {
         node.add(user, 60_000 + user_number * 5 / 3);
@@ -108,5 +108,5 @@
     let (workers, users) = answers.split_at(WORKERS as usize);
     let served = workers.iter().zip(&before).filter(|(now, before)| now > before).count();
     assert!(served as f64 >= WORKERS as f64 * 0.95, "{served} workers");
-    assert!(users.iter().sum::<u64>() > 1_000, "users get what is left");
+    assert!(users.iter().sum::<u64>() > 1_000, "users get the capacity that is left");
 }
--- a/crates/overload/tests/support/mod.rs
+++ b/crates/overload/tests/support/mod.rs
@@ -1,6 +1,6 @@
 //! A node with a small share of a core, in simulated time: each turn of its event loop
-//! takes in what has arrived and lasts as long as that costs. Clients give up when
-//! their patience ends and ask again later.
+//! handles all requests that have arrived and lasts as long as that costs. Clients give up
+//! after their timeout and retry later.
 
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
@@ -18,7 +18,7 @@
 const TIMER_MS: Millis = 50;
 const LAG_TARGET_MS: Millis = 100;
 const LAG_INTERVAL_MS: Millis = 500;
-/// Connections that the kernel keeps where nobody says otherwise.
+/// Length of the kernel's backlog where none is set.
 const USUAL_BACKLOG: usize = 1_024;
 const US_PER_MS: f64 = 1_000.0;
 
@@ -26,13 +26,13 @@
 #[derive(Debug, Clone, Copy)]
 pub struct Behavior {
     pub class: RequestClass,
-    /// Time between an answer and the next request; none: it asks once.
+    /// Time between an answer and the next request; none: it sends one request.
     pub period_ms: Option<Millis>,
-    /// Time between giving up, or being turned away, and the next try.
+    /// Time between giving up, or being rejected, and the next attempt.
     pub retry_ms: Millis,
-    /// Whether it comes back when it is told to.
+    /// Whether it waits for as long as `Retry-After` says.
     pub heeds_retry_after: bool,
-    /// Time after its first try after which it gives up for good; never if absent.
+    /// Time after its first attempt after which it gives up for good; never if absent.
     pub gives_up_after_ms: Option<Millis>,
 }
 
@@ -40,10 +40,10 @@
 struct Client {
     behavior: Behavior,
     is_connected: bool,
-    /// Number of its newest try; answers to earlier ones come too late.
+    /// Number of its newest attempt; answers to earlier ones come too late.
     attempt: u64,
     answered: u64,
-    first_try: Millis,
+    first_attempt: Millis,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
@@ -101,19 +101,19 @@
         }
     }
 
-    /// Adds a client that asks for the first time at `first`.
+    /// Adds a client that sends its first request at `first`.
     pub fn add(&mut self, behavior: Behavior, first: Millis) {
         self.clients.push(Client {
             behavior,
             is_connected: false,
             attempt: 0,
             answered: 0,
-            first_try: first,
+            first_attempt: first,
         });
         self.schedule(first, Event::Ask(self.clients.len() - 1));
     }
 
-    /// The connections of the first clients end, and these ask anew within `spread_ms`.
+    /// The connections of the first clients end, and these reconnect within `spread_ms`.
     pub fn drop_connections(&mut self, clients: usize, spread_ms: Millis) {
         let is_other = |event: &Event| match event {
             Event::Ask(client) | Event::GiveUp(client, _) => *client >= clients,
@@ -129,7 +129,7 @@
         }
     }
 
-    /// The node stands still.
+    /// The node is suspended.
     pub fn stall(&mut self, ms: Millis) {
         self.now += ms;
     }
@@ -157,8 +157,9 @@
 
     /// Share of the clients that were answered at all since `answers` was taken.
     pub fn share_answered_since(&self, answers: &[u64]) -> f64 {
-        let heard = self.clients.iter().zip(answers).filter(|(client, n)| client.answered > **n).count();
-        heard as f64 / self.clients.len() as f64
+        let answered =
+            self.clients.iter().zip(answers).filter(|(client, n)| client.answered > **n).count();
+        answered as f64 / self.clients.len() as f64
     }
 
     pub fn answers(&self) -> Vec<u64> {
@@ -170,8 +171,8 @@
         self.events.insert((at, self.next_event), event);
     }
 
-    /// What clients do up to now.
-    fn take_in(&mut self) {
+    /// Plays what clients do up to now.
+    fn play_clients(&mut self) {
         while let Some(entry) = self.events.first_entry() {
             let (at, _) = *entry.key();
             if at > self.now {
@@ -216,7 +217,7 @@
 
     fn try_again(&mut self, index: usize, at: Millis) {
         let client = &self.clients[index];
-        let end = client.behavior.gives_up_after_ms.map(|ms| client.first_try + ms);
+        let end = client.behavior.gives_up_after_ms.map(|ms| client.first_attempt + ms);
         if end.is_none_or(|end| at < end) {
             self.schedule(at, Event::Ask(index));
         }
@@ -224,7 +225,7 @@
 
     /// One turn of the event loop; how long it lasts.
     fn turn(&mut self) -> Millis {
-        self.take_in();
+        self.play_clients();
         let mut cost_us = 0;
         let mut requests = std::mem::take(&mut self.arrived);
         while let Some(request) = self.backlog.pop_front() {
@@ -238,8 +239,8 @@
             let class = self.clients[request.client].behavior.class;
             let is_admitted = !request.is_new_connection
                 || self.admission.as_mut().is_none_or(|admission| admission.admit(class, self.now));
-            // Whoever has gone costs as much as who still waits: the request is read
-            // before the end of the connection shows.
+            // A client that has given up costs as much as one that still waits: the request
+            // is read before the end of the connection shows.
             cost_us += match (is_admitted, request.is_new_connection) {
                 (false, _) => REJECTION_US,
                 (true, true) => NEW_CONNECTION_US,
--- a/src/wire/users.rs
+++ b/src/wire/users.rs
@@ -13,9 +13,9 @@
 pub const MAX_TASKS: u64 = 100_000;
 /// Jobs that one job may name in `awaits`, each counted once. Pipelines name a handful; with
 /// ids of usual length so many take half of a small record.
-pub const MAX_AWAITS: usize = 100;
+const MAX_AWAITS: usize = 100;
 /// What every job id begins with; digits follow.
-pub const ID_PREFIX: &str = "run-";
+pub(crate) const ID_PREFIX: &str = "run-";
 const MAX_ID_DIGITS: usize = 20;
 /// Amounts above this make no sense for any machine and only invite overflow.
 const MAX_AMOUNT: f64 = 1e9;
@@ -91,7 +91,7 @@
     /// A list with something other than job ids.
     #[error("must list job ids, run- and digits")]
     NotJobIds,
-    /// More job ids than [`MAX_AWAITS`].
+    /// More job ids than a job may name.
     #[error("must name no more than {MAX} jobs", MAX = MAX_AWAITS)]
     TooManyJobs,
 }
