--- a/src/core/shard_owner/binding.rs
+++ b/src/core/shard_owner/binding.rs
@@ -1,133 +1,179 @@
-//! The choice of a machine for a task that was granted to this holder.
+//! The choice of a machine for a task that the leader admitted to a shard of this node:
+//! bin packing by best fit.
 
 use super::ShardOwner;
-use super::machine::{Attempt, Machine};
-use super::placement_records;
+use super::attempt::{Attempt, RecordingState};
+use super::machine::{CachedImage, Machine, Machines};
+use super::placement_records::{self, RecordIndex};
 use crate::core::common::context::NodeContext;
 use crate::core::common::window;
-use crate::model::{JobIndex, MachineIndex, Ms, Resources, ShardIndex};
+use crate::model::{JobIndex, JobSpec, MachineIndex, Ms, Resources, ShardIndex};
 use crate::wire::store::JobState;
+use std::sync::Arc;
 use woadlever_recovery::attempt::AttemptPhase;
 
-/// What a waiting report is worth in the choice of a machine.
-const LISTENS: f64 = 0.5;
+/// What a machine's score is worse by when no heartbeat of it is parked.
+const NO_PARKED_HEARTBEAT_PENALTY: f64 = 0.5;
+/// Smallest size of an image cache, in GB: a machine type that tells none keeps what is
+/// no larger than this.
+const MIN_CACHE_GB: f64 = 0.1;
 
-/// A machine that may take tasks, with what is free on it.
-pub(super) struct BindCandidate {
+/// A machine that may take tasks.
+pub(super) struct CandidateMachine {
     index: MachineIndex,
-    kind: usize,
-    capacity: Resources,
+    /// Place of its machine type in the catalog.
+    machine_type: usize,
+    free_capacity: Resources,
 }
 
-/// A task that the leader allows to bind.
-pub(super) struct Granted {
-    pub(super) id: u64,
+/// A task that the leader allows to bind in a shard of this node.
+pub(super) struct AdmittedTask {
+    /// Id of the attempt.
+    pub(super) attempt: u64,
     pub(super) job: JobIndex,
     pub(super) task: u32,
     /// Expected run time.
-    pub(super) expected: Ms,
+    pub(super) expected_ms: Ms,
 }
 
 impl ShardOwner {
-    /// Machines of a block that may take tasks now, with what is free on them.
-    pub(super) fn free_machines(&self, context: &NodeContext, shard: ShardIndex) -> Vec<BindCandidate> {
-        let able = |m: &Machine| m.shard == shard && m.takes_tasks(context);
-        let mut free = Vec::new();
-        for (index, m) in self.machines.iter().filter(|(_, m)| able(m)) {
-            let Some(kind) = context.machine_types.index_of(&m.type_name) else { continue };
-            let mut capacity = context.machine_types[kind].capacity;
-            capacity.sub(&m.used());
-            free.push(BindCandidate { index, kind, capacity });
+    /// Machines of a shard that may take tasks now, with their free capacity.
+    pub(super) fn candidate_machines(
+        &self,
+        context: &NodeContext,
+        shard: ShardIndex,
+    ) -> Vec<CandidateMachine> {
+        let is_candidate = |machine: &Machine| machine.shard == shard && machine.takes_tasks(context);
+        let mut candidates = Vec::new();
+        for (index, machine) in self.machines.iter().filter(|(_, machine)| is_candidate(machine)) {
+            let Some(machine_type) = context.machine_types.index_of(&machine.type_name) else {
+                continue;
+            };
+            let mut free_capacity = context.machine_types[machine_type].capacity;
+            free_capacity.sub(&machine.used());
+            candidates.push(CandidateMachine { index, machine_type, free_capacity });
         }
-        free
+        candidates
     }
 
-    /// Best fit: of the machines that may take the task, the one with its
-    /// image and the least room left over. Spot first where it is allowed.
+    /// Binds the task to the best of the candidates and takes its demand from that one's
+    /// free capacity. False: its job must not start tasks, or no candidate may take it.
     pub(super) fn bind(
         &mut self,
         context: &NodeContext,
         shard: ShardIndex,
-        granted: &Granted,
-        free: &mut [BindCandidate],
+        admitted: &AdmittedTask,
+        candidates: &mut [CandidateMachine],
     ) -> bool {
-        let &Granted { id, job, task, expected } = granted;
-        let j = context.job(job);
-        let (Some(spec), JobState::Live, false) = (j.spec.clone(), j.state, context.must_stop(job))
-        else {
-            return false;
-        };
-        let demand = spec.demand();
-        let Some(h) = &mut self.shards[shard.place()] else { return false };
-        let mut best: Option<(f64, usize)> = None;
-        for (place, candidate) in free.iter().enumerate() {
-            if !demand.fits_within(&candidate.capacity) {
-                continue;
-            }
-            let Some(m) = self.machines.get(candidate.index) else { continue };
-            if !window::allowed(&spec, &m.type_name, &m.zone, m.spot) {
-                continue;
-            }
-            let total = &context.machine_types[candidate.kind].capacity;
-            let has_image = spec.image_gb <= 0.0 || m.images.iter().any(|(n, _)| *n == spec.image);
-            let wastes = spec.spot && !m.spot;
-            let mut score = window::fit_score(&demand, &candidate.capacity, total, wastes, has_image);
-            score += context.machine_types.scarcity_penalty(candidate.kind);
-            // One whose report waits for an answer starts the task now, not
-            // with its next report.
-            if m.held.is_none() {
-                score += LISTENS;
-            }
-            if best.is_none_or(|(s, _)| score < s) {
-                best = Some((score, place));
-            }
-        }
-        let Some((_, place)) = best else { return false };
-        let ix = free[place].index;
-        free[place].capacity.sub(&demand);
-        placement_records::open_record(context, h, &self.machines, shard);
-        let Some(m) = self.machines.get_mut(ix) else { return false };
-        let record = placement_records::reserve(context, h, m, job, &spec.team);
-        m.attempts.push(Attempt {
-            job,
-            task,
-            id,
-            demand,
-            job_row_bytes: placement_records::job_row_bytes(context.jobs.id(job), &spec.team, &demand),
-            team: spec.team.clone(),
-            record,
-            moving: None,
-            phase: AttemptPhase::Bound,
-            tried: false,
-            written: false,
-            wanted: true,
-            run_sent: None,
-            listed: false,
-            started: None,
-            ran: 0,
-            expected_ms: expected,
-            bound_at: context.clock.now(),
-            written_at: 0,
-        });
-        let cache = context
-            .machine_types
-            .index_of(&m.type_name)
-            .map_or(0.0, |t| context.machine_types[t].cache_gb);
-        remember_image(&mut m.images, &spec.image, spec.image_gb, cache);
+        let Some(spec) = startable_spec(context, admitted.job) else { return false };
+        let Some(shard) = &mut self.shards[shard.place()] else { return false };
+        let best = best_candidate(context, &self.machines, &spec, candidates);
+        let Some(candidate) = best.map(|place| &mut candidates[place]) else { return false };
+        candidate.free_capacity.sub(&spec.demand());
+        placement_records::prepare_open_record(context, shard, &self.machines);
+        let Some(machine) = self.machines.get_mut(candidate.index) else { return false };
+        let record =
+            placement_records::reserve_attempt(context, shard, machine, admitted.job, &spec.team);
+        machine.attempts.push(bound_attempt(context, &spec, admitted, record));
+        let cache_gb = context.machine_types[candidate.machine_type].cache_gb;
+        remember_image(&mut machine.images, &spec.image, spec.image_gb, cache_gb);
         true
     }
 }
 
-/// The most recently used images first, as many as the cache holds.
-fn remember_image(images: &mut Vec<(String, f64)>, name: &str, gb: f64, cache_gb: f64) {
+/// The description of a job whose tasks may start.
+fn startable_spec(context: &NodeContext, index: JobIndex) -> Option<Arc<JobSpec>> {
+    let job = context.job(index);
+    let may_start = job.state == JobState::Live && !context.must_stop(index);
+    job.spec.clone().filter(|_| may_start)
+}
+
+/// Best fit: of the candidates that may take a task of the job, the place of the one with
+/// the lowest score; of several the first.
+fn best_candidate(
+    context: &NodeContext,
+    machines: &Machines,
+    spec: &JobSpec,
+    candidates: &[CandidateMachine],
+) -> Option<usize> {
+    let demand = spec.demand();
+    let mut best: Option<(f64, usize)> = None;
+    for (place, candidate) in candidates.iter().enumerate() {
+        if !demand.fits_within(&candidate.free_capacity) {
+            continue;
+        }
+        let Some(machine) = machines.get(candidate.index) else { continue };
+        if !window::allowed(spec, &machine.type_name, &machine.zone, machine.is_spot) {
+            continue;
+        }
+        let score = score(context, spec, machine, candidate);
+        if best.is_none_or(|(lowest, _)| score < lowest) {
+            best = Some((score, place));
+        }
+    }
+    best.map(|(_, place)| place)
+}
+
+/// How badly a machine suits a task of the job: the lower the better. Machines with its
+/// image and with little capacity left over come first, spot instances before others
+/// where they are allowed.
+fn score(context: &NodeContext, spec: &JobSpec, machine: &Machine, candidate: &CandidateMachine) -> f64 {
+    let capacity = &context.machine_types[candidate.machine_type].capacity;
+    let has_image = spec.image_gb <= 0.0 || machine.images.iter().any(|image| image.name == spec.image);
+    let wastes_ordinary = spec.spot && !machine.is_spot;
+    let demand = spec.demand();
+    let mut score =
+        window::fit_score(&demand, &candidate.free_capacity, capacity, wastes_ordinary, has_image);
+    score += context.machine_types.scarcity_penalty(candidate.machine_type);
+    // A machine with a parked heartbeat starts the task now, not with its next heartbeat.
+    if machine.parked_heartbeat.is_none() {
+        score += NO_PARKED_HEARTBEAT_PENALTY;
+    }
+    score
+}
+
+/// The attempt at an admitted task that is to be listed by this placement record.
+fn bound_attempt(
+    context: &NodeContext,
+    spec: &JobSpec,
+    admitted: &AdmittedTask,
+    record: RecordIndex,
+) -> Attempt {
+    let demand = spec.demand();
+    let job_id = context.jobs.id(admitted.job);
+    Attempt {
+        job: admitted.job,
+        task: admitted.task,
+        id: admitted.attempt,
+        demand,
+        job_row_bytes: placement_records::job_row_bytes(job_id, &spec.team, &demand),
+        team: spec.team.clone(),
+        record,
+        moving_to: None,
+        recording: RecordingState::Unrecorded,
+        phase: AttemptPhase::Bound,
+        is_wanted: true,
+        run_sent: None,
+        was_listed: false,
+        started_at: None,
+        ran_ms: 0,
+        expected_ms: admitted.expected_ms,
+        bound_at: Some(context.clock.now()),
+        recorded_at: None,
+    }
+}
+
+/// Puts an image in front of the cached ones, as many of which are kept as the cache
+/// holds.
+fn remember_image(images: &mut Vec<CachedImage>, name: &str, size_gb: f64, cache_gb: f64) {
     if name.is_empty() {
         return;
     }
-    images.retain(|(n, _)| n != name);
-    images.insert(0, (name.to_string(), gb));
-    let mut sum = 0.0;
-    images.retain(|(_, gb)| {
-        sum += gb;
-        sum <= cache_gb.max(0.1)
+    images.retain(|image| image.name != name);
+    images.insert(0, CachedImage { name: name.to_string(), size_gb });
+    let mut total_gb = 0.0;
+    images.retain(|image| {
+        total_gb += image.size_gb;
+        total_gb <= cache_gb.max(MIN_CACHE_GB)
     });
 }
--- a/src/core/shard_owner/desired_state.rs
+++ b/src/core/shard_owner/desired_state.rs
@@ -1,145 +1,274 @@
-//! What the leader wants in the blocks held here, taken in.
+//! Taking in what the leader wants in a shard of this node.
 
-use super::binding::Granted;
-use super::machine::{Attempt, Machine};
-use super::{Load, ShardOwner, placement_records};
+use super::ShardOwner;
+use super::attempt::Attempt;
+use super::binding::AdmittedTask;
+use super::machine::{Machine, machines_of_mut};
+use super::owned_shard::{GoneAttempt, OwnedShard, ParkedDesiredState, WaitingTasks};
 use crate::core::common::context::NodeContext;
 use crate::model::{JobIndex, Ms, ShardIndex};
-use crate::wire::peer::DesiredState;
+use crate::wire::peer::{Decommission, DesiredState};
 use rustc_hash::{FxHashMap, FxHashSet};
 use woadlever_recovery::attempt;
 
+/// How long a desired state may wait for jobs that the watch has yet to bring.
+const MAX_PARKED_MS: Ms = 2_000;
+
+/// What the leader wants of one attempt.
+struct DesiredAttempt {
+    job: JobIndex,
+    task: u32,
+    /// Whether the attempt may be bound if it is not yet.
+    may_bind: bool,
+    expected_ms: Ms,
+}
+
+/// The attempts that a desired state names.
+struct DesiredAttempts {
+    /// By their ids.
+    wanted: FxHashMap<u64, DesiredAttempt>,
+    /// Ids of attempts at tasks of jobs that are unknown here.
+    of_unknown_jobs: FxHashSet<u64>,
+}
+
+impl DesiredAttempts {
+    fn from_message(context: &NodeContext, message: &DesiredState) -> DesiredAttempts {
+        let mut wanted = FxHashMap::default();
+        let mut of_unknown_jobs = FxHashSet::default();
+        for desired in &message.jobs {
+            let Some(job) = context.job_index(&desired.job) else {
+                of_unknown_jobs.extend(desired.tasks.iter().map(|&(_, id, _)| id));
+                continue;
+            };
+            let expected_ms = (desired.expected_s * 1000.0) as Ms;
+            for &(task, id, may_bind) in &desired.tasks {
+                wanted.insert(id, DesiredAttempt { job, task, may_bind, expected_ms });
+            }
+        }
+        DesiredAttempts { wanted, of_unknown_jobs }
+    }
+
+    /// The tasks to bind, by the ids of their attempts: those that may be bound and are on
+    /// no machine yet.
+    fn admitted(&self, known: &FxHashSet<u64>) -> Vec<AdmittedTask> {
+        let mut admitted: Vec<AdmittedTask> = self
+            .wanted
+            .iter()
+            .filter(|(id, desired)| desired.may_bind && !known.contains(id))
+            .map(|(&attempt, desired)| AdmittedTask {
+                attempt,
+                job: desired.job,
+                task: desired.task,
+                expected_ms: desired.expected_ms,
+            })
+            .collect();
+        admitted.sort_unstable_by_key(|task| task.attempt);
+        admitted
+    }
+}
+
+/// The machines that a desired state names.
+struct MachineDirectives<'a> {
+    cordoned: FxHashSet<&'a str>,
+    decommission: FxHashSet<&'a str>,
+    quarantined: FxHashSet<&'a str>,
+}
+
+impl MachineDirectives<'_> {
+    fn from_message(message: &DesiredState) -> MachineDirectives<'_> {
+        MachineDirectives {
+            cordoned: message.cordoned.iter().map(String::as_str).collect(),
+            decommission: message.decommission.iter().map(|entry| entry.machine.as_str()).collect(),
+            quarantined: message.quarantined.iter().map(String::as_str).collect(),
+        }
+    }
+
+    fn apply(&self, machine: &mut Machine) {
+        let name = machine.name.as_str();
+        machine.is_cordoned = self.cordoned.contains(name);
+        machine.is_decommissioning = machine.terminating_recorded || self.decommission.contains(name);
+        machine.is_quarantined = self.quarantined.contains(name);
+    }
+}
+
 impl ShardOwner {
-    pub fn on_desired_state(&mut self, context: &mut NodeContext, w: DesiredState) {
-        let current = context.leadership.term();
-        let Some(Some(h)) = self.shards.get_mut(w.shard as usize) else { return };
-        if current != Some(w.term) || w.fencing_token != h.fencing_token || h.load != Load::Done {
+    /// Takes in a desired state, unless it is out of date, or parks it until the jobs that
+    /// it names are known.
+    pub fn on_desired_state(&mut self, context: &mut NodeContext, message: DesiredState) {
+        let Some(Some(shard)) = self.shards.get_mut(message.shard as usize) else { return };
+        if !is_current(context, shard, &message) {
             return;
         }
-        if h.term == w.term && w.serial <= h.echo {
+        if knows_jobs(context, &message) {
+            shard.parked_desired_state = None;
+            self.take_desired_state(context, message);
             return;
         }
-        if knows_jobs(context, &w) {
-            h.parked = None;
-            self.take_desired_state(context, w);
-        } else if h.parked.as_ref().is_none_or(|(p, _)| p.serial < w.serial || p.term != w.term) {
-            let at = h.parked.as_ref().map_or(context.clock.now(), |(_, at)| *at);
-            h.parked = Some((w, at));
+        let parked = shard.parked_desired_state.as_ref();
+        let is_newer = |parked: &ParkedDesiredState| {
+            parked.message.serial < message.serial || parked.message.term != message.term
+        };
+        if parked.is_none_or(is_newer) {
+            let since = parked.map_or(context.clock.now(), |parked| parked.since);
+            shard.parked_desired_state = Some(ParkedDesiredState { message, since });
         }
     }
 
-    pub(super) fn take_desired_state(&mut self, context: &mut NodeContext, w: DesiredState) {
-        let shard = ShardIndex::new(w.shard);
-        let b = shard.place();
-        let Some(h) = &mut self.shards[b] else { return };
-        if h.fencing_token != w.fencing_token {
+    /// Takes in the parked desired state of a shard if its jobs are known by now, or don't
+    /// become known in time.
+    pub(super) fn retry_parked_desired_state(&mut self, context: &mut NodeContext, index: ShardIndex) {
+        let Some(shard) = &mut self.shards[index.place()] else { return };
+        let now = context.clock.now();
+        let is_due = |parked: &mut ParkedDesiredState| {
+            now > parked.since + MAX_PARKED_MS || knows_jobs(context, &parked.message)
+        };
+        if let Some(parked) = shard.parked_desired_state.take_if(is_due) {
+            self.take_desired_state(context, parked.message);
+        }
+    }
+
+    fn take_desired_state(&mut self, context: &mut NodeContext, message: DesiredState) {
+        let index = ShardIndex::new(message.shard);
+        let Some(shard) = &mut self.shards[index.place()] else { return };
+        if shard.fencing_token != message.fencing_token {
             return;
         }
-        h.term = w.term;
-        h.echo = w.serial;
-        h.dirty = true;
-        let mut wanted: FxHashMap<u64, (JobIndex, u32, bool, Ms)> = FxHashMap::default();
-        // The leader takes what our next state message leaves out for never bound and
-        // puts it elsewhere. So a task whose job is yet unknown here is refused
-        // for good: bound with a later state message, it would run twice.
-        let mut unknown: FxHashSet<u64> = FxHashSet::default();
-        for j in &w.jobs {
-            let Some(job) = context.job_index(&j.job) else {
-                unknown.extend(j.tasks.iter().map(|t| t.1));
-                continue;
-            };
-            for &(task, id, bind) in &j.tasks {
-                wanted.insert(id, (job, task, bind, (j.expected_s * 1000.0) as Ms));
-            }
+        let desired = DesiredAttempts::from_message(context, &message);
+        note_message(context, shard, &message, &desired);
+        for name in &message.gone {
+            self.forget_machine(context, name, index);
         }
-        h.rejected.retain(|id| wanted.contains_key(id));
-        h.rejected.extend(unknown);
-        h.waiting =
-            w.waiting.iter().filter_map(|x| Some((context.job_index(&x.job)?, x.count))).collect();
-        for name in &w.gone {
-            self.forget_machine(context, name, shard);
-        }
-        let cordoned: FxHashSet<&str> = w.cordoned.iter().map(String::as_str).collect();
-        let decommission: FxHashSet<&str> = w.decommission.iter().map(|r| r.machine.as_str()).collect();
-        let quarantined: FxHashSet<&str> = w.quarantined.iter().map(String::as_str).collect();
-        for r in &w.decommission {
-            if self.gone.contains(&r.machine) {
-                continue;
-            }
-            let fencing_token = w.fencing_token;
-            let (_, m) = self.machines.get_or_insert_with(&r.machine, || {
-                let mut m = Machine::blank(&r.machine, shard, fencing_token);
-                m.type_name = r.machine_type.clone();
-                m.zone = r.zone.clone();
-                m.spot = r.spot;
-                m
-            });
-            m.decommission = true;
+        for entry in &message.decommission {
+            self.begin_decommission(entry, index, message.fencing_token);
         }
-        let mut known: FxHashSet<u64> = FxHashSet::default();
-        for m in self.machines.values_mut().filter(|m| m.shard == shard) {
-            m.cordoned = cordoned.contains(m.name.as_str());
-            m.decommission = m.terminating_recorded || decommission.contains(m.name.as_str());
-            m.quarantined = quarantined.contains(m.name.as_str());
-            let lease_ended = m.worker.has_ended();
-            for a in &mut m.attempts {
-                known.insert(a.id);
-                match wanted.get(&a.id) {
-                    Some((_, _, _, expected)) => {
-                        a.wanted = true;
-                        a.expected_ms = *expected;
-                    }
-                    None => a.wanted = false,
-                }
-            }
-            // What was never sent is nowhere, whatever the record says; what
-            // ended on a dead machine needs no clearing.
-            if let Some(h) = &mut self.shards[b] {
-                let is_gone = |a: &mut Attempt| attempt::ends_when_unwanted(&a.state(), lease_ended);
-                let gone = m.attempts.extract_if(.., is_gone);
-                placement_records::mark_stale(h, gone.map(|a| a.record), context.clock.now());
-            }
+        let known = self.apply_to_machines(context, index, &message, &desired);
+        let admitted = desired.admitted(&known);
+        if !admitted.is_empty() {
+            self.bind_all(context, index, &admitted);
         }
-        let mut granted: Vec<Granted> = wanted
-            .iter()
-            .filter(|(id, (_, _, bind, _))| *bind && !known.contains(id))
-            .map(|(&id, &(job, task, _, expected))| Granted { id, job, task, expected })
-            .collect();
-        granted.sort_unstable_by_key(|granted| granted.id);
-        if !granted.is_empty() {
-            self.bind_all(context, shard, &granted);
+    }
+
+    /// Notes that a machine is to be decommissioned, which need not be known yet.
+    fn begin_decommission(&mut self, entry: &Decommission, shard: ShardIndex, fencing_token: u64) {
+        if self.terminated_machines.contains(&entry.machine) {
+            return;
         }
+        let (_, machine) = self.machines.get_or_insert_with(&entry.machine, || Machine {
+            type_name: entry.machine_type.clone(),
+            zone: entry.zone.clone(),
+            is_spot: entry.spot,
+            ..Machine::new(&entry.machine, shard, fencing_token)
+        });
+        machine.is_decommissioning = true;
     }
 
-    fn bind_all(&mut self, context: &NodeContext, shard: ShardIndex, granted: &[Granted]) {
-        let mut free = self.free_machines(context, shard);
-        for task in granted {
-            let rejected = self.shards[shard.place()].as_ref().map(|h| h.rejected.contains(&task.id));
-            if rejected != Some(false) || self.bind(context, shard, task, &mut free) {
+    /// Applies the message to the machines of the shard and their attempts; the ids of all
+    /// attempts that were known.
+    fn apply_to_machines(
+        &mut self,
+        context: &NodeContext,
+        index: ShardIndex,
+        message: &DesiredState,
+        desired: &DesiredAttempts,
+    ) -> FxHashSet<u64> {
+        let directives = MachineDirectives::from_message(message);
+        let mut known: FxHashSet<u64> = FxHashSet::default();
+        let Some(shard) = &mut self.shards[index.place()] else { return known };
+        for machine in machines_of_mut(&mut self.machines, index) {
+            directives.apply(machine);
+            known.extend(machine.attempts.iter().map(|attempt| attempt.id));
+            note_wanted(machine, desired);
+            drop_unwanted(context, shard, machine);
+        }
+        known
+    }
+
+    fn bind_all(&mut self, context: &NodeContext, index: ShardIndex, admitted: &[AdmittedTask]) {
+        let mut candidates = self.candidate_machines(context, index);
+        for task in admitted {
+            let shard = self.shards[index.place()].as_ref();
+            let may_bind = shard.is_some_and(|shard| !shard.rejected_attempts.contains(&task.attempt));
+            if !may_bind || self.bind(context, index, task, &mut candidates) {
                 continue;
             }
-            if let Some(h) = &mut self.shards[shard.place()] {
-                h.rejected.insert(task.id);
+            if let Some(shard) = &mut self.shards[index.place()] {
+                shard.rejected_attempts.insert(task.attempt);
             }
         }
     }
 
-    fn forget_machine(&mut self, context: &mut NodeContext, name: &str, shard: ShardIndex) {
-        if !self.gone.insert(name) {
+    /// Forgets a machine whose termination is confirmed, with all that was on it.
+    fn forget_machine(&mut self, context: &mut NodeContext, name: &str, index: ShardIndex) {
+        if !self.terminated_machines.insert(name) {
+            return;
+        }
+        let Some(machine) = self.machines.index_of(name).and_then(|index| self.machines.remove(index))
+        else {
             return;
+        };
+        if let Some(parked) = &machine.parked_heartbeat {
+            context.respond_unavailable(parked.request_id, "this machine has been returned");
         }
-        let Some(ix) = self.machines.index_of(name) else { return };
-        let Some(m) = self.machines.remove(ix) else { return };
-        if let Some(held) = &m.held {
-            context.respond_unavailable(held.request_id, "this machine has been returned");
+        if let Some(shard) = &mut self.shards[index.place()] {
+            let now = context.clock.now();
+            shard.note_gone_attempts(machine.attempts.iter().map(GoneAttempt::from), now);
+            shard.records.mark_outdated(machine.state_record, now);
         }
-        if let Some(h) = &mut self.shards[shard.place()] {
-            h.note_gone_attempts(m.attempts.iter().map(|a| (a.id, a.record)), context.clock.now());
-            placement_records::mark_stale(h, m.record, context.clock.now());
+    }
+}
+
+/// Whether a message comes from the present leader, is meant for this owner of the shard
+/// and is newer than the last one taken in.
+fn is_current(context: &NodeContext, shard: &OwnedShard, message: &DesiredState) -> bool {
+    context.leadership.term() == Some(message.term)
+        && message.fencing_token == shard.fencing_token
+        && shard.is_loaded()
+        && (shard.desired_term != message.term || message.serial > shard.desired_serial)
+}
+
+/// Whether all jobs that the message names are known here.
+fn knows_jobs(context: &NodeContext, message: &DesiredState) -> bool {
+    message.jobs.iter().all(|desired| context.job_index(&desired.job).is_some())
+}
+
+/// Notes what a message says of the shard as a whole.
+fn note_message(
+    context: &NodeContext,
+    shard: &mut OwnedShard,
+    message: &DesiredState,
+    desired: &DesiredAttempts,
+) {
+    shard.desired_term = message.term;
+    shard.desired_serial = message.serial;
+    shard.has_unreported_changes = true;
+    shard.rejected_attempts.retain(|id| desired.wanted.contains_key(id));
+    // The leader takes what our next state message leaves out for never bound and admits
+    // it elsewhere. So a task whose job is yet unknown here is rejected for good: bound
+    // with a later desired state, it would run twice.
+    shard.rejected_attempts.extend(&desired.of_unknown_jobs);
+    let known_job = |waiting: &crate::wire::peer::WaitingTasks| {
+        Some(WaitingTasks { job: context.job_index(&waiting.job)?, count: waiting.count })
+    };
+    shard.waiting_tasks = message.waiting.iter().filter_map(known_job).collect();
+}
+
+/// Notes which attempts of a machine the leader wants.
+fn note_wanted(machine: &mut Machine, desired: &DesiredAttempts) {
+    for attempt in &mut machine.attempts {
+        let wanted = desired.wanted.get(&attempt.id);
+        attempt.is_wanted = wanted.is_some();
+        if let Some(wanted) = wanted {
+            attempt.expected_ms = wanted.expected_ms;
         }
     }
 }
 
-pub(super) fn knows_jobs(context: &NodeContext, w: &DesiredState) -> bool {
-    w.jobs.iter().all(|j| context.job_index(&j.job).is_some())
+/// Drops attempts that are gone without a heartbeat, now that the leader does not want
+/// them: what was never sent is nowhere, whatever its record says, and what ended on a
+/// machine whose lease is over needs no clearing.
+fn drop_unwanted(context: &NodeContext, shard: &mut OwnedShard, machine: &mut Machine) {
+    let lease_ended = machine.liveness.has_ended();
+    let is_gone = |attempt: &mut Attempt| attempt::ends_when_unwanted(&attempt.state(), lease_ended);
+    let gone = machine.attempts.extract_if(.., is_gone);
+    shard.records.mark_outdated(gone.map(|attempt| attempt.record), context.clock.now());
 }
--- a/src/core/shard_owner/direct_commands.rs
+++ b/src/core/shard_owner/direct_commands.rs
@@ -1,7 +1,9 @@
-//! Commands sent straight to workers: only ever to stop what is cancelled.
+//! Commands sent straight to workers, without a heartbeat: only ever to stop tasks of
+//! cancelled jobs.
 
 use super::ShardOwner;
-use super::machine::{Attempt, Machine};
+use super::attempt::Attempt;
+use super::machine::Machine;
 use crate::core::Output;
 use crate::core::common::context::NodeContext;
 use crate::model::{JobIndex, Ms};
@@ -9,60 +11,70 @@
 use rustc_hash::FxHashSet;
 use woadlever_recovery::attempt;
 
-/// A direct command is repeated after this time, so often at most, unless a report
-/// comes first.
-const DIRECT_MS: Ms = 3_000;
-const MOST_DIRECT: u32 = 5;
+/// Time after which direct commands are sent again, unless a heartbeat comes first.
+const RESEND_GAP_MS: Ms = 3_000;
+/// How often they are sent at most.
+const MAX_SENDS: u32 = 5;
 
 impl ShardOwner {
-    /// Tasks of a job that is cancelled are stopped by direct command, where no
-    /// report waits for an answer: one that still waits for its image would start
-    /// before the next report, and machines whose reports reach nobody would go on.
+    /// Stops the tasks of jobs that have just been cancelled by direct command, on machines
+    /// without a parked heartbeat: a task that still waits for its image would start before
+    /// the next heartbeat, and machines whose heartbeats reach nobody would go on.
     pub(super) fn stop_cancelled(&mut self, context: &mut NodeContext) {
         let jobs: FxHashSet<JobIndex> = context.jobs.take_newly_cancelled().into_iter().collect();
         if jobs.is_empty() {
             return;
         }
-        for m in self.machines.values_mut() {
-            if m.held.is_none() && m.attempts.iter().any(|a| jobs.contains(&a.job)) {
-                stop_directly(context, m);
+        for machine in self.machines.values_mut() {
+            let has_cancelled = || machine.attempts.iter().any(|attempt| jobs.contains(&attempt.job));
+            if machine.parked_heartbeat.is_none() && has_cancelled() {
+                send_stop_commands(context, machine);
             }
         }
-        // Reports that wait are answered without delay.
-        self.next_scan = 0;
+        // Parked heartbeats are answered without delay.
+        self.next_scan_at = 0;
     }
 
-    /// Again where nothing has been heard of it.
-    pub(super) fn repeat_stops(&mut self, context: &mut NodeContext) {
+    /// Sends stop commands again to machines that have not been heard since.
+    pub(super) fn repeat_stop_commands(&mut self, context: &mut NodeContext) {
         let now = context.clock.now();
-        for m in self.machines.values_mut() {
-            if (1..MOST_DIRECT).contains(&m.worker.direct_commands())
-                && m.held.is_none()
-                && now >= m.direct_at + DIRECT_MS
+        for machine in self.machines.values_mut() {
+            if (1..MAX_SENDS).contains(&machine.liveness.direct_commands())
+                && machine.parked_heartbeat.is_none()
+                && now >= machine.last_direct_command_at + RESEND_GAP_MS
             {
-                stop_directly(context, m);
+                send_stop_commands(context, machine);
             }
         }
     }
 }
 
-/// Never a `run`, which could be carried out minutes late.
-fn stop_directly(context: &mut NodeContext, m: &mut Machine) {
-    let stop = |a: &Attempt| Command {
+/// Sends stop commands for all tasks of cancelled jobs that may be on the machine. Never
+/// a `run`, which could be carried out minutes late.
+fn send_stop_commands(context: &mut NodeContext, machine: &mut Machine) {
+    let commands: Vec<Command> = machine
+        .attempts
+        .iter()
+        .filter(|attempt| attempt::may_need_direct_stop(&attempt.state()))
+        .filter(|attempt| context.must_stop(attempt.job))
+        .map(|attempt| stop_command(context, attempt))
+        .collect();
+    if commands.is_empty() || machine.address.is_empty() || machine.liveness.has_ended() {
+        return;
+    }
+    machine.last_direct_command_at = context.clock.now();
+    machine.liveness.note_direct_command();
+    let incarnation = machine.liveness.newest().incarnation;
+    let fencing_token = machine.fencing_token;
+    let commands = DirectCommands { fencing_token, incarnation, commands };
+    context.outbox.push(Output::DirectCommands { addr: machine.address.clone(), commands });
+}
+
+fn stop_command(context: &NodeContext, attempt: &Attempt) -> Command {
+    Command {
         op: CommandAction::Stop,
-        task: format!("{}/{}", context.jobs.id(a.job), a.task),
-        attempt: a.id,
+        task: format!("{}/{}", context.jobs.id(attempt.job), attempt.task),
+        attempt: attempt.id,
         grace_s: Some(0.0),
-    };
-    let may_be_there = |a: &&Attempt| attempt::may_need_direct_stop(&a.state());
-    let due = m.attempts.iter().filter(may_be_there).filter(|a| context.must_stop(a.job));
-    let commands: Vec<Command> = due.map(stop).collect();
-    if commands.is_empty() || m.addr.is_empty() || m.worker.has_ended() {
-        return;
     }
-    m.direct_at = context.clock.now();
-    m.worker.note_direct_command();
-    let incarnation = m.worker.newest().incarnation;
-    let direct = DirectCommands { fencing_token: m.fencing_token, incarnation, commands };
-    context.outbox.push(Output::DirectCommands { addr: m.addr.clone(), commands: direct });
 }
--- a/src/core/shard_owner/loading.rs
+++ b/src/core/shard_owner/loading.rs
@@ -1,143 +1,172 @@
-//! Reading a block's placement records after it was granted.
+//! Reading a shard's placement records after this node became its owner.
 
-use super::machine::{Attempt, Machine};
-use super::placement_records::{self, HeldRecord};
-use super::{Load, ShardOwner, ShardOwnerCall, place_prefix, reconciliation};
+use super::attempt::{Attempt, RecordingState};
+use super::machine::{Machine, machines_of};
+use super::owned_shard::{LoadState, OwnedShard};
+use super::placement_records::{self, OwnedRecord, RecordIndex};
+use super::{ShardOwner, reconciliation, request_record_page};
+use crate::core::StoreResponse;
 use crate::core::common::context::NodeContext;
-use crate::core::{StoreCallOwner, StoreRequest, StoreResponse};
-use crate::model::{Resources, ShardIndex};
-use crate::wire::store::{KeyValue, PlacementRecord, RecordedMachine};
+use crate::model::{Ms, Resources, ShardIndex};
+use crate::wire::store::{KeyValue, PlacementRecord, RecordedJob, RecordedMachine};
 use woadlever_recovery::attempt::AttemptPhase;
 
+/// Delay before the records are read again after a failed read.
+const LOAD_RETRY_MS: Ms = 300;
+/// Numbers of placement records are smaller than this; a larger one in a key is not ours.
+const MAX_RECORDS: u32 = 100_000;
+
 impl ShardOwner {
-    /// The machines of one record as its record tells them.
-    fn load_record(
+    /// Takes in a page of placement records. After the last one the shard is loaded.
+    pub(super) fn on_record_page(
         &mut self,
         context: &mut NodeContext,
-        shard: ShardIndex,
+        index: ShardIndex,
         fencing_token: u64,
-        item: KeyValue,
+        response: StoreResponse,
     ) {
-        let number = item.key.rsplit('/').next().and_then(|n| n.parse::<u32>().ok());
-        let bytes = item.value.len();
-        let rec = item.value.decode::<PlacementRecord>();
-        let (Some(number), Ok(rec)) = (number.filter(|n| *n < 100_000), rec) else {
-            tracing::error!(key = item.key, "unreadable record");
+        let owned = self.shards[index.place()].as_mut();
+        let Some(shard) = owned.filter(|shard| shard.fencing_token == fencing_token) else { return };
+        let StoreResponse::Page(page) = response else {
+            shard.load = LoadState::Due { at: context.clock.now() + context.jitter(LOAD_RETRY_MS) };
             return;
         };
-        if let Some(h) = &mut self.shards[shard.place()] {
-            while h.records.len() <= number as usize {
-                h.records.push(HeldRecord::new(0, 0));
-            }
-            h.records[number as usize] = HeldRecord::read(context, item.version, bytes);
+        let last_key = page.items.last().map(|item| item.key.clone());
+        for item in page.items {
+            self.load_record(context, index, item);
         }
-        for row in &rec.machines {
-            // Another record may have told of it already.
-            let blank = || Machine::blank(&row.0, shard, fencing_token);
-            let (_, m) = self.machines.get_or_insert_with(&row.0, blank);
-            if m.fencing_token != fencing_token {
-                *m = Machine::blank(&row.0, shard, fencing_token);
-            }
-            m.type_name = rec.types.get(row.1 as usize).cloned().unwrap_or_default();
-            m.zone = context.shards[shard.place()].zone.clone();
-            m.spot = row.is(RecordedMachine::SPOT);
-            m.terminating_recorded |= row.is(RecordedMachine::TERMINATING);
-            m.decommission |= m.terminating_recorded;
-            if row.is(RecordedMachine::CORDONED | RecordedMachine::TERMINATING) || m.record.is_none() {
-                m.record = Some(number);
-                m.cordoned_recorded = row.is(RecordedMachine::CORDONED);
-                m.cordoned |= m.cordoned_recorded;
-            }
-            // What its report told meanwhile stays; and the record may be read
-            // a second time.
-            m.attempts.retain(|a| a.record != number);
-            for new in inherited(context, &rec, row, number) {
-                // On two records, if a holder was lost while it moved it.
-                let Some(old) = m.attempts.iter_mut().find(|a| a.id == new.id) else {
-                    m.attempts.push(new);
-                    continue;
-                };
-                if let Some(h) = &mut self.shards[shard.place()] {
-                    placement_records::mark_stale(h, [old.record], context.clock.now());
-                }
-                (old.record, old.moving) = (number, None);
-            }
+        if page.more && last_key.is_some() {
+            request_record_page(context, index, fencing_token, last_key);
+        } else {
+            self.finish_load(context, index, page.revision);
         }
     }
 
-    pub(super) fn on_load(
-        &mut self,
-        context: &mut NodeContext,
-        shard: ShardIndex,
-        fencing_token: u64,
-        result: StoreResponse,
-    ) {
-        let Some(h) = self.shards[shard.place()].as_mut().filter(|h| h.fencing_token == fencing_token)
-        else {
-            return;
-        };
-        let StoreResponse::Page(p) = result else {
-            h.load = Load::Wanted { at: context.clock.now() + context.jitter(300) };
+    fn finish_load(&mut self, context: &NodeContext, index: ShardIndex, revision: u64) {
+        let Some(shard) = self.shards[index.place()].as_mut() else { return };
+        let recorded: usize =
+            machines_of(&self.machines, index).map(Machine::unreconciled_attempts).sum();
+        shard.load = LoadState::Done;
+        shard.recovery.records_read(revision, recorded as u32);
+        shard.has_unreported_changes = true;
+        reconciliation::log_recovery_phase(context, shard);
+    }
+
+    /// Takes in one record: its machines with their attempts.
+    fn load_record(&mut self, context: &mut NodeContext, index: ShardIndex, item: KeyValue) {
+        let bytes = item.value.len();
+        let decoded = item.value.decode::<PlacementRecord>();
+        let (Some(record), Ok(content)) = (record_number(&item.key), decoded) else {
+            tracing::error!(key = item.key, "unreadable placement record");
             return;
         };
-        let revision = p.revision;
-        let last = p.items.last().map(|i| i.key.clone());
-        for i in p.items {
-            self.load_record(context, shard, fencing_token, i);
-        }
-        if p.more && last.is_some() {
-            let prefix = place_prefix(&context.shards[shard.place()].name);
-            context.send_store_request(
-                StoreCallOwner::ShardOwner(ShardOwnerCall::Load { shard, fencing_token }),
-                StoreRequest::List { prefix, since: last, most: 1000 },
-            );
-            return;
-        }
-        if let Some(h) = self.shards[shard.place()].as_mut() {
-            let of_block = self.machines.values().filter(|m| m.shard == shard);
-            let recorded: usize = of_block.map(Machine::unreconciled_attempts).sum();
-            h.load = Load::Done;
-            h.recovery.records_read(revision, recorded as u32);
-            h.dirty = true;
-            reconciliation::log_phase(context, shard.place(), h.fencing_token, &h.recovery);
+        let Some(shard) = &mut self.shards[index.place()] else { return };
+        shard.records.insert_loaded(record, OwnedRecord::loaded(context, item.version, bytes));
+        for row in &content.machines {
+            let RecordedMachine(name, ..) = row;
+            let new_machine = || Machine::new(name, index, shard.fencing_token);
+            // Another record may have listed it already.
+            let (_, machine) = self.machines.get_or_insert_with(name, new_machine);
+            if machine.fencing_token != shard.fencing_token {
+                *machine = Machine::new(name, index, shard.fencing_token);
+            }
+            let loaded = LoadedRow { content: &content, row, record };
+            load_machine_state(context, machine, &loaded);
+            load_attempts(context, shard, machine, &loaded);
         }
     }
 }
 
-fn inherited(
+/// A machine's row in a placement record that was read.
+struct LoadedRow<'a> {
+    content: &'a PlacementRecord,
+    row: &'a RecordedMachine,
+    record: RecordIndex,
+}
+
+/// The number of a record in its key.
+fn record_number(key: &str) -> Option<RecordIndex> {
+    let (_, number) = key.rsplit_once('/')?;
+    number.parse().ok().filter(|number| *number < MAX_RECORDS).map(RecordIndex::new)
+}
+
+fn load_machine_state(context: &NodeContext, machine: &mut Machine, loaded: &LoadedRow<'_>) {
+    let row = loaded.row;
+    let RecordedMachine(_, type_row, ..) = row;
+    machine.type_name = loaded.content.types.get(*type_row as usize).cloned().unwrap_or_default();
+    machine.zone = context.shards[machine.shard.place()].zone.clone();
+    machine.is_spot = row.is(RecordedMachine::SPOT);
+    machine.terminating_recorded |= row.is(RecordedMachine::TERMINATING);
+    machine.is_decommissioning |= machine.terminating_recorded;
+    let shows_state = row.is(RecordedMachine::CORDONED | RecordedMachine::TERMINATING);
+    if shows_state || machine.state_record.is_none() {
+        machine.state_record = Some(loaded.record);
+        machine.cordoned_recorded = row.is(RecordedMachine::CORDONED);
+        machine.is_cordoned |= machine.cordoned_recorded;
+    }
+}
+
+/// Takes in the attempts of a machine's row. What the machine's heartbeats have told
+/// meanwhile stays, and the record may be read a second time.
+fn load_attempts(
+    context: &mut NodeContext,
+    shard: &mut OwnedShard,
+    machine: &mut Machine,
+    loaded: &LoadedRow<'_>,
+) {
+    machine.attempts.retain(|attempt| attempt.record != loaded.record);
+    for inherited in inherited_attempts(context, loaded) {
+        // Listed by two records, if a shard owner was lost while it moved the attempt.
+        let known = machine.attempts.iter_mut().find(|attempt| attempt.id == inherited.id);
+        let Some(known) = known else {
+            machine.attempts.push(inherited);
+            continue;
+        };
+        shard.records.mark_outdated([known.record], context.clock.now());
+        known.finish_move(loaded.record);
+    }
+}
+
+/// The attempts of a machine's row; what a former owner bound.
+fn inherited_attempts(context: &mut NodeContext, loaded: &LoadedRow<'_>) -> Vec<Attempt> {
+    let attempts = loaded.row.tasks(loaded.content.base);
+    attempts
+        .filter_map(|(job_row, task, id)| {
+            let job = loaded.content.jobs.get(job_row)?;
+            Some(inherited_attempt(context, job, task, id, loaded.record))
+        })
+        .collect()
+}
+
+fn inherited_attempt(
     context: &mut NodeContext,
-    rec: &PlacementRecord,
-    row: &RecordedMachine,
-    record: u32,
-) -> Vec<Attempt> {
-    let mut out = Vec::new();
-    for (job, task, id) in row.tasks(rec.base) {
-        let Some(j) = rec.jobs.get(job) else { continue };
-        // A job not in memory is final, and its tasks are to be stopped. Left out,
+    job: &RecordedJob,
+    task: u32,
+    id: u64,
+    record: RecordIndex,
+) -> Attempt {
+    let RecordedJob(job_id, team, cpus, gpus, mem) = job;
+    let demand = Resources { cpus: *cpus, gpus: *gpus, mem: *mem };
+    Attempt {
+        // A job that is not in memory is final, and its tasks are to be stopped. Left out,
         // they would pass for gone.
-        let job = context.job_index_or_lookup(&j.0);
-        let demand = Resources { cpus: j.2, gpus: j.3, mem: j.4 };
-        out.push(Attempt {
-            job,
-            task,
-            id,
-            demand,
-            job_row_bytes: placement_records::job_row_bytes(&j.0, &j.1, &demand),
-            team: j.1.clone(),
-            record,
-            moving: None,
-            phase: AttemptPhase::Inherited,
-            tried: true,
-            written: true,
-            wanted: true,
-            run_sent: None,
-            listed: false,
-            started: None,
-            ran: 0,
-            expected_ms: 0,
-            bound_at: 0,
-            written_at: 0,
-        });
+        job: context.job_index_or_lookup(job_id),
+        task,
+        id,
+        demand,
+        job_row_bytes: placement_records::job_row_bytes(job_id, team, &demand),
+        team: team.clone(),
+        record,
+        moving_to: None,
+        recording: RecordingState::Recorded,
+        phase: AttemptPhase::Inherited,
+        is_wanted: true,
+        run_sent: None,
+        was_listed: false,
+        started_at: None,
+        ran_ms: 0,
+        expected_ms: 0,
+        bound_at: None,
+        recorded_at: None,
     }
-    out
 }
--- a/src/core/shard_owner/machine.rs
+++ b/src/core/shard_owner/machine.rs
@@ -1,127 +1,120 @@
-//! A machine of a held block, with the attempts that may be on it.
+//! A machine of an owned shard, with the attempts that may be on it.
 
+use super::attempt::Attempt;
+use super::placement_records::RecordIndex;
 use crate::core::common::context::NodeContext;
 use crate::core::common::named_table::NamedTable;
-use crate::model::{JobIndex, MachineIndex, Ms, Resources, ShardIndex};
+use crate::model::{MachineIndex, Ms, Resources, ShardIndex};
 use crate::wire::workers::Command;
-use woadlever_recovery::attempt::{AttemptPhase, AttemptState};
-use woadlever_recovery::worker::{HeartbeatVersion, WorkerLiveness};
+use woadlever_recovery::attempt::AttemptPhase;
+use woadlever_recovery::worker::WorkerLiveness;
 
-/// Machines of the blocks held here.
+/// Machines of all shards that this node owns.
 pub type Machines = NamedTable<MachineIndex, Machine>;
 
-/// An attempt at a task that may be on a machine.
-#[derive(Debug)]
-pub struct Attempt {
-    pub job: JobIndex,
-    pub task: u32,
-    pub id: u64,
-    pub demand: Resources,
-    pub team: String,
-    /// Length of its job's row in a placement record.
-    pub job_row_bytes: usize,
-    /// The record that it is in, or shall be.
-    pub record: u32,
-    /// The record that it is being copied to, out of one that is too long.
-    pub moving: Option<u32>,
-    pub(super) phase: AttemptPhase,
-    /// Part of a transaction that was sent: may be in the record.
-    pub tried: bool,
-    pub written: bool,
-    /// Whether the leader wants it there.
-    pub wanted: bool,
-    /// The report whose answer first carried its `run`.
-    pub(super) run_sent: Option<HeartbeatVersion>,
-    /// A report has listed it.
-    pub(super) listed: bool,
-    pub(super) started: Option<Ms>,
-    pub(super) ran: Ms,
-    pub(super) expected_ms: Ms,
-    /// When it was bound here, and when that was on record.
-    pub(super) bound_at: Ms,
-    pub(super) written_at: Ms,
+/// The machines of one shard.
+pub(super) fn machines_of(machines: &Machines, shard: ShardIndex) -> impl Iterator<Item = &Machine> {
+    machines.values().filter(move |machine| machine.shard == shard)
 }
 
-impl Attempt {
-    /// What verdicts and orders rest on.
-    pub(super) fn state(&self) -> AttemptState {
-        AttemptState { phase: self.phase, wanted: self.wanted, run_sent: self.run_sent }
-    }
-
-    /// It waits to be sent: recorded, wanted and never sent.
-    pub(super) fn is_ready(&self) -> bool {
-        self.phase == AttemptPhase::Bound && self.written && self.wanted
-    }
+/// The machines of one shard, to be changed.
+pub(super) fn machines_of_mut(
+    machines: &mut Machines,
+    shard: ShardIndex,
+) -> impl Iterator<Item = &mut Machine> {
+    machines.values_mut().filter(move |machine| machine.shard == shard)
 }
 
-/// A machine of a held block.
+/// A container image that a machine has at hand.
 #[derive(Debug)]
-pub struct Machine {
-    pub name: String,
-    pub(super) addr: String,
-    pub type_name: String,
-    pub(super) zone: String,
-    pub spot: bool,
-    pub shard: ShardIndex,
-    pub fencing_token: u64,
-    /// What its reports and our answers prove.
-    pub(super) worker: WorkerLiveness,
-    pub(super) preemption_notice: bool,
-    pub cordoned: bool,
-    pub(super) quarantined: bool,
-    pub(super) decommission: bool,
-    pub terminating_recorded: bool,
-    pub cordoned_recorded: bool,
-    /// Room for its row is kept in that record.
-    pub row_kept: bool,
-    /// The record that speaks of it, once there's something to say.
-    pub record: Option<u32>,
-    /// A long record whose row on it stays until that one has it.
-    pub row_from: Option<u32>,
-    pub attempts: Vec<Attempt>,
-    pub(super) images: Vec<(String, f64)>,
-    pub(super) overloaded: bool,
-    pub(super) peak: f64,
-    pub(super) held: Option<Held>,
-    /// When it was last told directly to stop tasks.
-    pub(super) direct_at: Ms,
+pub(super) struct CachedImage {
+    pub(super) name: String,
+    pub(super) size_gb: f64,
 }
 
-/// A report that waits for its answer.
+/// A worker heartbeat whose response is held back until there is work for the machine
+/// or its time is over.
 #[derive(Debug)]
-pub(super) struct Held {
+pub(super) struct ParkedHeartbeat {
     pub(super) request_id: u64,
-    pub(super) until: Ms,
+    /// The response goes out now at the latest.
+    pub(super) respond_by: Ms,
+    /// Commands decided when the heartbeat arrived.
     pub(super) commands: Vec<Command>,
 }
 
+/// A machine of an owned shard.
+#[derive(Debug)]
+pub struct Machine {
+    pub(super) name: String,
+    /// Address for direct commands; empty until a heartbeat has told it.
+    pub(super) address: String,
+    /// Name of its machine type.
+    pub(super) type_name: String,
+    pub(super) zone: String,
+    pub(super) is_spot: bool,
+    pub(super) shard: ShardIndex,
+    /// Fencing token of the shard when the machine became known.
+    pub(super) fencing_token: u64,
+    /// What its heartbeats and our responses prove.
+    pub(super) liveness: WorkerLiveness,
+    pub(super) has_preemption_notice: bool,
+    /// Gets no new tasks until it is drained, as the leader wants.
+    pub(super) is_cordoned: bool,
+    /// Gets no new tasks for now, as the leader wants.
+    pub(super) is_quarantined: bool,
+    /// Is to be made ready for its termination, as the leader wants.
+    pub(super) is_decommissioning: bool,
+    /// A placement record says that it is being terminated. Never taken back.
+    pub(super) terminating_recorded: bool,
+    /// Its placement record says that it is cordoned.
+    pub(super) cordoned_recorded: bool,
+    /// The placement record whose row shows the machine's own state; none until one
+    /// lists it.
+    pub(super) state_record: Option<RecordIndex>,
+    /// Capacity for its row is reserved in `state_record`.
+    pub(super) state_row_reserved: bool,
+    /// An oversized record that keeps the row with its state until `state_record` has it.
+    pub(super) former_state_record: Option<RecordIndex>,
+    pub(super) attempts: Vec<Attempt>,
+    /// Images in its cache, the most recently used first.
+    pub(super) images: Vec<CachedImage>,
+    /// Whether its projected load exceeds its capacity for too long.
+    pub(super) is_overloaded: bool,
+    /// Largest projected share of its capacity.
+    pub(super) peak_load: f64,
+    pub(super) parked_heartbeat: Option<ParkedHeartbeat>,
+    /// When direct commands were last sent to it.
+    pub(super) last_direct_command_at: Ms,
+}
+
 impl Machine {
-    /// A machine of which nothing is known yet.
-    pub(super) fn blank(name: &str, shard: ShardIndex, fencing_token: u64) -> Machine {
+    /// A machine of which nothing is known but its name.
+    pub(super) fn new(name: &str, shard: ShardIndex, fencing_token: u64) -> Machine {
         Machine {
             name: name.into(),
-            addr: String::new(),
+            address: String::new(),
             type_name: String::new(),
             zone: String::new(),
-            spot: false,
+            is_spot: false,
             shard,
             fencing_token,
-            worker: WorkerLiveness::default(),
-            preemption_notice: false,
-            cordoned: false,
-            quarantined: false,
-            decommission: false,
+            liveness: WorkerLiveness::default(),
+            has_preemption_notice: false,
+            is_cordoned: false,
+            is_quarantined: false,
+            is_decommissioning: false,
             terminating_recorded: false,
             cordoned_recorded: false,
-            row_kept: false,
-            record: None,
-            row_from: None,
+            state_record: None,
+            state_row_reserved: false,
+            former_state_record: None,
             attempts: Vec::new(),
             images: Vec::new(),
-            overloaded: false,
-            peak: 0.0,
-            held: None,
-            direct_at: 0,
+            is_overloaded: false,
+            peak_load: 0.0,
+            parked_heartbeat: None,
+            last_direct_command_at: 0,
         }
     }
 
@@ -136,28 +129,28 @@
 
     /// Whether new tasks may be bound to it.
     pub(super) fn takes_tasks(&self, context: &NodeContext) -> bool {
-        !self.preemption_notice
-            && !self.cordoned
-            && !self.quarantined
-            && !self.decommission
+        !self.has_preemption_notice
+            && !self.is_cordoned
+            && !self.is_quarantined
+            && !self.is_decommissioning
             && !self.terminating_recorded
-            && self.worker.takes_work(context.fresh_ms, context.clock.now())
+            && self.liveness.takes_work(context.fresh_ms, context.clock.now())
     }
 
-    /// Attempts that no report has confirmed or disproved.
+    /// Attempts that no heartbeat has confirmed or disproved.
     pub(super) fn unreconciled_attempts(&self) -> usize {
         self.attempts.iter().filter(|attempt| attempt.phase == AttemptPhase::Inherited).count()
     }
 
-    /// Its record has to speak of it though nothing may be on it.
-    pub fn has_state(&self) -> bool {
-        self.cordoned || self.terminating_recorded
+    /// Whether a placement record has to list it even if no attempt is on it.
+    pub(super) fn has_recorded_state(&self) -> bool {
+        self.is_cordoned || self.terminating_recorded
     }
 
-    /// Its return may be recorded: nothing is on it any more.
-    pub fn can_decommission(&self) -> bool {
-        let silent_peers = self.worker.last_heartbeat().is_none();
-        let is_empty = self.worker.has_ended() || self.attempts.is_empty() || silent_peers;
-        self.decommission && !self.terminating_recorded && is_empty
+    /// Whether its termination may be recorded: nothing is on it any more.
+    pub(super) fn can_decommission(&self) -> bool {
+        let was_never_heard = self.liveness.last_heartbeat().is_none();
+        let is_empty = self.liveness.has_ended() || self.attempts.is_empty() || was_never_heard;
+        self.is_decommissioning && !self.terminating_recorded && is_empty
     }
 }
--- a/src/core/shard_owner/mod.rs
+++ b/src/core/shard_owner/mod.rs
@@ -1,22 +1,32 @@
-//! The holder of machine blocks: chooses the machine for each task granted to
-//! it and records the choice. Its talk with the workers is in `worker_heartbeats`, what
-//! it tells the leader in `reported_state`, its records in `placement_records`.
+//! The shard owner: chooses the machine for each task that the leader admits to one of
+//! its shards, records the choice, and answers the workers' heartbeats.
 //!
-//! Three things keep a task from running twice. An attempt is written into
-//! the machine's record before its `run` goes out, under conditions that any
-//! later leader or holder breaks by its own writes. `run` goes out only in
-//! answers to reports. And an attempt is called gone only once a newer
-//! report, from a worker that knows our token, does not list it, or its
-//! lease has surely ended, or the cloud has confirmed the machine's return.
+//! The core calls [`ShardOwner`] with worker heartbeats, desired states of the leader and
+//! responses of the key-value store, and polls it after each input. It never decides
+//! which tasks run, or in which shard; that is the leader's part.
+//!
+//! Three things keep a task from running twice. An attempt is recorded before its `run`
+//! goes out, with compares that any later leader or shard owner breaks by its own writes.
+//! `run` goes out only in responses to heartbeats. And an attempt counts as gone only once
+//! a newer heartbeat, from a worker that knows our fencing token, does not list it, or
+//! its lease has surely ended, or the cloud has confirmed the machine's termination.
+//!
+//! - [`binding`], [`desired_state`]: what the leader wants, and the machines chosen for it;
+//! - [`worker_heartbeats`], [`direct_commands`]: what workers tell and are told;
+//! - [`reconciliation`]: what heartbeats and ends of leases prove about attempts;
+//! - [`placement_records`], [`loading`]: the stored records of what may be on machines;
+//! - [`reported_state`], [`load_projection`]: what the leader is told.
 
+mod attempt;
 mod binding;
 mod desired_state;
 mod direct_commands;
+mod load_projection;
 mod loading;
 mod machine;
+mod owned_shard;
 mod placement_records;
 mod reconciliation;
-mod record_draft;
 mod reported_state;
 mod worker_heartbeats;
 
@@ -24,214 +34,190 @@
 use crate::core::common::recent_names::RecentNames;
 use crate::core::{StoreCallOwner, StoreRequest, StoreResponse};
 use crate::model::{JobIndex, Ms, ShardIndex};
-use crate::wire::peer::DesiredState;
-use desired_state::knows_jobs;
 use machine::Machines;
-use placement_records::{HeldRecord, Written};
-use rustc_hash::FxHashSet;
-use woadlever_recovery::shard::ShardRecovery;
+use owned_shard::{LoadState, OwnedShard};
+use placement_records::{RecordIndex, RecordWrite, record_prefix};
 
-/// Sooner than this no second look at all machines for work to write or send.
+/// Shortest time between two looks at all machines for work to write or to send.
 const SCAN_GAP_MS: Ms = 20;
-/// Time between two projections of all machines held; more where there are many.
-const PROJECT_EVERY_MS: Ms = 1_000;
-/// How long a state message from the leader may wait for jobs that the watch has
-/// yet to bring.
-const DESIRED_WAIT_MS: Ms = 2_000;
-
-pub fn place_prefix(shard: &str) -> String {
-    format!("place/{shard}/")
-}
+/// Time between two looks for ended leases and commands to repeat.
+const CHECK_GAP_MS: Ms = 250;
+/// Time between two projections of all machines; more where there are many.
+const PROJECTION_GAP_MS: Ms = 1_000;
+/// Machines whose projection costs as much as one item of a state message.
+const MACHINES_PER_PROJECTION_ITEM: usize = 4;
+/// Placement records that one read asks for.
+const RECORDS_PER_PAGE: u32 = 1_000;
 
+/// A call of the shard owner to the key-value store, to be known again by its response.
 #[derive(Debug)]
 pub enum ShardOwnerCall {
-    Load { shard: ShardIndex, fencing_token: u64 },
-    Write(Written),
-    Reread { shard: ShardIndex, record: u32, fencing_token: u64 },
-}
-
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Load {
-    Wanted { at: Ms },
-    Reading,
-    Done,
-}
-
-#[derive(Debug)]
-pub struct OwnedShard {
-    pub fencing_token: u64,
-    pub load: Load,
-    /// How far what is on record has been squared with what workers report.
-    pub(super) recovery: ShardRecovery,
-    pub term: u64,
-    pub(super) echo: u64,
-    /// Bindings refused here, until the leader has taken note.
-    pub(super) rejected: FxHashSet<u64>,
-    /// A state message that speaks of jobs yet unknown here.
-    pub(super) parked: Option<(DesiredState, Ms)>,
-    pub(super) waiting: Vec<(JobIndex, u32)>,
-    pub dirty: bool,
-    pub(super) sent_at: Ms,
-    /// Machines and tasks in the last state message.
-    pub(super) size: usize,
-    pub records: Vec<HeldRecord>,
-    /// The record that takes what is new.
-    pub open: u32,
-    /// No record is written before that only to leave out what is gone.
-    pub tidy_at: Ms,
-}
-
-impl OwnedShard {
-    /// Attempts that are proven gone, with their records. Pictures under way may
-    /// still allow to bind them, and our next one, which leaves them out, has their
-    /// tasks granted elsewhere: bound again here, they would run twice.
-    pub(super) fn note_gone_attempts(&mut self, gone: impl IntoIterator<Item = (u64, u32)>, now: Ms) {
-        for (id, record) in gone {
-            self.rejected.insert(id);
-            placement_records::mark_stale(self, [record], now);
-        }
-    }
+    /// Reads a page of a shard's placement records.
+    Load {
+        /// The shard.
+        shard: ShardIndex,
+        /// Fencing token under which it was sent.
+        fencing_token: u64,
+    },
+    /// Writes a placement record.
+    Write(RecordWrite),
+    /// Reads a placement record back after a write of unknown outcome.
+    Reread {
+        /// The shard.
+        shard: ShardIndex,
+        /// The record.
+        record: RecordIndex,
+        /// Fencing token under which it was sent.
+        fencing_token: u64,
+    },
 }
 
+/// The shards that this node owns, and their machines.
 pub struct ShardOwner {
-    pub(super) shards: Vec<Option<OwnedShard>>,
+    /// All shards by their index; none: owned by another node, or by nobody.
+    shards: Vec<Option<OwnedShard>>,
+    /// The machines of all owned shards.
     pub(super) machines: Machines,
-    /// Machines whose return is confirmed; a late report must not revive them.
-    pub(super) gone: RecentNames,
-    pub(super) next_scan: Ms,
-    pub(super) next_check: Ms,
-    pub(super) next_project: Ms,
+    /// Machines whose termination is confirmed; a late heartbeat must not revive them.
+    terminated_machines: RecentNames,
+    next_scan_at: Ms,
+    next_check_at: Ms,
+    next_projection_at: Ms,
 }
 
 impl ShardOwner {
+    /// The shard owner of a process that has just started: it owns no shard yet.
     pub fn new(context: &NodeContext) -> ShardOwner {
         ShardOwner {
             shards: context.shards.iter().map(|_| None).collect(),
             machines: Machines::default(),
-            gone: RecentNames::new(context.returned_kept()),
-            next_scan: 0,
-            next_check: 0,
-            next_project: 0,
+            terminated_machines: RecentNames::new(context.returned_kept()),
+            next_scan_at: 0,
+            next_check_at: 0,
+            next_projection_at: 0,
+        }
+    }
+
+    /// Does what is due by now.
+    pub fn poll(&mut self, context: &mut NodeContext) {
+        self.follow_shard_records(context);
+        for place in 0..self.shards.len() {
+            self.start_due_load(context, ShardIndex::at(place));
+            self.retry_parked_desired_state(context, ShardIndex::at(place));
+        }
+        self.stop_cancelled(context);
+        let now = context.clock.now();
+        if now >= self.next_check_at {
+            self.next_check_at = now + CHECK_GAP_MS;
+            self.check_leases(context);
+            self.repeat_stop_commands(context);
+            self.finish_reconciliations(context);
+        }
+        if now >= self.next_projection_at {
+            let items = self.machines.len() / MACHINES_PER_PROJECTION_ITEM;
+            self.next_projection_at = now + context.load_adjusted_gap(PROJECTION_GAP_MS, items);
+            self.project_load(context);
+        }
+        // These look at every machine, so they must not follow every input: hundreds of
+        // heartbeats a second reach a node.
+        if now >= self.next_scan_at {
+            self.next_scan_at = now + SCAN_GAP_MS;
+            placement_records::write_due_records(context, &mut self.shards, &mut self.machines);
+            self.answer_due_heartbeats(context);
+            self.report_to_leader(context);
         }
     }
 
-    /// Takes blocks over and gives them up as the watched records say.
+    /// Takes shards over and gives them up as the watched shard records say.
     fn follow_shard_records(&mut self, context: &mut NodeContext) {
-        for b in 0..self.shards.len() {
-            let owner = context.shards.owner(b);
-            let granted = owner
+        for place in 0..self.shards.len() {
+            let shard = ShardIndex::at(place);
+            let owner = context.shards.owner(place);
+            let own_token = owner
                 .filter(|owner| context.is_self(&owner.record.node, owner.record.incarnation))
                 .map(|owner| owner.fencing_token);
-            let have = self.shards[b].as_ref().map(|h| h.fencing_token);
-            if granted == have {
+            let known_token = self.shards[place].as_ref().map(|shard| shard.fencing_token);
+            if own_token == known_token {
                 continue;
             }
-            for ix in self.machines.indices() {
-                if self.machines.get(ix).is_some_and(|m| m.shard.place() == b)
-                    && let Some(held) = self.machines.remove(ix).and_then(|m| m.held)
-                {
-                    context.respond_unavailable(held.request_id, "the block went to another holder");
-                }
-            }
-            self.shards[b] = granted.map(|fencing_token| {
-                tracing::info!(shard = context.shards[b].name, fencing_token, "holding block");
-                OwnedShard {
-                    fencing_token,
-                    load: Load::Wanted { at: context.clock.now() },
-                    recovery: ShardRecovery::new(context.clock.now()),
-                    term: 0,
-                    echo: 0,
-                    rejected: FxHashSet::default(),
-                    parked: None,
-                    waiting: Vec::new(),
-                    dirty: true,
-                    sent_at: 0,
-                    size: 0,
-                    records: Vec::new(),
-                    open: 0,
-                    tidy_at: 0,
-                }
+            self.drop_machines(context, shard);
+            let name = &context.shards[place].name;
+            self.shards[place] = own_token.map(|fencing_token| {
+                tracing::info!(shard = name, fencing_token, "became shard owner");
+                OwnedShard::new(shard, fencing_token, context.clock.now())
             });
-            if granted.is_none() {
-                tracing::info!(shard = context.shards[b].name, "block went to another holder");
+            if own_token.is_none() {
+                tracing::info!(shard = name, "shard went to another owner");
             }
         }
     }
 
-    pub fn poll(&mut self, context: &mut NodeContext) {
-        self.follow_shard_records(context);
-        let now = context.clock.now();
-        for b in 0..self.shards.len() {
-            let Some(h) = &mut self.shards[b] else { continue };
-            if let Load::Wanted { at } = h.load
-                && now >= at
+    /// Drops the machines of a shard, with an answer to their parked heartbeats.
+    fn drop_machines(&mut self, context: &mut NodeContext, shard: ShardIndex) {
+        for index in self.machines.indices() {
+            let is_dropped = self.machines.get(index).is_some_and(|machine| machine.shard == shard);
+            if is_dropped
+                && let Some(parked) =
+                    self.machines.remove(index).and_then(|machine| machine.parked_heartbeat)
             {
-                h.load = Load::Reading;
-                let call =
-                    ShardOwnerCall::Load { shard: ShardIndex::at(b), fencing_token: h.fencing_token };
-                let prefix = place_prefix(&context.shards[b].name);
-                context.send_store_request(
-                    StoreCallOwner::ShardOwner(call),
-                    StoreRequest::List { prefix, since: None, most: 1000 },
-                );
+                let why = "the block went to another holder";
+                context.respond_unavailable(parked.request_id, why);
             }
-            if let Some((w, at)) = h.parked.take() {
-                if now > at + DESIRED_WAIT_MS || knows_jobs(context, &w) {
-                    self.take_desired_state(context, w);
-                } else if let Some(h) = &mut self.shards[b] {
-                    h.parked = Some((w, at));
-                }
-            }
-        }
-        self.stop_cancelled(context);
-        if now >= self.next_check {
-            self.next_check = now + 250;
-            self.check_leases(context);
-            self.repeat_stops(context);
-            self.follow_recovery(context);
         }
-        if now >= self.next_project {
-            self.next_project =
-                now + context.load_adjusted_gap(PROJECT_EVERY_MS, self.machines.len() / 4);
-            self.project(context);
-        }
-        // These look at every machine, so they must not follow every input:
-        // hundreds of reports a second reach a node.
-        if now >= self.next_scan {
-            self.next_scan = now + SCAN_GAP_MS;
-            placement_records::write_all(context, &mut self.shards, &mut self.machines);
-            self.answer_due(context);
-            self.tell_leader(context);
+    }
+
+    /// Begins to read the placement records of a shard, if that is due.
+    fn start_due_load(&mut self, context: &mut NodeContext, index: ShardIndex) {
+        let Some(shard) = &mut self.shards[index.place()] else { return };
+        if matches!(shard.load, LoadState::Due { at } if context.clock.now() >= at) {
+            shard.load = LoadState::Reading;
+            let fencing_token = shard.fencing_token;
+            request_record_page(context, index, fencing_token, None);
         }
     }
 
-    /// Jobs with an attempt on a machine held here.
+    /// Jobs with an attempt on a machine of an owned shard.
     pub(super) fn jobs_in_use(&self) -> impl Iterator<Item = JobIndex> {
-        self.machines.values().flat_map(|m| m.attempts.iter().map(|a| a.job))
+        self.machines.values().flat_map(|machine| machine.attempts.iter().map(|attempt| attempt.job))
     }
 
-    pub fn on_result(&mut self, context: &mut NodeContext, call: ShardOwnerCall, result: StoreResponse) {
+    /// Takes in the store's response to a call.
+    pub fn on_result(
+        &mut self,
+        context: &mut NodeContext,
+        call: ShardOwnerCall,
+        response: StoreResponse,
+    ) {
+        let machines = &mut self.machines;
         match call {
             ShardOwnerCall::Load { shard, fencing_token } => {
-                self.on_load(context, shard, fencing_token, result)
+                self.on_record_page(context, shard, fencing_token, response);
             }
-            ShardOwnerCall::Write(w) => {
-                if let Some(h) = &mut self.shards[w.shard.place()] {
-                    placement_records::on_written(context, h, &mut self.machines, w, result);
+            ShardOwnerCall::Write(write) => {
+                if let Some(shard) = &mut self.shards[write.shard.place()] {
+                    placement_records::on_write_result(context, shard, machines, write, response);
                 }
             }
             ShardOwnerCall::Reread { shard, record, fencing_token } => {
-                let h = self.shards[shard.place()].as_mut().filter(|h| h.fencing_token == fencing_token);
-                if let Some(h) = h {
-                    placement_records::on_reread(
-                        context,
-                        h,
-                        &mut self.machines,
-                        (shard, record),
-                        result,
-                    );
+                let owned = self.shards[shard.place()].as_mut();
+                if let Some(shard) = owned.filter(|shard| shard.fencing_token == fencing_token) {
+                    placement_records::on_reread_result(context, shard, machines, record, response);
                 }
             }
         }
     }
 }
+
+/// Asks the store for the placement records of a shard that come after a key.
+fn request_record_page(
+    context: &mut NodeContext,
+    shard: ShardIndex,
+    fencing_token: u64,
+    after: Option<String>,
+) {
+    let prefix = record_prefix(&context.shards[shard.place()].name);
+    context.send_store_request(
+        StoreCallOwner::ShardOwner(ShardOwnerCall::Load { shard, fencing_token }),
+        StoreRequest::List { prefix, since: after, most: RECORDS_PER_PAGE },
+    );
+}
--- /dev/null
+++ b/src/core/shard_owner/placement_records/draft.rs
@@ -0,0 +1,170 @@
+//! A placement record while it is put together for a write: which attempts go into it,
+//! and with which compares.
+
+use super::layout::{attempt_bytes, machine_row_bytes, max_record_bytes};
+use super::record::RecordIndex;
+use super::write::RecordWrite;
+use crate::core::common::context::NodeContext;
+use crate::core::common::watch_cache::job_key;
+use crate::core::shard_owner::attempt::{Attempt, RecordingState};
+use crate::core::shard_owner::machine::Machine;
+use crate::model::{JobIndex, MachineIndex};
+use crate::wire::store::{Compare, PlacementRecord, RecordedJob, RecordedMachine};
+use rustc_hash::{FxHashMap, FxHashSet};
+
+/// Compares that a compare-and-swap may have for each mutation.
+const COMPARES_PER_MUTATION: usize = 4;
+
+/// A placement record as it will be written.
+pub(super) struct RecordDraft {
+    /// What will be stored.
+    pub(super) content: PlacementRecord,
+    /// Rows of the record's jobs.
+    pub(super) job_rows: FxHashMap<JobIndex, u32>,
+    /// What the write brings, to be noted once its outcome is known.
+    pub(super) write: RecordWrite,
+    /// What must hold for the write to be executed.
+    pub(super) compares: Vec<Compare>,
+    /// Jobs with a compare of their own.
+    compared_jobs: FxHashSet<JobIndex>,
+    /// Length of the record with all that it holds in any case and what was added.
+    bytes: usize,
+    /// Whether attempts that are not recorded yet may be added.
+    takes_new: bool,
+}
+
+impl RecordDraft {
+    /// A draft without machines. `base` is the smallest id of an attempt that the record
+    /// may list, `bytes` the length of what it holds in any case.
+    pub(super) fn new(
+        write: RecordWrite,
+        compares: Vec<Compare>,
+        base: u64,
+        bytes: usize,
+        takes_new: bool,
+    ) -> RecordDraft {
+        RecordDraft {
+            content: PlacementRecord { base, ..PlacementRecord::default() },
+            job_rows: FxHashMap::default(),
+            write,
+            compares,
+            compared_jobs: FxHashSet::default(),
+            bytes,
+            takes_new,
+        }
+    }
+
+    /// Adds the machine's own state and its attempts, as far as they belong here.
+    pub(super) fn add_machine(
+        &mut self,
+        context: &NodeContext,
+        index: MachineIndex,
+        machine: &mut Machine,
+    ) {
+        let record = self.write.record;
+        let shows_state = machine.state_record == Some(record);
+        let state_flags = if shows_state { state_flags(machine) } else { 0 };
+        let spot_flag = if machine.is_spot { RecordedMachine::SPOT } else { 0 };
+        let flags = state_flags | spot_flag;
+        let tasks = self.add_attempts(context, machine, record);
+        if tasks.is_empty() && state_flags == 0 {
+            return;
+        }
+        let type_row = self.type_row(&machine.type_name);
+        self.content.machines.push(RecordedMachine(machine.name.clone(), type_row, flags, tasks));
+        if shows_state {
+            self.write.machine_flags.insert(index, flags);
+        }
+    }
+
+    /// Adds the attempts of a machine that belong here; the numbers of its row.
+    fn add_attempts(
+        &mut self,
+        context: &NodeContext,
+        machine: &mut Machine,
+        record: RecordIndex,
+    ) -> Vec<u64> {
+        // Counted with the first attempt.
+        let mut row_bytes = machine_row_bytes(&machine.name);
+        let mut tasks = Vec::new();
+        let belongs_here =
+            |attempt: &&mut Attempt| attempt.record == record || attempt.moving_to == Some(record);
+        for attempt in machine.attempts.iter_mut().filter(belongs_here) {
+            if !self.add_attempt(context, attempt, row_bytes) {
+                continue;
+            }
+            row_bytes = 0;
+            let row = self.job_row(context, attempt);
+            tasks.extend([u64::from(row), u64::from(attempt.task), attempt.id - self.content.base]);
+        }
+        tasks
+    }
+
+    /// Whether the attempt is part of the record. `row_bytes` is what its machine's row
+    /// takes, if it is the machine's first.
+    fn add_attempt(&mut self, context: &NodeContext, attempt: &mut Attempt, row_bytes: usize) -> bool {
+        let job_bytes = if self.job_rows.contains_key(&attempt.job) { 0 } else { attempt.job_row_bytes };
+        let own_bytes = attempt_bytes(attempt.task, attempt.id - self.content.base);
+        let bytes = own_bytes + row_bytes + job_bytes;
+        let fits = self.bytes + bytes <= max_record_bytes(context);
+        if attempt.moving_to == Some(self.write.record) {
+            // Recorded elsewhere, so that it needs no compare of its own.
+            if fits {
+                self.bytes += bytes;
+                self.write.moved_attempts.insert(attempt.id);
+            }
+            return fits;
+        }
+        let may_add =
+            self.takes_new && attempt.moving_to.is_none() && attempt.needs_recording(context) && fits;
+        if may_add && self.compare_job(context, attempt.job) {
+            self.bytes += bytes;
+            attempt.recording = RecordingState::WriteSent;
+            self.write.new_attempts.insert(attempt.id);
+            return true;
+        }
+        attempt.may_be_recorded()
+    }
+
+    /// Makes the write depend on the job's record. False: there are more jobs than a
+    /// compare-and-swap may have compares, and the rest goes with the next.
+    fn compare_job(&mut self, context: &NodeContext, job: JobIndex) -> bool {
+        if self.compared_jobs.contains(&job) {
+            return true;
+        }
+        if self.compares.len() >= COMPARES_PER_MUTATION * context.platform.cluster.state.txn_ops {
+            return false;
+        }
+        self.compared_jobs.insert(job);
+        self.compares
+            .push(Compare { key: job_key(context.jobs.id(job)), version: context.job(job).version });
+        true
+    }
+
+    fn job_row(&mut self, context: &NodeContext, attempt: &Attempt) -> u32 {
+        let jobs = &mut self.content.jobs;
+        *self.job_rows.entry(attempt.job).or_insert_with(|| {
+            let demand = &attempt.demand;
+            let id = context.jobs.id(attempt.job).to_string();
+            jobs.push(RecordedJob(id, attempt.team.clone(), demand.cpus, demand.gpus, demand.mem));
+            jobs.len() as u32 - 1
+        })
+    }
+
+    fn type_row(&mut self, type_name: &str) -> u32 {
+        let types = &mut self.content.types;
+        let known = types.iter().position(|known| known == type_name);
+        let row = known.unwrap_or_else(|| {
+            types.push(type_name.to_string());
+            types.len() - 1
+        });
+        row as u32
+    }
+}
+
+/// What a machine's row shows of the machine's own state.
+fn state_flags(machine: &Machine) -> u8 {
+    let cordoned = if machine.is_cordoned { RecordedMachine::CORDONED } else { 0 };
+    let is_terminating = machine.terminating_recorded || machine.can_decommission();
+    cordoned | if is_terminating { RecordedMachine::TERMINATING } else { 0 }
+}
--- /dev/null
+++ b/src/core/shard_owner/placement_records/record.rs
@@ -0,0 +1,350 @@
+//! The state of one placement record, and the list of a shard's records.
+//!
+//! A record goes round a small state machine. Every write ends in one of three ways:
+//! executed, certainly not executed, or with an unknown outcome. After the last the
+//! record is read back before anything may rest on it.
+//!
+//! ```text
+//! Idle --write--> WriteInFlight --executed, not executed--> Idle
+//!                 WriteInFlight --outcome unknown--> OutcomeUnknown
+//! OutcomeUnknown --reread--> RereadInFlight --read--> Idle
+//!                            RereadInFlight --failed--> OutcomeUnknown
+//! ```
+
+use super::layout::{RECORD_SLACK_BYTES, max_record_bytes};
+use crate::core::common::context::NodeContext;
+use crate::model::{JobIndex, Ms};
+use rustc_hash::FxHashSet;
+use std::ops::{Index, IndexMut};
+
+/// Number of a placement record within its shard, as its key has it.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub struct RecordIndex(u32);
+
+impl RecordIndex {
+    /// The record with this number.
+    pub const fn new(number: u32) -> RecordIndex {
+        RecordIndex(number)
+    }
+
+    /// Its number.
+    pub const fn number(self) -> u32 {
+        self.0
+    }
+
+    /// Its place in a list of all records of the shard.
+    pub const fn place(self) -> usize {
+        self.0 as usize
+    }
+
+    /// The record at a place in a list of all records of the shard.
+    pub const fn at(place: usize) -> RecordIndex {
+        RecordIndex(place as u32)
+    }
+}
+
+/// What the store is asked for a record, or was.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+enum CallState {
+    /// No call is under way and the version of the record is known.
+    Idle {
+        /// Not written again before this time.
+        retry_at: Ms,
+    },
+    /// A write is under way.
+    WriteInFlight,
+    /// The outcome of the last write is unknown; nothing may rest on it before the record
+    /// has been read back.
+    OutcomeUnknown {
+        /// Not read back before this time.
+        reread_at: Ms,
+    },
+    /// The record is being read back.
+    RereadInFlight,
+}
+
+impl CallState {
+    /// No call is under way, and the next may follow at once.
+    const READY: CallState = CallState::Idle { retry_at: 0 };
+}
+
+/// One placement record of an owned shard.
+#[derive(Debug)]
+pub struct OwnedRecord {
+    /// Version of the stored record; 0: it does not exist yet.
+    version: u64,
+    call: CallState,
+    /// No write before this time, so that all writes together keep within their rate.
+    next_write_at: Ms,
+    /// Since when the stored record lists what is gone, or lacks what is not urgent.
+    outdated_since: Option<Ms>,
+    /// Upper bound of its length with all that waits to be written, in bytes.
+    reserved_bytes: usize,
+    /// Jobs whose rows are part of `reserved_bytes`.
+    jobs: FxHashSet<JobIndex>,
+    /// The stored record is longer than a write may be.
+    is_oversized: bool,
+}
+
+impl OwnedRecord {
+    /// A record that does not exist yet.
+    pub fn new() -> OwnedRecord {
+        OwnedRecord {
+            version: 0,
+            call: CallState::READY,
+            next_write_at: 0,
+            outdated_since: None,
+            reserved_bytes: RECORD_SLACK_BYTES,
+            jobs: FxHashSet::default(),
+            is_oversized: false,
+        }
+    }
+
+    /// A record that was read, with the length of its value.
+    pub fn loaded(context: &NodeContext, version: u64, bytes: usize) -> OwnedRecord {
+        OwnedRecord {
+            version,
+            reserved_bytes: RECORD_SLACK_BYTES + bytes,
+            is_oversized: bytes > max_record_bytes(context),
+            ..OwnedRecord::new()
+        }
+    }
+
+    /// Version of the stored record; 0: it does not exist yet.
+    pub(super) fn version(&self) -> u64 {
+        self.version
+    }
+
+    /// Whether the stored record is longer than a write may be.
+    pub(super) fn is_oversized(&self) -> bool {
+        self.is_oversized
+    }
+
+    // ---- capacity ----
+
+    /// Upper bound of its length with all that waits to be written.
+    pub(super) fn reserved_bytes(&self) -> usize {
+        self.reserved_bytes
+    }
+
+    /// Whether a row of the job is part of the reserved capacity.
+    pub(super) fn has_job(&self, job: JobIndex) -> bool {
+        self.jobs.contains(&job)
+    }
+
+    /// Reserves capacity.
+    pub(super) fn reserve(&mut self, bytes: usize) {
+        self.reserved_bytes += bytes;
+    }
+
+    /// Notes that the row of the job is part of the reserved capacity; whether it was not
+    /// before.
+    pub(super) fn insert_job(&mut self, job: JobIndex) -> bool {
+        self.jobs.insert(job)
+    }
+
+    /// Replaces what is reserved by what was counted anew.
+    pub(super) fn set_reserved(&mut self, bytes: usize, jobs: FxHashSet<JobIndex>) {
+        self.reserved_bytes = bytes;
+        self.jobs = jobs;
+    }
+
+    // ---- when to write and to read back ----
+
+    /// Whether a call is under way or to be made before the record may be written.
+    pub(super) fn is_busy(&self) -> bool {
+        !matches!(self.call, CallState::Idle { .. })
+    }
+
+    /// Whether it is to be read back now.
+    pub(super) fn must_reread(&self, now: Ms) -> bool {
+        matches!(self.call, CallState::OutcomeUnknown { reread_at } if now >= reread_at)
+    }
+
+    /// Whether it may be written now.
+    pub(super) fn may_write(&self, now: Ms) -> bool {
+        let is_ready = matches!(self.call, CallState::Idle { retry_at } if now >= retry_at);
+        is_ready && now >= self.next_write_at
+    }
+
+    /// Lets no write go out before this time.
+    pub(super) fn defer_write(&mut self, until: Ms) {
+        self.next_write_at = until;
+    }
+
+    /// Notes that the stored record lists what is gone, or lacks what is not urgent.
+    pub(super) fn mark_outdated(&mut self, now: Ms) {
+        self.outdated_since.get_or_insert(now);
+    }
+
+    /// Whether it has been outdated for longer than this time.
+    pub(super) fn is_outdated_for(&self, duration: Ms, now: Ms) -> bool {
+        self.outdated_since.is_some_and(|since| since + duration < now)
+    }
+
+    // ---- transitions ----
+
+    /// A write has been sent. What is reserved is what it writes and what still waits.
+    pub(super) fn on_write_sent(&mut self, reserved_bytes: usize, jobs: FxHashSet<JobIndex>) {
+        self.call = CallState::WriteInFlight;
+        self.outdated_since = None;
+        self.set_reserved(reserved_bytes, jobs);
+    }
+
+    /// The write was executed.
+    pub(super) fn on_committed(&mut self, version: u64) {
+        self.call = CallState::READY;
+        self.version = version;
+        self.is_oversized = false;
+    }
+
+    /// The write was certainly not executed, and the known version may still be right.
+    pub(super) fn on_not_executed(&mut self, now: Ms, retry_at: Ms) {
+        self.call = CallState::Idle { retry_at };
+        self.mark_outdated(now);
+    }
+
+    /// It is unknown whether the write was executed, or which version the record has.
+    pub(super) fn on_outcome_unknown(&mut self, now: Ms, reread_at: Ms) {
+        self.call = CallState::OutcomeUnknown { reread_at };
+        self.mark_outdated(now);
+    }
+
+    /// The store rejects the record as too long, whatever the settings say.
+    pub(super) fn on_rejected(&mut self, reread_at: Ms) {
+        self.call = CallState::OutcomeUnknown { reread_at };
+        self.is_oversized = true;
+    }
+
+    /// A read has been sent.
+    pub(super) fn on_reread_sent(&mut self) {
+        self.call = CallState::RereadInFlight;
+    }
+
+    /// The record was read back.
+    pub(super) fn on_reread(&mut self, context: &NodeContext, version: u64, bytes: usize) {
+        self.call = CallState::READY;
+        self.version = version;
+        self.mark_outdated(context.clock.now());
+        self.is_oversized |= bytes > max_record_bytes(context);
+    }
+
+    /// The read found no record.
+    pub(super) fn on_reread_missing(&mut self) {
+        self.call = CallState::READY;
+        self.version = 0;
+    }
+
+    /// The read failed, or the record could not be decoded.
+    pub(super) fn on_reread_failed(&mut self, reread_at: Ms) {
+        self.call = CallState::OutcomeUnknown { reread_at };
+    }
+}
+
+/// All placement records of a shard.
+#[derive(Debug)]
+pub struct ShardRecords {
+    records: Vec<OwnedRecord>,
+    /// The record that takes new attempts.
+    open: RecordIndex,
+    /// No record is written before this time only to bring it up to date.
+    next_cleanup_at: Ms,
+}
+
+impl Default for ShardRecords {
+    fn default() -> ShardRecords {
+        ShardRecords { records: Vec::new(), open: RecordIndex::new(0), next_cleanup_at: 0 }
+    }
+}
+
+impl ShardRecords {
+    /// The record, if there is one with this number.
+    pub(super) fn get(&self, index: RecordIndex) -> Option<&OwnedRecord> {
+        self.records.get(index.place())
+    }
+
+    /// The record, to be changed, if there is one with this number.
+    pub(super) fn get_mut(&mut self, index: RecordIndex) -> Option<&mut OwnedRecord> {
+        self.records.get_mut(index.place())
+    }
+
+    /// Number of records.
+    pub(super) fn len(&self) -> usize {
+        self.records.len()
+    }
+
+    /// The numbers of all records.
+    pub(super) fn indices(&self) -> impl Iterator<Item = RecordIndex> + use<> {
+        (0..self.records.len()).map(RecordIndex::at)
+    }
+
+    /// Puts a record that was read in its place.
+    pub fn insert_loaded(&mut self, index: RecordIndex, record: OwnedRecord) {
+        while self.records.len() <= index.place() {
+            self.records.push(OwnedRecord::new());
+        }
+        self[index] = record;
+    }
+
+    /// Adds a record that does not exist yet.
+    pub(super) fn add(&mut self) -> RecordIndex {
+        self.records.push(OwnedRecord::new());
+        RecordIndex::at(self.records.len() - 1)
+    }
+
+    /// The preferred record if it meets the condition, else the first that does, else a
+    /// new one.
+    pub(super) fn find_or_add(
+        &mut self,
+        preferred: Option<RecordIndex>,
+        condition: impl Fn(&OwnedRecord) -> bool,
+    ) -> RecordIndex {
+        let preferred = preferred.filter(|index| self.get(*index).is_some_and(&condition));
+        preferred
+            .or_else(|| self.records.iter().position(&condition).map(RecordIndex::at))
+            .unwrap_or_else(|| self.add())
+    }
+
+    /// The record that takes new attempts; it may not exist yet.
+    pub(super) fn open(&self) -> RecordIndex {
+        self.open
+    }
+
+    /// Has this record take new attempts from now on.
+    pub(super) fn set_open(&mut self, index: RecordIndex) {
+        self.open = index;
+    }
+
+    /// Whether a record may be written now only to bring it up to date.
+    pub(super) fn may_clean_up(&self, now: Ms) -> bool {
+        now >= self.next_cleanup_at
+    }
+
+    /// Lets no record be written before this time only to bring it up to date.
+    pub(super) fn defer_cleanup(&mut self, until: Ms) {
+        self.next_cleanup_at = until;
+    }
+
+    /// Marks records whose stored form lists what is gone.
+    pub fn mark_outdated(&mut self, records: impl IntoIterator<Item = RecordIndex>, now: Ms) {
+        for index in records {
+            if let Some(record) = self.get_mut(index) {
+                record.mark_outdated(now);
+            }
+        }
+    }
+}
+
+impl Index<RecordIndex> for ShardRecords {
+    type Output = OwnedRecord;
+
+    fn index(&self, index: RecordIndex) -> &OwnedRecord {
+        &self.records[index.place()]
+    }
+}
+
+impl IndexMut<RecordIndex> for ShardRecords {
+    fn index_mut(&mut self, index: RecordIndex) -> &mut OwnedRecord {
+        &mut self.records[index.place()]
+    }
+}
--- /dev/null
+++ b/src/core/shard_owner/placement_records/reread.rs
@@ -0,0 +1,113 @@
+//! Reading a placement record back after a write of unknown outcome.
+
+use super::record::RecordIndex;
+use super::record_key;
+use crate::core::common::context::NodeContext;
+use crate::core::shard_owner::attempt::{Attempt, RecordingState};
+use crate::core::shard_owner::machine::{Machine, Machines, machines_of_mut};
+use crate::core::shard_owner::{OwnedShard, ShardOwnerCall};
+use crate::core::{StoreCallOwner, StoreRequest, StoreResponse};
+use crate::model::Ms;
+use crate::wire::store::{KeyValue, PlacementRecord, RecordedMachine};
+use rustc_hash::FxHashMap;
+
+/// Delay before a record is read again that could not be decoded.
+const UNREADABLE_RETRY_MS: Ms = 2_000;
+/// Delay before a record is read again after a failed read.
+const FAILED_RETRY_MS: Ms = 300;
+
+/// Reads one record back.
+pub(super) fn send_reread(context: &mut NodeContext, shard: &mut OwnedShard, record: RecordIndex) {
+    shard.records[record].on_reread_sent();
+    let call = ShardOwnerCall::Reread { shard: shard.index, record, fencing_token: shard.fencing_token };
+    let key = record_key(&context.shards[shard.index.place()].name, record);
+    context.send_store_request(StoreCallOwner::ShardOwner(call), StoreRequest::Get(key));
+}
+
+/// Takes in the record as it was read back, or that the read failed.
+pub fn on_reread_result(
+    context: &mut NodeContext,
+    shard: &mut OwnedShard,
+    machines: &mut Machines,
+    index: RecordIndex,
+    result: StoreResponse,
+) {
+    let Some(record) = shard.records.get_mut(index) else { return };
+    match result {
+        StoreResponse::KeyValue(item) => on_found(context, shard, machines, index, &item),
+        StoreResponse::NotFound => {
+            record.on_reread_missing();
+            for machine in machines_of_mut(machines, shard.index) {
+                let of_record = |attempt: &&mut Attempt| attempt.record == index;
+                machine.attempts.iter_mut().filter(of_record).for_each(Attempt::forget_sent_write);
+            }
+        }
+        _ => record.on_reread_failed(context.clock.now() + context.jitter(FAILED_RETRY_MS)),
+    }
+}
+
+fn on_found(
+    context: &NodeContext,
+    shard: &mut OwnedShard,
+    machines: &mut Machines,
+    index: RecordIndex,
+    item: &KeyValue,
+) {
+    let now = context.clock.now();
+    let Ok(content) = item.value.decode::<PlacementRecord>() else {
+        tracing::error!(key = item.key, "unreadable placement record");
+        shard.records[index].on_reread_failed(now + UNREADABLE_RETRY_MS);
+        return;
+    };
+    shard.records[index].on_reread(context, item.version, item.value.len());
+    let rows: FxHashMap<&str, &RecordedMachine> =
+        content.machines.iter().map(|row| (row.0.as_str(), row)).collect();
+    let mut outdated = Vec::new();
+    for machine in machines_of_mut(machines, shard.index) {
+        let row = rows.get(machine.name.as_str()).copied();
+        if machine.state_record == Some(index) {
+            outdated.extend(note_stored_state(machine, row));
+        }
+        outdated.extend(note_stored_attempts(machine, index, row, content.base));
+    }
+    shard.records.mark_outdated(outdated, now);
+    shard.has_unreported_changes = true;
+}
+
+/// Notes what the stored record shows of the machine's own state; the oversized record
+/// that had its row, if that may drop it now.
+fn note_stored_state(machine: &mut Machine, row: Option<&RecordedMachine>) -> Option<RecordIndex> {
+    let shows = |flags: u8| row.is_some_and(|row| row.is(flags));
+    machine.cordoned_recorded = shows(RecordedMachine::CORDONED);
+    machine.terminating_recorded |= shows(RecordedMachine::TERMINATING);
+    let may_drop_former =
+        shows(RecordedMachine::CORDONED | RecordedMachine::TERMINATING) || !machine.has_recorded_state();
+    if may_drop_former { machine.former_state_record.take() } else { None }
+}
+
+/// Notes which of the machine's attempts the stored record lists; the records that moved
+/// attempts leave.
+fn note_stored_attempts(
+    machine: &mut Machine,
+    index: RecordIndex,
+    row: Option<&RecordedMachine>,
+    base: u64,
+) -> Vec<RecordIndex> {
+    let is_listed = |id: u64| row.is_some_and(|row| row.tasks(base).any(|(_, _, listed)| listed == id));
+    let mut left = Vec::new();
+    for attempt in &mut machine.attempts {
+        if attempt.record == index {
+            // Only a write with the attempt's own compares lists it, so that what is
+            // stored here was right then.
+            if is_listed(attempt.id) {
+                attempt.recording = RecordingState::Recorded;
+            } else {
+                attempt.forget_sent_write();
+            }
+        } else if attempt.moving_to == Some(index) && is_listed(attempt.id) {
+            left.push(attempt.record);
+            attempt.finish_move(index);
+        }
+    }
+    left
+}
--- /dev/null
+++ b/src/core/shard_owner/placement_records/schedule.rs
@@ -0,0 +1,224 @@
+//! When which placement record is written or read back.
+
+use super::allocation::assign_state_record;
+use super::record::{OwnedRecord, RecordIndex};
+use super::reread::send_reread;
+use super::splitting::{must_wait_for_split, split_oversized};
+use super::write::send_write;
+use crate::core::common::context::NodeContext;
+use crate::core::shard_owner::OwnedShard;
+use crate::core::shard_owner::machine::{Machine, Machines};
+use crate::model::{Ms, ShardIndex};
+use rustc_hash::FxHashMap;
+
+/// Share of the store's writes that urgent ones may take, of all nodes together.
+const URGENT_RATE_SHARE: f64 = 0.5;
+/// Share of the store's writes that may only bring records up to date, of all nodes
+/// together.
+const CLEANUP_RATE_SHARE: f64 = 0.1;
+/// Shortest time between two writes of a record.
+const MIN_WRITE_GAP_MS: Ms = 100;
+/// Longest time between two writes of a record.
+const MAX_WRITE_GAP_MS: Ms = 5_000;
+/// The lowest rate of writes that gaps are worked out for, per second.
+const MIN_WRITE_RATE: f64 = 0.1;
+/// What is not urgent goes along with other changes, or after this time.
+const CLEANUP_DELAY_MS: Ms = 4_000;
+
+/// How soon something must go into a record.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+enum Urgency {
+    /// It goes along with the next write, or is brought up to date in time.
+    Deferrable,
+    /// A task, a copy or a termination waits for it.
+    Urgent,
+}
+
+/// Why a record is written.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+enum WriteReason {
+    Urgent,
+    /// Only to bring it up to date.
+    Cleanup,
+}
+
+/// What waits to go into the records of all shards.
+#[derive(Debug, Default)]
+struct PendingChanges {
+    urgencies: FxHashMap<(ShardIndex, RecordIndex), Urgency>,
+}
+
+impl PendingChanges {
+    fn add(&mut self, shard: ShardIndex, record: RecordIndex, urgency: Urgency) {
+        let known = self.urgencies.entry((shard, record)).or_insert(urgency);
+        *known = urgency.max(*known);
+    }
+
+    fn urgency(&self, shard: ShardIndex, record: RecordIndex) -> Option<Urgency> {
+        self.urgencies.get(&(shard, record)).copied()
+    }
+
+    /// Number of records that something urgent waits for.
+    fn urgent_records(&self) -> usize {
+        self.urgencies.values().filter(|urgency| **urgency == Urgency::Urgent).count()
+    }
+
+    /// Adds what the records must take of a machine of this shard.
+    fn add_machine(
+        &mut self,
+        context: &NodeContext,
+        shard: &mut OwnedShard,
+        machine: &mut Machine,
+        term: u64,
+    ) {
+        // An attempt that a former leader admitted has no standing.
+        if shard.desired_term == term {
+            for attempt in machine.attempts.iter().filter(|attempt| attempt.needs_recording(context)) {
+                self.add(shard.index, attempt.record, Urgency::Urgent);
+            }
+        }
+        for target in machine.attempts.iter().filter_map(|attempt| attempt.moving_to) {
+            self.add(shard.index, target, Urgency::Urgent);
+        }
+        if let (Some(_), Some(record)) = (machine.former_state_record, machine.state_record) {
+            // The oversized record can't shrink before this one has the row.
+            self.add(shard.index, record, Urgency::Urgent);
+        }
+        if machine.can_decommission() || machine.is_cordoned != machine.cordoned_recorded {
+            let record = assign_state_record(context, shard, machine);
+            let is_urgent = machine.can_decommission();
+            let urgency = if is_urgent { Urgency::Urgent } else { Urgency::Deferrable };
+            self.add(shard.index, record, urgency);
+        }
+    }
+}
+
+/// Writes the records that something new waits for, as far as the rate of writes allows,
+/// and reads back those whose last write has an unknown outcome. Without a known leader,
+/// nothing is done.
+pub fn write_due_records(
+    context: &mut NodeContext,
+    shards: &mut [Option<OwnedShard>],
+    machines: &mut Machines,
+) {
+    let Some(term) = context.leadership.term() else { return };
+    if !shards.iter().flatten().any(OwnedShard::is_loaded) {
+        return;
+    }
+    split_oversized_records(context, shards, machines, term);
+    let pending = collect_pending(context, shards, machines, term);
+    let urgent_records = pending.urgent_records().max(1);
+    let urgent_gap_ms = write_gap_ms(context, urgent_records, URGENT_RATE_SHARE);
+    for shard in shards.iter_mut().flatten().filter(|shard| shard.is_loaded()) {
+        for record in shard.records.indices() {
+            let urgency = pending.urgency(shard.index, record);
+            let Some(reason) = due_write(context, shard, machines, record, urgency) else { continue };
+            if !context.can_write(1) {
+                return;
+            }
+            let now = context.clock.now();
+            shard.records[record].defer_write(now + urgent_gap_ms);
+            if reason == WriteReason::Cleanup {
+                shard.records.defer_cleanup(now + write_gap_ms(context, 1, CLEANUP_RATE_SHARE));
+            }
+            send_write(context, shard, machines, record, term);
+        }
+    }
+}
+
+fn split_oversized_records(
+    context: &NodeContext,
+    shards: &mut [Option<OwnedShard>],
+    machines: &mut Machines,
+    term: u64,
+) {
+    let now = context.clock.now();
+    for shard in shards.iter_mut().flatten().filter(|shard| shard.is_loaded()) {
+        // A leader that has yet to read all records would miss an attempt that moves from
+        // one that it reads later to one that it has read.
+        if shard.desired_term != term {
+            continue;
+        }
+        for record in shard.records.indices() {
+            if shard.records[record].is_oversized()
+                && must_wait_for_split(context, machines, shard.index, record)
+            {
+                split_oversized(context, shard, machines, record);
+                shard.records[record].defer_write(now + MIN_WRITE_GAP_MS);
+            }
+        }
+    }
+}
+
+fn collect_pending(
+    context: &NodeContext,
+    shards: &mut [Option<OwnedShard>],
+    machines: &mut Machines,
+    term: u64,
+) -> PendingChanges {
+    let mut pending = PendingChanges::default();
+    for machine in machines.values_mut() {
+        let Some(shard) = shards[machine.shard.place()].as_mut() else { continue };
+        if shard.is_loaded() && shard.fencing_token == machine.fencing_token {
+            pending.add_machine(context, shard, machine, term);
+        }
+    }
+    pending
+}
+
+/// Why this record is to be written now, if it is. Reads it back if that is due.
+fn due_write(
+    context: &mut NodeContext,
+    shard: &mut OwnedShard,
+    machines: &Machines,
+    index: RecordIndex,
+    urgency: Option<Urgency>,
+) -> Option<WriteReason> {
+    let now = context.clock.now();
+    if shard.records[index].must_reread(now) {
+        send_reread(context, shard, index);
+        return None;
+    }
+    if !shard.records[index].may_write(now) {
+        return None;
+    }
+    let may_clean_up = shard.records.may_clean_up(now);
+    let record = &mut shard.records[index];
+    let reason = write_reason(record, urgency, may_clean_up, now)?;
+    if record.is_oversized() {
+        let follows_leader = context.leadership.term() == Some(shard.desired_term);
+        if !follows_leader || must_wait_for_split(context, machines, shard.index, index) {
+            return None;
+        }
+    }
+    Some(reason)
+}
+
+/// Why a record that may be written is written now, if it is. What is not urgent marks
+/// the record as outdated.
+fn write_reason(
+    record: &mut OwnedRecord,
+    urgency: Option<Urgency>,
+    may_clean_up: bool,
+    now: Ms,
+) -> Option<WriteReason> {
+    let is_cleanup_due = may_clean_up && record.is_outdated_for(CLEANUP_DELAY_MS, now);
+    match urgency {
+        Some(Urgency::Urgent) => Some(WriteReason::Urgent),
+        _ if is_cleanup_due => Some(WriteReason::Cleanup),
+        Some(Urgency::Deferrable) => {
+            record.mark_outdated(now);
+            None
+        }
+        None => None,
+    }
+}
+
+/// Time between two writes of one of `records` records when each node has as many, and
+/// all together take this share of the store's writes.
+fn write_gap_ms(context: &NodeContext, records: usize, rate_share: f64) -> Ms {
+    let nodes = context.platform.peers.len() + 1;
+    let rate = (context.platform.cluster.state.write_rps * rate_share).max(MIN_WRITE_RATE);
+    let gap_ms = (records * nodes) as f64 * 1000.0 / rate;
+    gap_ms.clamp(MIN_WRITE_GAP_MS as f64, MAX_WRITE_GAP_MS as f64) as Ms
+}
--- /dev/null
+++ b/src/core/shard_owner/placement_records/splitting.rs
@@ -0,0 +1,119 @@
+//! How oversized records shrink: whole machines are copied to other records, and the
+//! oversized one is written again only once the copies are durable.
+
+use super::allocation::{assign_state_record, reserve_attempt};
+use super::layout::{
+    MAX_ATTEMPT_BYTES, RECORD_HEADER_BYTES, machine_row_bytes, max_record_bytes, required_bytes,
+};
+use super::record::RecordIndex;
+use crate::core::common::context::NodeContext;
+use crate::core::shard_owner::OwnedShard;
+use crate::core::shard_owner::attempt::Attempt;
+use crate::core::shard_owner::machine::{Machine, Machines, machines_of, machines_of_mut};
+use crate::model::{JobIndex, ShardIndex};
+use rustc_hash::FxHashSet;
+
+/// What an oversized record keeps at most, in tenths of the limit: this leaves capacity
+/// for a write.
+const KEPT_TENTHS: usize = 9;
+
+/// The part of an oversized record that stays there.
+struct KeptPart {
+    bytes: usize,
+    jobs: FxHashSet<JobIndex>,
+    max_bytes: usize,
+}
+
+impl KeptPart {
+    /// Whether the record keeps the machine, which then is part of it.
+    fn add_if_it_fits(&mut self, machine: &Machine, record: RecordIndex) -> bool {
+        let mut bytes = machine_row_bytes(&machine.name);
+        let mut new_jobs: FxHashSet<JobIndex> = FxHashSet::default();
+        for attempt in machine.attempts.iter().filter(|attempt| stays_in(attempt, record)) {
+            bytes += MAX_ATTEMPT_BYTES;
+            if !self.jobs.contains(&attempt.job) && new_jobs.insert(attempt.job) {
+                bytes += attempt.job_row_bytes;
+            }
+        }
+        if self.bytes + bytes > self.max_bytes {
+            return false;
+        }
+        self.bytes += bytes;
+        self.jobs.extend(new_jobs);
+        true
+    }
+}
+
+/// Whether a record lists an attempt that is not being copied to another one.
+fn stays_in(attempt: &Attempt, record: RecordIndex) -> bool {
+    attempt.record == record && attempt.moving_to.is_none()
+}
+
+/// Finds other records for what an oversized one holds too much of: attempts and rows of
+/// machines, in whole machines.
+pub(super) fn split_oversized(
+    context: &NodeContext,
+    shard: &mut OwnedShard,
+    machines: &mut Machines,
+    record: RecordIndex,
+) {
+    let mut kept = KeptPart {
+        bytes: RECORD_HEADER_BYTES,
+        jobs: FxHashSet::default(),
+        max_bytes: max_record_bytes(context) * KEPT_TENTHS / 10,
+    };
+    for machine in machines_of_mut(machines, shard.index) {
+        let has_state_row = machine.state_record == Some(record) && machine.has_recorded_state();
+        let is_listed =
+            has_state_row || machine.attempts.iter().any(|attempt| stays_in(attempt, record));
+        if !is_listed || kept.add_if_it_fits(machine, record) {
+            continue;
+        }
+        if has_state_row {
+            assign_state_record(context, shard, machine);
+        }
+        move_attempts(context, shard, machine, record);
+    }
+}
+
+/// Reserves other records for the attempts of a machine that this record lists.
+fn move_attempts(
+    context: &NodeContext,
+    shard: &mut OwnedShard,
+    machine: &mut Machine,
+    record: RecordIndex,
+) {
+    for place in 0..machine.attempts.len() {
+        let attempt = &machine.attempts[place];
+        if !stays_in(attempt, record) {
+            continue;
+        }
+        let (job, team) = (attempt.job, attempt.team.clone());
+        let target = reserve_attempt(context, shard, machine, job, &team);
+        machine.attempts[place].moving_to = Some(target);
+    }
+}
+
+/// Whether an oversized record can't be written yet: it still holds too much, or what is
+/// to leave it is not durable elsewhere.
+pub(super) fn must_wait_for_split(
+    context: &NodeContext,
+    machines: &Machines,
+    shard: ShardIndex,
+    record: RecordIndex,
+) -> bool {
+    let is_leaving = |attempt: &Attempt| attempt.record == record && attempt.moving_to.is_some();
+    let has_leaving_part = |machine: &Machine| {
+        machine.former_state_record == Some(record) || machine.attempts.iter().any(is_leaving)
+    };
+    if machines_of(machines, shard).any(has_leaving_part) {
+        return true;
+    }
+    let base = machines_of(machines, shard)
+        .flat_map(|machine| &machine.attempts)
+        .filter(|attempt| attempt.record == record)
+        .map(|attempt| attempt.id)
+        .min()
+        .unwrap_or(0);
+    required_bytes(machines, shard, record, base) > max_record_bytes(context)
+}
--- /dev/null
+++ b/src/core/shard_owner/placement_records/write.rs
@@ -0,0 +1,247 @@
+//! The write of one placement record, and what its outcome changes.
+
+use super::draft::RecordDraft;
+use super::layout::{MAX_ATTEMPT_BYTES, RECORD_SLACK_BYTES, machine_row_bytes, required_bytes};
+use super::record::RecordIndex;
+use super::record_key;
+use crate::core::common::context::NodeContext;
+use crate::core::common::watch_cache::{LEADER, shard_key};
+use crate::core::shard_owner::attempt::{Attempt, RecordingState};
+use crate::core::shard_owner::machine::{Machine, Machines, machines_of, machines_of_mut};
+use crate::core::shard_owner::{OwnedShard, ShardOwnerCall};
+use crate::core::{StoreCallOwner, StoreRequest, StoreResponse};
+use crate::model::{MachineIndex, Ms, ShardIndex};
+use crate::wire::encoded::Encoded;
+use crate::wire::store::{Compare, CompareAndSwap, Mutation, RecordedMachine};
+use rustc_hash::{FxHashMap, FxHashSet};
+
+/// Delay before a record is written again after a write that was not executed.
+const NOT_EXECUTED_RETRY_MS: Ms = 200;
+/// Delay before a record is written again, or read back, after a conflict.
+const CONFLICT_RETRY_MS: Ms = 80;
+/// Delay before a record is read back that the store rejects as malformed.
+const REJECTED_REREAD_MS: Ms = 2_000;
+/// Delay before a record is read back after any other failure.
+const UNKNOWN_REREAD_MS: Ms = 100;
+
+/// One write of a placement record under way.
+#[derive(Debug)]
+pub struct RecordWrite {
+    /// The shard of the record.
+    pub(in crate::core::shard_owner) shard: ShardIndex,
+    /// The record.
+    pub(super) record: RecordIndex,
+    /// Fencing token under which it was sent.
+    fencing_token: u64,
+    /// Attempts whose `run` may go out once this write is executed.
+    pub(super) new_attempts: FxHashSet<u64>,
+    /// Attempts that are copied out of oversized records.
+    pub(super) moved_attempts: FxHashSet<u64>,
+    /// What the record shows of the machines whose own state is in it.
+    pub(super) machine_flags: FxHashMap<MachineIndex, u8>,
+}
+
+impl RecordWrite {
+    fn new(shard: &OwnedShard, record: RecordIndex) -> RecordWrite {
+        RecordWrite {
+            shard: shard.index,
+            record,
+            fencing_token: shard.fencing_token,
+            new_attempts: FxHashSet::default(),
+            moved_attempts: FxHashSet::default(),
+            machine_flags: FxHashMap::default(),
+        }
+    }
+}
+
+/// Writes one record as it is now, with the compares of all that is new in it.
+pub(super) fn send_write(
+    context: &mut NodeContext,
+    shard: &mut OwnedShard,
+    machines: &mut Machines,
+    record: RecordIndex,
+    term: u64,
+) {
+    let draft = draft_record(context, shard, machines, record, term);
+    let value = Encoded::new(&draft.content);
+    let waiting = waiting_bytes(context, machines, &draft.write);
+    let reserved_bytes = value.len() + RECORD_SLACK_BYTES + waiting;
+    let jobs = draft.job_rows.into_keys().collect();
+    shard.records[record].on_write_sent(reserved_bytes, jobs);
+    let key = record_key(&context.shards[shard.index.place()].name, record);
+    let request = CompareAndSwap {
+        compares: draft.compares,
+        mutations: vec![Mutation::Put { key, value, lease: None }],
+    };
+    context.send_store_request(
+        StoreCallOwner::ShardOwner(ShardOwnerCall::Write(draft.write)),
+        StoreRequest::CompareAndSwap(request),
+    );
+}
+
+fn draft_record(
+    context: &NodeContext,
+    shard: &OwnedShard,
+    machines: &mut Machines,
+    record: RecordIndex,
+    term: u64,
+) -> RecordDraft {
+    let shard_name = &context.shards[shard.index.place()].name;
+    let version = shard.records[record].version();
+    let compares = vec![
+        Compare { key: LEADER.into(), version: term },
+        Compare { key: shard_key(shard_name), version: shard.fencing_token },
+        Compare { key: record_key(shard_name, record), version },
+    ];
+    let base = smallest_attempt(machines, shard.index, record);
+    let bytes = required_bytes(machines, shard.index, record, base);
+    // An attempt that a former leader admitted has no standing.
+    let takes_new = shard.desired_term == term;
+    let write = RecordWrite::new(shard, record);
+    let mut draft = RecordDraft::new(write, compares, base, bytes, takes_new);
+    for (index, machine) in machines.iter_mut().filter(|(_, machine)| machine.shard == shard.index) {
+        draft.add_machine(context, index, machine);
+    }
+    draft
+}
+
+/// The smallest id of an attempt that is in the record or moves there; 0 for none.
+fn smallest_attempt(machines: &Machines, shard: ShardIndex, record: RecordIndex) -> u64 {
+    let belongs_here =
+        |attempt: &&Attempt| attempt.record == record || attempt.moving_to == Some(record);
+    machines_of(machines, shard)
+        .flat_map(|machine| machine.attempts.iter().filter(belongs_here))
+        .map(|attempt| attempt.id)
+        .min()
+        .unwrap_or(0)
+}
+
+/// Upper bound of what belongs in the record but had no compare or capacity in this
+/// write: it still needs its place.
+fn waiting_bytes(context: &NodeContext, machines: &Machines, write: &RecordWrite) -> usize {
+    let is_waiting = |attempt: &&Attempt| {
+        let waits_for_record = attempt.record == write.record
+            && attempt.needs_recording(context)
+            && !write.new_attempts.contains(&attempt.id);
+        let waits_for_move =
+            attempt.moving_to == Some(write.record) && !write.moved_attempts.contains(&attempt.id);
+        waits_for_record || waits_for_move
+    };
+    let machine_bytes = |machine: &Machine| {
+        let waiting = machine.attempts.iter().filter(is_waiting).count();
+        waiting * (MAX_ATTEMPT_BYTES + machine_row_bytes(&machine.name))
+    };
+    machines_of(machines, write.shard).map(machine_bytes).sum()
+}
+
+/// Takes in the outcome of a write. One under an earlier fencing token is ignored.
+pub fn on_write_result(
+    context: &mut NodeContext,
+    shard: &mut OwnedShard,
+    machines: &mut Machines,
+    write: RecordWrite,
+    result: StoreResponse,
+) {
+    if shard.fencing_token != write.fencing_token {
+        return;
+    }
+    let Some(record) = shard.records.get_mut(write.record) else { return };
+    let now = context.clock.now();
+    match result {
+        StoreResponse::Committed { revision } => {
+            record.on_committed(revision);
+            on_committed(shard, machines, &write, now);
+        }
+        StoreResponse::NotExecuted => {
+            forget_new_attempts(machines, &write);
+            record.on_not_executed(now, now + context.jitter(NOT_EXECUTED_RETRY_MS));
+        }
+        StoreResponse::Conflict(keys) => {
+            forget_new_attempts(machines, &write);
+            let retry_at = now + context.jitter(CONFLICT_RETRY_MS);
+            let key = record_key(&context.shards[write.shard.place()].name, write.record);
+            if keys.contains(&key) {
+                record.on_outcome_unknown(now, retry_at);
+            } else {
+                record.on_not_executed(now, retry_at);
+            }
+        }
+        StoreResponse::Malformed => {
+            // Longer than the store takes, whatever the settings say: never again as it is.
+            let key = record_key(&context.shards[write.shard.place()].name, write.record);
+            tracing::error!(key, "placement record rejected; its contents move to other records");
+            record.on_rejected(now + REJECTED_REREAD_MS);
+        }
+        _ => record.on_outcome_unknown(now, now + context.jitter(UNKNOWN_REREAD_MS)),
+    }
+}
+
+/// A write that was certainly not executed recorded nothing. If its attempts still counted
+/// as sent, they would go along with a later write that no longer compares their job and
+/// the leader who admitted them; with its response lost, reading the record back would
+/// then pass for leave to start them.
+fn forget_new_attempts(machines: &mut Machines, write: &RecordWrite) {
+    for machine in machines_of_mut(machines, write.shard) {
+        let sent = |attempt: &&mut Attempt| write.new_attempts.contains(&attempt.id);
+        machine.attempts.iter_mut().filter(sent).for_each(Attempt::forget_sent_write);
+    }
+}
+
+fn on_committed(shard: &mut OwnedShard, machines: &mut Machines, write: &RecordWrite, now: Ms) {
+    shard.has_unreported_changes = true;
+    let mut outdated = Vec::new();
+    let mut finished_moves = 0;
+    for (index, machine) in machines.iter_mut().filter(|(_, machine)| machine.shard == write.shard) {
+        note_recorded_attempts(machine, write, now);
+        let left = finish_moves(machine, write);
+        finished_moves += left.len();
+        outdated.extend(left);
+        if machine.state_record == Some(write.record) {
+            let flags = write.machine_flags.get(&index).copied();
+            outdated.extend(note_recorded_state(machine, flags));
+        }
+    }
+    if finished_moves < write.moved_attempts.len() {
+        // Some are gone meanwhile, and now listed here for nothing.
+        outdated.push(write.record);
+    }
+    shard.records.mark_outdated(outdated, now);
+}
+
+fn note_recorded_attempts(machine: &mut Machine, write: &RecordWrite, now: Ms) {
+    for attempt in &mut machine.attempts {
+        if attempt.record == write.record && write.new_attempts.contains(&attempt.id) {
+            attempt.recording = RecordingState::Recorded;
+            attempt.recorded_at = Some(now);
+        }
+    }
+}
+
+/// Notes that the machine's moved attempts are listed by the written record; the records
+/// that they leave.
+fn finish_moves(machine: &mut Machine, write: &RecordWrite) -> Vec<RecordIndex> {
+    let mut left = Vec::new();
+    for attempt in &mut machine.attempts {
+        let has_moved = attempt.record != write.record
+            && attempt.moving_to == Some(write.record)
+            && write.moved_attempts.contains(&attempt.id);
+        if has_moved {
+            left.push(attempt.record);
+            attempt.finish_move(write.record);
+        }
+    }
+    left
+}
+
+/// Notes what the written record shows of the machine's own state; the oversized record
+/// that had its row, if that may drop it now.
+fn note_recorded_state(machine: &mut Machine, flags: Option<u8>) -> Option<RecordIndex> {
+    // A write sent before the row was moved here has not brought it.
+    let may_drop_former = flags.is_some() || !machine.has_recorded_state();
+    let former = if may_drop_former { machine.former_state_record.take() } else { None };
+    let flags = flags.unwrap_or(0);
+    machine.state_row_reserved = false;
+    machine.cordoned_recorded = flags & RecordedMachine::CORDONED != 0;
+    machine.terminating_recorded |= flags & RecordedMachine::TERMINATING != 0;
+    former
+}
--- a/src/core/shard_owner/reconciliation.rs
+++ b/src/core/shard_owner/reconciliation.rs
@@ -1,8 +1,10 @@
-//! Squaring reports, and the ends of leases, with the attempts on record. What they
-//! prove is decided by `woadlever_recovery`.
+//! Reconciling what is on record with worker heartbeats and with the ends of worker
+//! leases. What these prove is decided by `woadlever_recovery`.
 
-use super::machine::{Attempt, Machine};
-use super::{Load, ShardOwner};
+use super::ShardOwner;
+use super::attempt::Attempt;
+use super::machine::{Machine, machines_of};
+use super::owned_shard::{GoneAttempt, OwnedShard};
 use crate::core::common::context::NodeContext;
 use crate::model::{Ms, split_task};
 use crate::wire::workers::{Command, CommandAction, HeartbeatTask, TaskState};
@@ -10,59 +12,66 @@
 use woadlever_recovery::attempt::{self, AttemptPhase, Verdict, WorkerAction};
 use woadlever_recovery::shard::ShardRecovery;
 
+/// Version of the fields in recovery's log lines.
+const LOG_FORMAT: u32 = 2;
+
 impl ShardOwner {
-    /// Machines whose lease has surely ended hold nothing any more.
-    pub(super) fn check_leases(&mut self, context: &mut NodeContext) {
+    /// Drops what was on machines whose lease has surely ended.
+    pub(super) fn check_leases(&mut self, context: &NodeContext) {
         let timing = context.timing();
-        for m in self.machines.values_mut() {
-            let Some(h) = &mut self.shards[m.shard.place()] else { continue };
-            // A report that waits for its answer is no silence: the first one
-            // of a new machine would pass for the end of a lease that never
-            // began, and its tasks would be granted again while it got them.
-            if m.worker.has_ended() || m.held.is_some() || h.load != Load::Done {
+        for machine in self.machines.values_mut() {
+            let Some(shard) = &mut self.shards[machine.shard.place()] else { continue };
+            // A parked heartbeat is no silence: the first one of a new machine would pass
+            // for the end of a lease that never began, and its tasks would be admitted
+            // again while it got them.
+            if machine.liveness.has_ended() || machine.parked_heartbeat.is_some() || !shard.is_loaded() {
                 continue;
             }
-            if !m.worker.lease_is_over(h.recovery.since(), &timing, context.clock.now()) {
-                continue;
+            let owned_since = shard.recovery.since();
+            if machine.liveness.lease_is_over(owned_since, &timing, context.clock.now()) {
+                end_lease(context, shard, machine);
             }
-            m.worker.end_lease();
-            m.images.clear();
-            if m.attempts.iter().any(|a| !a.phase.has_ended()) {
-                tracing::info!(machine = m.name, "lease ended; its tasks are gone");
-            }
-            h.recovery.count_lease_ended(m.unreconciled_attempts() as u32);
-            let gone = m.attempts.extract_if(.., |a| attempt::ends_with_lease(&a.state()));
-            h.note_gone_attempts(gone.map(|a| (a.id, a.record)), context.clock.now());
-            h.dirty = true;
         }
     }
 
-    /// Tells of blocks whose last attempt has been squared.
-    pub(super) fn follow_recovery(&mut self, context: &NodeContext) {
-        for (b, held) in self.shards.iter_mut().enumerate() {
-            let Some(h) = held.as_mut().filter(|h| h.recovery.is_reconciling()) else { continue };
-            let of_block = self.machines.values().filter(|m| m.shard.place() == b);
-            let unreconciled_attempts = of_block.map(Machine::unreconciled_attempts).sum();
-            if h.recovery.settle(unreconciled_attempts) {
-                log_phase(context, b, h.fencing_token, &h.recovery);
+    /// Logs the shards whose last attempt has been reconciled.
+    pub(super) fn finish_reconciliations(&mut self, context: &NodeContext) {
+        for shard in self.shards.iter_mut().flatten() {
+            if !shard.recovery.is_reconciling() {
+                continue;
+            }
+            let unreconciled =
+                machines_of(&self.machines, shard.index).map(Machine::unreconciled_attempts).sum();
+            if shard.recovery.settle(unreconciled) {
+                log_recovery_phase(context, shard);
             }
         }
     }
 }
 
-/// Tells operators of a block's phase; `woadlever-recovery-report` reads these lines.
-pub(super) fn log_phase(
-    context: &NodeContext,
-    shard: usize,
-    fencing_token: u64,
-    recovery: &ShardRecovery,
-) {
+/// Takes the machine's lease for ended, and with it all that it had.
+fn end_lease(context: &NodeContext, shard: &mut OwnedShard, machine: &mut Machine) {
+    machine.liveness.end_lease();
+    machine.images.clear();
+    if machine.attempts.iter().any(|attempt| !attempt.phase.has_ended()) {
+        tracing::info!(machine = machine.name, "worker lease ended; its tasks are gone");
+    }
+    shard.recovery.count_lease_ended(machine.unreconciled_attempts() as u32);
+    let is_gone = |attempt: &mut Attempt| attempt::ends_with_lease(&attempt.state());
+    let gone = machine.attempts.extract_if(.., is_gone);
+    shard.note_gone_attempts(gone.map(|attempt| GoneAttempt::from(&attempt)), context.clock.now());
+    shard.has_unreported_changes = true;
+}
+
+/// Logs a shard's phase of recovery; `woadlever-recovery-report` reads these lines.
+pub(super) fn log_recovery_phase(context: &NodeContext, shard: &OwnedShard) {
+    let recovery = &shard.recovery;
     let tally = recovery.tally();
     tracing::info!(
         target: "woadlever::recovery",
         format = LOG_FORMAT,
-        shard = context.shards[shard].name,
-        fencing_token,
+        shard = context.shards[shard.index.place()].name,
+        fencing_token = shard.fencing_token,
         phase = recovery.phase().name(),
         age_ms = recovery.age_ms(context.clock.now()),
         revision = recovery.revision(),
@@ -75,61 +84,69 @@
     );
 }
 
-/// Version of the fields in recovery's log lines.
-const LOG_FORMAT: u32 = 2;
-
-/// Takes in what a report says of the machine's tasks, and what it proves by
-/// not saying it. The attempts that are gone, with their records.
+/// Takes in what a heartbeat says of the machine's tasks, and what it proves by not
+/// listing them; the attempts that are gone. Commands for attempts that no record lists
+/// are added to `commands`.
 pub(super) fn reconcile_heartbeat(
-    context: &mut NodeContext,
-    m: &mut Machine,
+    context: &NodeContext,
+    machine: &mut Machine,
     tasks: &[HeartbeatTask],
     recovery: &mut ShardRecovery,
     commands: &mut Vec<Command>,
-) -> Vec<(u64, u32)> {
-    let listed = note_listed(context, m, tasks, recovery, commands);
-    let verdicts: Vec<Verdict> = m
-        .attempts
-        .iter()
-        .map(|a| attempt::judge(&a.state(), listed.contains(&a.id), &m.worker))
-        .collect();
-    if verdicts.contains(&Verdict::Undelivered) {
-        m.worker.note_unreachable();
-        tracing::info!(machine = m.name, "answers don't reach the machine; no new work for it");
-    }
-    let (worker, machine) = (&m.worker, m.name.as_str());
-    let is_gone = |a: &mut Attempt| {
-        let verdict = attempt::judge(&a.state(), listed.contains(&a.id), worker);
-        if a.phase == AttemptPhase::Inherited {
+) -> Vec<GoneAttempt> {
+    let listed = note_listed(context, machine, tasks, recovery, commands);
+    note_undelivered(machine, &listed);
+    let (liveness, name) = (&machine.liveness, machine.name.as_str());
+    let is_gone = |attempt: &mut Attempt| {
+        let verdict = attempt::judge(&attempt.state(), listed.contains(&attempt.id), liveness);
+        if attempt.phase == AttemptPhase::Inherited {
             recovery.count(verdict);
         }
         matches!(verdict, Verdict::Absent | Verdict::Undelivered)
     };
-    let gone = m.attempts.extract_if(.., is_gone);
-    gone.map(|a| {
-        tracing::debug!(machine, job = context.jobs.id(a.job), task = a.task, attempt = a.id, phase = ?a.phase, "gone");
-        (a.id, a.record)
+    let gone = machine.attempts.extract_if(.., is_gone);
+    gone.map(|attempt| {
+        log_gone(context, name, &attempt);
+        GoneAttempt::from(&attempt)
     })
     .collect()
 }
 
-/// Notes the phases of the attempts that a report lists. What no record speaks of is
-/// stopped or cleared.
+/// Notes that the worker does not receive our responses if a heartbeat proves so.
+fn note_undelivered(machine: &mut Machine, listed: &FxHashSet<u64>) {
+    let is_undelivered = |attempt: &Attempt| {
+        let is_listed = listed.contains(&attempt.id);
+        attempt::judge(&attempt.state(), is_listed, &machine.liveness) == Verdict::Undelivered
+    };
+    if machine.attempts.iter().any(is_undelivered) {
+        machine.liveness.note_unreachable();
+        tracing::info!(machine = machine.name, "worker does not receive responses; no new work for it");
+    }
+}
+
+fn log_gone(context: &NodeContext, machine: &str, attempt: &Attempt) {
+    tracing::debug!(
+        machine,
+        job = context.jobs.id(attempt.job),
+        task = attempt.task,
+        attempt = attempt.id,
+        phase = ?attempt.phase,
+        "attempt is gone"
+    );
+}
+
+/// Notes the phases of the attempts that a heartbeat lists; their ids. What no record
+/// lists is stopped or cleared.
 fn note_listed(
     context: &NodeContext,
-    m: &mut Machine,
+    machine: &mut Machine,
     tasks: &[HeartbeatTask],
     recovery: &mut ShardRecovery,
     commands: &mut Vec<Command>,
 ) -> FxHashSet<u64> {
     let mut listed: FxHashSet<u64> = FxHashSet::default();
     for task in tasks {
-        let found = split_task(&task.task).and_then(|(job, number)| {
-            let job = context.job_index(job)?;
-            let is_it = |a: &&mut Attempt| a.id == task.attempt && a.job == job && a.task == number;
-            m.attempts.iter_mut().find(is_it)
-        });
-        let Some(attempt) = found else {
+        let Some(attempt) = find_attempt(context, machine, task) else {
             recovery.count_unrecorded();
             commands.push(command_for_unrecorded(task));
             continue;
@@ -138,15 +155,29 @@
             recovery.count(Verdict::Present);
         }
         listed.insert(attempt.id);
-        attempt.listed = true;
+        attempt.was_listed = true;
         note_phase(attempt, phase_of(task), context.clock.now());
     }
     listed
 }
 
+/// The attempt that an entry of a heartbeat names.
+fn find_attempt<'a>(
+    context: &NodeContext,
+    machine: &'a mut Machine,
+    task: &HeartbeatTask,
+) -> Option<&'a mut Attempt> {
+    let (job_id, number) = split_task(&task.task)?;
+    let job = context.job_index(job_id)?;
+    let is_named = |attempt: &&mut Attempt| {
+        attempt.id == task.attempt && attempt.job == job && attempt.task == number
+    };
+    machine.attempts.iter_mut().find(is_named)
+}
+
 fn command_for_unrecorded(task: &HeartbeatTask) -> Command {
-    let order = attempt::action_for_unrecorded(task.state == TaskState::Exited);
-    let (op, grace_s) = match order {
+    let action = attempt::action_for_unrecorded(task.state == TaskState::Exited);
+    let (op, grace_s) = match action {
         WorkerAction::Clear => (CommandAction::Forget, None),
         _ => (CommandAction::Stop, Some(0.0)),
     };
@@ -169,13 +200,13 @@
 
 fn note_phase(attempt: &mut Attempt, phase: AttemptPhase, now: Ms) {
     if phase == AttemptPhase::Running {
-        attempt.started.get_or_insert(now);
+        attempt.started_at.get_or_insert(now);
     }
     if phase.has_ended()
         && !attempt.phase.has_ended()
-        && let Some(started) = attempt.started
+        && let Some(started_at) = attempt.started_at
     {
-        attempt.ran = now.saturating_sub(started);
+        attempt.ran_ms = now.saturating_sub(started_at);
     }
     attempt.phase = phase;
 }
