--- a/crates/recovery/src/shard.rs
+++ b/crates/recovery/src/shard.rs
@@ -1,20 +1,23 @@
-//! The phase of a block: from reading its records to squared.
+//! The phase of a shard's recovery: from reading its records to reconciled.
 
 use crate::Millis;
 use crate::attempt::Verdict;
 
-/// Phases that a block goes through after each grant.
+/// Phases that a shard goes through after each change of its owner.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum RecoveryPhase {
-    /// Its placement records are being read. Reports are answered without orders.
+    /// Its placement records are being read. Heartbeats are answered without commands.
     ReadingRecords,
-    /// Some machines have attempts that no report has confirmed or disproved.
+    /// Some machines have attempts that no heartbeat has confirmed or disproved.
     Reconciling,
-    /// Every attempt on record is confirmed, disproved or bound by this holder.
+    /// Every attempt on record is confirmed, disproved or bound by this shard owner.
     Reconciled,
 }
 
 impl RecoveryPhase {
+    const ALL: [RecoveryPhase; 3] =
+        [RecoveryPhase::ReadingRecords, RecoveryPhase::Reconciling, RecoveryPhase::Reconciled];
+
     /// Name in logs.
     pub fn name(self) -> &'static str {
         match self {
@@ -35,51 +38,51 @@
 
     /// The phase with this name, in logs of this or of the former format.
     pub fn from_name(name: &str) -> Option<RecoveryPhase> {
-        let all = [RecoveryPhase::ReadingRecords, RecoveryPhase::Reconciling, RecoveryPhase::Reconciled];
-        all.into_iter().find(|phase| phase.name() == name || phase.former_name() == name)
+        let has_name = |phase: &RecoveryPhase| phase.name() == name || phase.former_name() == name;
+        RecoveryPhase::ALL.into_iter().find(has_name)
     }
 }
 
-/// Attempts by how they were squared.
+/// Attempts by how they were reconciled.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct ReconciliationCounts {
-    /// On record and listed by a report: they go on.
+    /// On record and listed by a heartbeat: they go on.
     pub confirmed: u32,
-    /// On record and proven absent by a report.
+    /// On record and proven absent by a heartbeat.
     pub absent: u32,
     /// On record and gone with their worker's lease, or with their machine.
     pub lease_ended: u32,
-    /// Listed by a report and on no record: stopped or cleared.
+    /// Listed by a heartbeat and on no record: stopped, or forgotten if they have ended.
     pub unrecorded: u32,
 }
 
-/// The recovery of one block under one grant.
+/// The recovery of one shard under one fencing token.
 #[derive(Debug)]
 pub struct ShardRecovery {
-    since: Millis,
+    owned_since: Millis,
     phase: RecoveryPhase,
-    /// Revision of the last page of records that was read.
+    /// Revision of the last page of records that was read; 0 before.
     revision: u64,
-    tally: ReconciliationCounts,
+    counts: ReconciliationCounts,
     /// Attempts that the records listed.
     recorded: u32,
 }
 
 impl ShardRecovery {
-    /// The recovery of a block that was granted at `now`.
+    /// The recovery of a shard that this node has owned since `now`.
     pub fn new(now: Millis) -> ShardRecovery {
         ShardRecovery {
-            since: now,
+            owned_since: now,
             phase: RecoveryPhase::ReadingRecords,
             revision: 0,
-            tally: ReconciliationCounts::default(),
+            counts: ReconciliationCounts::default(),
             recorded: 0,
         }
     }
 
-    /// Notes that the last page of the records has been read. The read began after
-    /// the grant, whose token shuts out all writes of former holders, so the records
-    /// list everything that may be on the block's machines.
+    /// Notes that the last page of the records has been read. The read began after this
+    /// node became the owner, and the fencing token shuts out all writes of former owners,
+    /// so the records list everything that may be on the shard's machines.
     pub fn records_read(&mut self, revision: u64, recorded: u32) {
         self.revision = revision;
         self.recorded = recorded;
@@ -87,38 +90,38 @@
     }
 
     /// Counts the verdict on an attempt from the records.
-    pub fn count(&mut self, verdict: Verdict) {
+    pub fn count_verdict(&mut self, verdict: Verdict) {
         match verdict {
-            Verdict::Present | Verdict::SuccessKept => self.tally.confirmed += 1,
-            Verdict::Absent | Verdict::Undelivered => self.tally.absent += 1,
+            Verdict::Present | Verdict::Succeeded => self.counts.confirmed += 1,
+            Verdict::Absent | Verdict::Undelivered => self.counts.absent += 1,
             Verdict::Pending => {}
         }
     }
 
-    /// Counts attempts from the records that are gone with their worker's lease or
-    /// with their machine.
+    /// Counts attempts from the records that are gone with their worker's lease or with
+    /// their machine.
     pub fn count_lease_ended(&mut self, attempts: u32) {
-        self.tally.lease_ended += attempts;
+        self.counts.lease_ended += attempts;
     }
 
-    /// Counts an attempt that no record speaks of.
+    /// Counts an attempt that no record lists.
     pub fn count_unrecorded(&mut self) {
-        self.tally.unrecorded += 1;
+        self.counts.unrecorded += 1;
     }
 
-    /// Whether the block still has to look for attempts that are not squared.
+    /// Whether attempts may be left that are neither confirmed nor disproved.
     pub fn is_reconciling(&self) -> bool {
         self.phase == RecoveryPhase::Reconciling
     }
 
-    /// Moves on to squared if no attempt is left that is neither confirmed nor
+    /// Ends the reconciliation if no attempt is left that is neither confirmed nor
     /// disproved; whether it did.
-    pub fn settle(&mut self, unreconciled_attempts: usize) -> bool {
-        let settles = self.is_reconciling() && unreconciled_attempts == 0;
-        if settles {
+    pub fn finish_if_reconciled(&mut self, unreconciled_attempts: usize) -> bool {
+        let finishes = self.is_reconciling() && unreconciled_attempts == 0;
+        if finishes {
             self.phase = RecoveryPhase::Reconciled;
         }
-        settles
+        finishes
     }
 
     /// The present phase.
@@ -126,17 +129,17 @@
         self.phase
     }
 
-    /// Time since the grant.
+    /// Time since this node became the owner.
     pub fn age_ms(&self, now: Millis) -> Millis {
-        now.saturating_sub(self.since)
+        now.saturating_sub(self.owned_since)
     }
 
-    /// When the block was granted.
-    pub fn since(&self) -> Millis {
-        self.since
+    /// When this node became the owner.
+    pub fn owned_since(&self) -> Millis {
+        self.owned_since
     }
 
-    /// Revision of the records that were read.
+    /// Revision of the records that were read; 0 before.
     pub fn revision(&self) -> u64 {
         self.revision
     }
@@ -146,8 +149,8 @@
         self.recorded
     }
 
-    /// Attempts squared so far.
-    pub fn tally(&self) -> ReconciliationCounts {
-        self.tally
+    /// Attempts reconciled so far.
+    pub fn counts(&self) -> ReconciliationCounts {
+        self.counts
     }
 }
--- a/src/core/shard_owner/attempt.rs
+++ b/src/core/shard_owner/attempt.rs
@@ -37,8 +37,8 @@
     pub(super) phase: AttemptPhase,
     /// Whether the leader wants it there.
     pub(super) is_wanted: bool,
-    /// The heartbeat whose response first carried its `run`.
-    pub(super) run_sent: Option<HeartbeatVersion>,
+    /// The heartbeat whose response first carried its start command.
+    pub(super) start_sent: Option<HeartbeatVersion>,
     /// Whether a heartbeat has listed it.
     pub(super) was_listed: bool,
     /// When a heartbeat first listed it as running.
@@ -56,10 +56,15 @@
 impl Attempt {
     /// What verdicts and worker actions rest on.
     pub(super) fn state(&self) -> AttemptState {
-        AttemptState { phase: self.phase, wanted: self.is_wanted, run_sent: self.run_sent }
+        AttemptState { phase: self.phase, is_wanted: self.is_wanted, start_sent: self.start_sent }
     }
 
-    /// Whether its `run` waits to be sent: it is bound here, recorded and wanted.
+    /// Name of its task, as workers know it.
+    pub(super) fn task_name(&self, context: &NodeContext) -> String {
+        format!("{}/{}", context.jobs.id(self.job), self.task)
+    }
+
+    /// Whether its start command waits to be sent: it is bound here, recorded and wanted.
     pub(super) fn is_ready(&self) -> bool {
         self.phase == AttemptPhase::Bound && self.is_recorded() && self.is_wanted
     }
@@ -74,7 +79,7 @@
         self.recording != RecordingState::Unrecorded
     }
 
-    /// Whether it waits for the write that must be durable before its `run` may go out.
+    /// Whether it waits for the write that must be durable before its start command.
     pub(super) fn needs_recording(&self, context: &NodeContext) -> bool {
         !self.is_recorded()
             && self.is_wanted
--- a/src/core/shard_owner/binding.rs
+++ b/src/core/shard_owner/binding.rs
@@ -153,7 +153,7 @@
         recording: RecordingState::Unrecorded,
         phase: AttemptPhase::Bound,
         is_wanted: true,
-        run_sent: None,
+        start_sent: None,
         was_listed: false,
         started_at: None,
         ran_ms: 0,
--- a/src/core/shard_owner/desired_state.rs
+++ b/src/core/shard_owner/desired_state.rs
@@ -1,13 +1,13 @@
 //! Taking in what the leader wants in a shard of this node.
 
-use super::ShardOwner;
 use super::attempt::Attempt;
 use super::binding::AdmittedTask;
 use super::machine::{Machine, machines_of_mut};
-use super::owned_shard::{GoneAttempt, OwnedShard, ParkedDesiredState, WaitingTasks};
+use super::owned_shard::{GoneAttempt, OwnedShard, ParkedDesiredState, WaitingTaskCount};
+use super::{ShardOwner, unavailable};
 use crate::core::common::context::NodeContext;
 use crate::model::{JobIndex, Ms, ShardIndex};
-use crate::wire::peer::{Decommission, DesiredState};
+use crate::wire::peer::{self, Decommission, DesiredState};
 use rustc_hash::{FxHashMap, FxHashSet};
 use woadlever_recovery::attempt;
 
@@ -207,7 +207,7 @@
             return;
         };
         if let Some(parked) = &machine.parked_heartbeat {
-            context.respond_unavailable(parked.request_id, "this machine has been returned");
+            context.respond_unavailable(parked.request_id, unavailable::TERMINATED);
         }
         if let Some(shard) = &mut self.shards[index.place()] {
             let now = context.clock.now();
@@ -246,8 +246,8 @@
     // it elsewhere. So a task whose job is yet unknown here is rejected for good: bound
     // with a later desired state, it would run twice.
     shard.rejected_attempts.extend(&desired.of_unknown_jobs);
-    let known_job = |waiting: &crate::wire::peer::WaitingTasks| {
-        Some(WaitingTasks { job: context.job_index(&waiting.job)?, count: waiting.count })
+    let known_job = |waiting: &peer::WaitingTasks| {
+        Some(WaitingTaskCount { job: context.job_index(&waiting.job)?, count: waiting.count })
     };
     shard.waiting_tasks = message.waiting.iter().filter_map(known_job).collect();
 }
@@ -265,7 +265,7 @@
 
 /// Drops attempts that are gone without a heartbeat, now that the leader does not want
 /// them: what was never sent is nowhere, whatever its record says, and what ended on a
-/// machine whose lease is over needs no clearing.
+/// machine whose lease is over need not be forgotten there.
 fn drop_unwanted(context: &NodeContext, shard: &mut OwnedShard, machine: &mut Machine) {
     let lease_ended = machine.liveness.has_ended();
     let is_gone = |attempt: &mut Attempt| attempt::ends_when_unwanted(&attempt.state(), lease_ended);
--- a/src/core/shard_owner/direct_commands.rs
+++ b/src/core/shard_owner/direct_commands.rs
@@ -50,7 +50,7 @@
 }
 
 /// Sends stop commands for all tasks of cancelled jobs that may be on the machine. Never
-/// a `run`, which could be carried out minutes late.
+/// a start command, which could be carried out minutes late.
 fn send_stop_commands(context: &mut NodeContext, machine: &mut Machine) {
     let commands: Vec<Command> = machine
         .attempts
@@ -73,7 +73,7 @@
 fn stop_command(context: &NodeContext, attempt: &Attempt) -> Command {
     Command {
         op: CommandAction::Stop,
-        task: format!("{}/{}", context.jobs.id(attempt.job), attempt.task),
+        task: attempt.task_name(context),
         attempt: attempt.id,
         grace_s: Some(0.0),
     }
--- a/src/core/shard_owner/load_projection.rs
+++ b/src/core/shard_owner/load_projection.rs
@@ -3,7 +3,7 @@
 
 use super::ShardOwner;
 use super::machine::{Machine, Machines};
-use super::owned_shard::{OwnedShard, WaitingTasks};
+use super::owned_shard::{OwnedShard, WaitingTaskCount};
 use crate::core::common::context::NodeContext;
 use crate::core::common::window::{self, Booking};
 use crate::model::{JobSpec, MachineIndex, MachineType, Ms, Resources};
@@ -123,7 +123,7 @@
 /// Counts the waiting tasks of one job on the open machines, the least loaded first.
 fn count_tasks_of_job(
     spec: &JobSpec,
-    waiting: &WaitingTasks,
+    waiting: &WaitingTaskCount,
     counted: &mut [CountedMachine<'_>],
     open: &[usize],
     demand: &mut WaitingDemand,
--- a/src/core/shard_owner/loading.rs
+++ b/src/core/shard_owner/loading.rs
@@ -161,7 +161,7 @@
         recording: RecordingState::Recorded,
         phase: AttemptPhase::Inherited,
         is_wanted: true,
-        run_sent: None,
+        start_sent: None,
         was_listed: false,
         started_at: None,
         ran_ms: 0,
--- a/src/core/shard_owner/machine.rs
+++ b/src/core/shard_owner/machine.rs
@@ -1,11 +1,11 @@
 //! A machine of an owned shard, with the attempts that may be on it.
 
 use super::attempt::Attempt;
+use super::parked_heartbeats::ParkedHeartbeat;
 use super::placement_records::RecordIndex;
 use crate::core::common::context::NodeContext;
 use crate::core::common::named_table::NamedTable;
 use crate::model::{MachineIndex, Ms, Resources, ShardIndex};
-use crate::wire::workers::Command;
 use woadlever_recovery::attempt::AttemptPhase;
 use woadlever_recovery::worker::WorkerLiveness;
 
@@ -32,17 +32,6 @@
     pub(super) size_gb: f64,
 }
 
-/// A worker heartbeat whose response is held back until there is work for the machine
-/// or its time is over.
-#[derive(Debug)]
-pub(super) struct ParkedHeartbeat {
-    pub(super) request_id: u64,
-    /// The response goes out now at the latest.
-    pub(super) respond_by: Ms,
-    /// Commands decided when the heartbeat arrived.
-    pub(super) commands: Vec<Command>,
-}
-
 /// A machine of an owned shard.
 #[derive(Debug)]
 pub struct Machine {
--- a/src/core/shard_owner/mod.rs
+++ b/src/core/shard_owner/mod.rs
@@ -5,14 +5,16 @@
 //! responses of the key-value store, and polls it after each input. It never decides
 //! which tasks run, or in which shard; that is the leader's part.
 //!
-//! Three things keep a task from running twice. An attempt is recorded before its `run`
-//! goes out, with compares that any later leader or shard owner breaks by its own writes.
-//! `run` goes out only in responses to heartbeats. And an attempt counts as gone only once
-//! a newer heartbeat, from a worker that knows our fencing token, does not list it, or
-//! its lease has surely ended, or the cloud has confirmed the machine's termination.
+//! Three things keep a task from running twice. An attempt is recorded before its start
+//! command goes out, with compares that any later leader or shard owner breaks by its own
+//! writes. Start commands go out only in responses to heartbeats. And an attempt counts as
+//! gone only once a newer heartbeat, from a worker that knows our fencing token, does not
+//! list it, or its lease has surely ended, or the cloud has confirmed the machine's
+//! termination.
 //!
 //! - [`binding`], [`desired_state`]: what the leader wants, and the machines chosen for it;
-//! - [`worker_heartbeats`], [`direct_commands`]: what workers tell and are told;
+//! - [`worker_heartbeats`], [`parked_heartbeats`]: taking in heartbeats and answering them;
+//! - [`worker_commands`], [`direct_commands`]: what workers are told to do;
 //! - [`reconciliation`]: what heartbeats and ends of leases prove about attempts;
 //! - [`placement_records`], [`loading`]: the stored records of what may be on machines;
 //! - [`reported_state`], [`load_projection`]: what the leader is told.
@@ -24,10 +26,14 @@
 mod load_projection;
 mod loading;
 mod machine;
+mod name_table;
 mod owned_shard;
+mod parked_heartbeats;
 mod placement_records;
 mod reconciliation;
 mod reported_state;
+mod unavailable;
+mod worker_commands;
 mod worker_heartbeats;
 
 use crate::core::common::context::NodeContext;
@@ -160,8 +166,7 @@
                 && let Some(parked) =
                     self.machines.remove(index).and_then(|machine| machine.parked_heartbeat)
             {
-                let why = "the block went to another holder";
-                context.respond_unavailable(parked.request_id, why);
+                context.respond_unavailable(parked.request_id, unavailable::SHARD_MOVED);
             }
         }
     }
--- a/src/core/shard_owner/owned_shard.rs
+++ b/src/core/shard_owner/owned_shard.rs
@@ -31,7 +31,7 @@
 
 /// Tasks of a job that wait for free capacity, counted on their best-fit machines.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct WaitingTasks {
+pub(super) struct WaitingTaskCount {
     pub(super) job: JobIndex,
     pub(super) count: u32,
 }
@@ -58,7 +58,7 @@
     /// Attempts that are never bound here, until the leader no longer names them.
     pub(super) rejected_attempts: FxHashSet<u64>,
     pub(super) parked_desired_state: Option<ParkedDesiredState>,
-    pub(super) waiting_tasks: Vec<WaitingTasks>,
+    pub(super) waiting_tasks: Vec<WaitingTaskCount>,
     /// The leader has not been told of the latest changes.
     pub(super) has_unreported_changes: bool,
     /// When the last state message was sent.
--- a/src/core/shard_owner/placement_records/draft.rs
+++ b/src/core/shard_owner/placement_records/draft.rs
@@ -8,6 +8,7 @@
 use crate::core::common::watch_cache::job_key;
 use crate::core::shard_owner::attempt::{Attempt, RecordingState};
 use crate::core::shard_owner::machine::Machine;
+use crate::core::shard_owner::name_table::place_of;
 use crate::model::{JobIndex, MachineIndex};
 use crate::wire::store::{Compare, PlacementRecord, RecordedJob, RecordedMachine};
 use rustc_hash::{FxHashMap, FxHashSet};
@@ -70,7 +71,7 @@
         if tasks.is_empty() && state_flags == 0 {
             return;
         }
-        let type_row = self.type_row(&machine.type_name);
+        let type_row = place_of(&mut self.content.types, &machine.type_name);
         self.content.machines.push(RecordedMachine(machine.name.clone(), type_row, flags, tasks));
         if shows_state {
             self.write.machine_flags.insert(index, flags);
@@ -150,16 +151,6 @@
             jobs.len() as u32 - 1
         })
     }
-
-    fn type_row(&mut self, type_name: &str) -> u32 {
-        let types = &mut self.content.types;
-        let known = types.iter().position(|known| known == type_name);
-        let row = known.unwrap_or_else(|| {
-            types.push(type_name.to_string());
-            types.len() - 1
-        });
-        row as u32
-    }
 }
 
 /// What a machine's row shows of the machine's own state.
--- a/src/core/shard_owner/placement_records/mod.rs
+++ b/src/core/shard_owner/placement_records/mod.rs
@@ -18,7 +18,8 @@
 //! one.
 //!
 //! - `layout`: sizes of a record and of its parts;
-//! - `record`: the state of one record, and the list of a shard's records;
+//! - `record`: the state of one record;
+//! - `shard_records`: the list of a shard's records;
 //! - `allocation`: which record takes an attempt or a machine's own state;
 //! - `splitting`: how oversized records shrink;
 //! - `schedule`: when which record is written;
@@ -35,14 +36,16 @@
 mod record;
 mod reread;
 mod schedule;
+mod shard_records;
 mod splitting;
 mod write;
 
 pub(super) use allocation::{prepare_open_record, reserve_attempt};
 pub(super) use layout::job_row_bytes;
-pub(super) use record::{OwnedRecord, RecordIndex, ShardRecords};
+pub(super) use record::{OwnedRecord, RecordIndex};
 pub(super) use reread::on_reread_result;
 pub(super) use schedule::write_due_records;
+pub(super) use shard_records::ShardRecords;
 pub use write::RecordWrite;
 pub(super) use write::on_write_result;
 
--- a/src/core/shard_owner/placement_records/schedule.rs
+++ b/src/core/shard_owner/placement_records/schedule.rs
@@ -105,18 +105,22 @@
     if !shards.iter().flatten().any(OwnedShard::is_loaded) {
         return;
     }
+    let now = context.clock.now();
     split_oversized_records(context, shards, machines, term);
     let pending = collect_pending(context, shards, machines, term);
     let urgent_records = pending.urgent_records().max(1);
     let urgent_gap_ms = write_gap_ms(context, urgent_records, URGENT_RATE_SHARE);
     for shard in shards.iter_mut().flatten().filter(|shard| shard.is_loaded()) {
         for record in shard.records.indices() {
+            if shard.records[record].must_reread(now) {
+                send_reread(context, shard, record);
+                continue;
+            }
             let urgency = pending.urgency(shard.index, record);
             let Some(reason) = due_write(context, shard, machines, record, urgency) else { continue };
             if !context.can_write(1) {
                 return;
             }
-            let now = context.clock.now();
             shard.records[record].defer_write(now + urgent_gap_ms);
             if reason == WriteReason::Cleanup {
                 shard.records.defer_cleanup(now + write_gap_ms(context, 1, CLEANUP_RATE_SHARE));
@@ -166,19 +170,15 @@
     pending
 }
 
-/// Why this record is to be written now, if it is. Reads it back if that is due.
+/// Why this record is to be written now, if it is.
 fn due_write(
-    context: &mut NodeContext,
+    context: &NodeContext,
     shard: &mut OwnedShard,
     machines: &Machines,
     index: RecordIndex,
     urgency: Option<Urgency>,
 ) -> Option<WriteReason> {
     let now = context.clock.now();
-    if shard.records[index].must_reread(now) {
-        send_reread(context, shard, index);
-        return None;
-    }
     if !shard.records[index].may_write(now) {
         return None;
     }
--- a/src/core/shard_owner/placement_records/write.rs
+++ b/src/core/shard_owner/placement_records/write.rs
@@ -33,7 +33,7 @@
     pub(super) record: RecordIndex,
     /// Fencing token under which it was sent.
     fencing_token: u64,
-    /// Attempts whose `run` may go out once this write is executed.
+    /// Attempts that may be started once this write is executed.
     pub(super) new_attempts: FxHashSet<u64>,
     /// Attempts that are copied out of oversized records.
     pub(super) moved_attempts: FxHashSet<u64>,
--- a/src/core/shard_owner/reconciliation.rs
+++ b/src/core/shard_owner/reconciliation.rs
@@ -5,11 +5,12 @@
 use super::attempt::Attempt;
 use super::machine::{Machine, machines_of};
 use super::owned_shard::{GoneAttempt, OwnedShard};
+use super::worker_commands::command_for_unrecorded;
 use crate::core::common::context::NodeContext;
 use crate::model::{Ms, split_task};
-use crate::wire::workers::{Command, CommandAction, HeartbeatTask, TaskState};
+use crate::wire::workers::{Command, HeartbeatTask, TaskState};
 use rustc_hash::FxHashSet;
-use woadlever_recovery::attempt::{self, AttemptPhase, Verdict, WorkerAction};
+use woadlever_recovery::attempt::{self, AttemptPhase, Verdict};
 use woadlever_recovery::shard::ShardRecovery;
 
 /// Version of the fields in recovery's log lines.
@@ -27,7 +28,7 @@
             if machine.liveness.has_ended() || machine.parked_heartbeat.is_some() || !shard.is_loaded() {
                 continue;
             }
-            let owned_since = shard.recovery.since();
+            let owned_since = shard.recovery.owned_since();
             if machine.liveness.lease_is_over(owned_since, &timing, context.clock.now()) {
                 end_lease(context, shard, machine);
             }
@@ -42,7 +43,7 @@
             }
             let unreconciled =
                 machines_of(&self.machines, shard.index).map(Machine::unreconciled_attempts).sum();
-            if shard.recovery.settle(unreconciled) {
+            if shard.recovery.finish_if_reconciled(unreconciled) {
                 log_recovery_phase(context, shard);
             }
         }
@@ -66,7 +67,7 @@
 /// Logs a shard's phase of recovery; `woadlever-recovery-report` reads these lines.
 pub(super) fn log_recovery_phase(context: &NodeContext, shard: &OwnedShard) {
     let recovery = &shard.recovery;
-    let tally = recovery.tally();
+    let counts = recovery.counts();
     tracing::info!(
         target: "woadlever::recovery",
         format = LOG_FORMAT,
@@ -76,10 +77,10 @@
         age_ms = recovery.age_ms(context.clock.now()),
         revision = recovery.revision(),
         recorded = recovery.recorded(),
-        confirmed = tally.confirmed,
-        absent = tally.absent,
-        lease_ended = tally.lease_ended,
-        unrecorded = tally.unrecorded,
+        confirmed = counts.confirmed,
+        absent = counts.absent,
+        lease_ended = counts.lease_ended,
+        unrecorded = counts.unrecorded,
         "recovery"
     );
 }
@@ -100,7 +101,7 @@
     let is_gone = |attempt: &mut Attempt| {
         let verdict = attempt::judge(&attempt.state(), listed.contains(&attempt.id), liveness);
         if attempt.phase == AttemptPhase::Inherited {
-            recovery.count(verdict);
+            recovery.count_verdict(verdict);
         }
         matches!(verdict, Verdict::Absent | Verdict::Undelivered)
     };
@@ -136,7 +137,7 @@
 }
 
 /// Notes the phases of the attempts that a heartbeat lists; their ids. What no record
-/// lists is stopped or cleared.
+/// lists is stopped or forgotten.
 fn note_listed(
     context: &NodeContext,
     machine: &mut Machine,
@@ -152,7 +153,7 @@
             continue;
         };
         if attempt.phase == AttemptPhase::Inherited {
-            recovery.count(Verdict::Present);
+            recovery.count_verdict(Verdict::Present);
         }
         listed.insert(attempt.id);
         attempt.was_listed = true;
@@ -175,15 +176,6 @@
     machine.attempts.iter_mut().find(is_named)
 }
 
-fn command_for_unrecorded(task: &HeartbeatTask) -> Command {
-    let action = attempt::action_for_unrecorded(task.state == TaskState::Exited);
-    let (op, grace_s) = match action {
-        WorkerAction::Clear => (CommandAction::Forget, None),
-        _ => (CommandAction::Stop, Some(0.0)),
-    };
-    Command { op, task: task.task.clone(), attempt: task.attempt, grace_s }
-}
-
 fn phase_of(task: &HeartbeatTask) -> AttemptPhase {
     match task.state {
         TaskState::Fetching => AttemptPhase::Fetching,
--- a/src/core/shard_owner/reported_state.rs
+++ b/src/core/shard_owner/reported_state.rs
@@ -4,6 +4,7 @@
 use super::ShardOwner;
 use super::attempt::Attempt;
 use super::machine::{Machine, Machines, machines_of};
+use super::name_table::place_of;
 use super::owned_shard::OwnedShard;
 use crate::core::common::context::NodeContext;
 use crate::core::common::leadership::KnownLeader;
@@ -82,7 +83,7 @@
 impl ReportBuilder {
     fn add_machine(&mut self, context: &NodeContext, machine: &Machine) {
         let now = context.clock.now();
-        let machine_type = self.type_row(&machine.type_name);
+        let machine_type = place_of(&mut self.report.types, &machine.type_name);
         let last_heartbeat = machine.liveness.last_heartbeat();
         let tasks =
             machine.attempts.iter().map(|attempt| self.reported_task(context, attempt)).collect();
@@ -111,16 +112,6 @@
         }
     }
 
-    fn type_row(&mut self, type_name: &str) -> u32 {
-        let types = &mut self.report.types;
-        let known = types.iter().position(|known| known == type_name);
-        let row = known.unwrap_or_else(|| {
-            types.push(type_name.to_string());
-            types.len() - 1
-        });
-        row as u32
-    }
-
     fn job_row(&mut self, context: &NodeContext, attempt: &Attempt) -> u32 {
         let jobs = &mut self.report.jobs;
         *self.job_rows.entry(attempt.job).or_insert_with(|| {
--- /dev/null
+++ b/src/core/shard_owner/worker_commands.rs
@@ -0,0 +1,96 @@
+//! The commands that a machine gets in the response to its heartbeat. Which action is
+//! allowed for an attempt is decided by `woadlever_recovery`.
+
+use super::attempt::Attempt;
+use super::machine::Machine;
+use crate::core::common::context::NodeContext;
+use crate::model::JobSpec;
+use crate::wire::store::JobState;
+use crate::wire::workers::{Command, CommandAction, HeartbeatTask, TaskState};
+use woadlever_recovery::attempt::{self, ActionConditions, AttemptPhase, JobEligibility, WorkerAction};
+
+/// Whether a parked heartbeat is to be answered at once for this attempt.
+pub(super) fn has_command(context: &NodeContext, attempt: &Attempt) -> bool {
+    let must_stop = || context.must_stop(attempt.job);
+    match attempt.phase {
+        AttemptPhase::Bound => attempt.is_ready() && attempt.start_sent.is_none() && !must_stop(),
+        AttemptPhase::Fetching | AttemptPhase::Running => !attempt.is_wanted || must_stop(),
+        _ => false,
+    }
+}
+
+/// Adds what the worker shall do now with each attempt.
+pub(super) fn add_commands(context: &NodeContext, machine: &mut Machine, commands: &mut Vec<Command>) {
+    let starts_allowed = !machine.terminating_recorded;
+    for attempt in &mut machine.attempts {
+        let spec = context.job(attempt.job).spec.as_deref();
+        let conditions = ActionConditions {
+            is_recorded: attempt.is_recorded(),
+            was_listed: attempt.was_listed,
+            starts_allowed,
+        };
+        let action = attempt::allowed_action(
+            &attempt.state(),
+            &job_eligibility(context, attempt),
+            &machine.liveness,
+            &conditions,
+        );
+        let Some(action) = action else { continue };
+        if action == WorkerAction::Start {
+            attempt.start_sent.get_or_insert(machine.liveness.newest());
+            log_start(context, &machine.name, attempt);
+        }
+        commands.push(command_for(context, attempt, action, spec));
+    }
+}
+
+fn job_eligibility(context: &NodeContext, attempt: &Attempt) -> JobEligibility {
+    let job = context.job(attempt.job);
+    JobEligibility {
+        is_live: job.state == JobState::Live,
+        is_cancelled: context.must_stop(attempt.job),
+        can_checkpoint: job.spec.as_ref().is_some_and(|spec| spec.checkpoint_s > 0.0),
+    }
+}
+
+fn command_for(
+    context: &NodeContext,
+    attempt: &Attempt,
+    action: WorkerAction,
+    spec: Option<&JobSpec>,
+) -> Command {
+    let (op, grace_s) = match action {
+        WorkerAction::Start => (CommandAction::Start, None),
+        WorkerAction::Stop { with_checkpoint } => {
+            let save_s = spec.filter(|_| with_checkpoint).map_or(0.0, |spec| spec.save_s);
+            (CommandAction::Stop, Some(save_s))
+        }
+        WorkerAction::Forget => (CommandAction::Forget, None),
+    };
+    Command { op, task: attempt.task_name(context), attempt: attempt.id, grace_s }
+}
+
+/// The command for an attempt that a heartbeat lists and no record does.
+pub(super) fn command_for_unrecorded(task: &HeartbeatTask) -> Command {
+    let action = attempt::action_for_unrecorded(task.state == TaskState::Exited);
+    let (op, grace_s) = match action {
+        WorkerAction::Forget => (CommandAction::Forget, None),
+        _ => (CommandAction::Stop, Some(0.0)),
+    };
+    Command { op, task: task.task.clone(), attempt: task.attempt, grace_s }
+}
+
+/// Logs how long it took to record an attempt, and then until its machine was heard.
+fn log_start(context: &NodeContext, machine: &str, attempt: &Attempt) {
+    let bound_at = attempt.bound_at.unwrap_or(0);
+    let recorded_at = attempt.recorded_at.unwrap_or(0);
+    tracing::debug!(
+        machine,
+        job = context.jobs.id(attempt.job),
+        task = attempt.task,
+        attempt = attempt.id,
+        record_ms = recorded_at.saturating_sub(bound_at),
+        wait_ms = context.clock.now().saturating_sub(recorded_at),
+        "start command sent"
+    );
+}
