--- a/src/core/leader/attempts.rs
+++ b/src/core/leader/attempts.rs
@@ -11,7 +11,7 @@
 use crate::wire::peer::ReportedPhase;
 use rustc_hash::FxHashMap;
 use std::collections::BTreeSet;
-use woadlever_recovery::ledger;
+use woadlever_recovery::disposition::{TaskAttempt, superseded};
 
 /// One attempt at a task, as the leader knows it.
 #[derive(Debug)]
@@ -140,8 +140,10 @@
 
     /// Removes attempts at tasks that have a newer one.
     pub fn drop_superseded(&mut self) {
-        let rows: Vec<(JobIndex, u32, u64)> = self.by_task.iter().copied().collect();
-        for id in ledger::superseded(&rows) {
+        let by_task = self.by_task.iter();
+        let attempts: Vec<TaskAttempt<JobIndex>> =
+            by_task.map(|&(job, task, attempt)| TaskAttempt { job, task, attempt }).collect();
+        for id in superseded(&attempts) {
             self.remove(id);
         }
     }
--- a/src/core/leader/rebuild.rs
+++ b/src/core/leader/rebuild.rs
@@ -12,7 +12,7 @@
 use crate::model::{InstanceIndex, Ms, Resources, ShardIndex};
 use crate::wire::peer::ReportedPhase;
 use crate::wire::store::{KeyValue, Page, PlacementRecord, RecordedJob, RecordedMachine};
-use woadlever_recovery::ledger::{self, AttemptDisposition};
+use woadlever_recovery::disposition::{AttemptDisposition, TaskStatus};
 
 /// Records of one page.
 const PAGE_RECORDS: u32 = 1_000;
@@ -214,7 +214,8 @@
         for attempt in self.attempts.values_mut() {
             let live = self.jobs.get_mut(&attempt.job).filter(|live| !live.is_away());
             let is_done = live.as_ref().is_some_and(|live| live.done.contains(attempt.task));
-            let disposition = ledger::from_record(live.is_some(), is_done);
+            let status = TaskStatus { job_is_live: live.is_some(), is_done };
+            let disposition = AttemptDisposition::of_recorded(status);
             attempt.is_wanted = disposition == AttemptDisposition::Keep;
             if let Some(live) = live {
                 live.note_attempt(attempt.task);
--- a/src/core/leader/reconciliation.rs
+++ b/src/core/leader/reconciliation.rs
@@ -12,7 +12,7 @@
 use crate::model::{InstanceIndex, JobIndex, Resources, ShardIndex};
 use crate::wire::peer::{ReportedJob, ReportedPhase, ReportedState, ReportedTask};
 use rustc_hash::FxHashSet;
-use woadlever_recovery::ledger::{self, AttemptDisposition};
+use woadlever_recovery::disposition::{AttemptDisposition, TaskStatus, is_proven_gone};
 
 /// A job of a reported state, looked up once for all its tasks.
 struct JobOfReport {
@@ -99,7 +99,7 @@
             .attempts
             .iter()
             .filter(|(_, attempt)| attempt.shard == shard)
-            .filter(|(id, attempt)| ledger::is_gone(listed.contains(id), attempt.first_named_in, echo))
+            .filter(|(id, attempt)| is_proven_gone(listed.contains(id), attempt.first_named_in, echo))
             .map(|(id, _)| id)
             .collect();
         for id in gone {
@@ -138,7 +138,8 @@
         let task_has_attempt = self.attempts.has_task(job, task.task);
         let live = self.jobs.get_mut(&job).filter(|live| !live.is_away());
         let is_done = live.as_ref().is_some_and(|live| live.done.contains(task.task));
-        let disposition = ledger::from_shard_owner(live.is_some(), is_done, task_has_attempt);
+        let status = TaskStatus { job_is_live: live.is_some(), is_done };
+        let disposition = AttemptDisposition::of_reported(status, task_has_attempt);
         let is_wanted = disposition == AttemptDisposition::Keep;
         if let Some(live) = live.filter(|_| is_wanted) {
             live.note_attempt(task.task);
