--- a/crates/recovery/src/lib.rs
+++ b/crates/recovery/src/lib.rs
@@ -23,7 +23,6 @@
 
 pub mod attempt;
 pub mod disposition;
-pub mod ledger;
 pub mod shard;
 pub mod worker;
 
