--- a/crates/recovery-report/src/log_line.rs
+++ b/crates/recovery-report/src/log_line.rs
@@ -169,7 +169,9 @@
 }
 
 fn read_shed(fields: &Fields) -> Result<Event, LineError> {
-    let names = ["probes", "reports", "cancellations", "submissions", "questions"];
+    // Format 1 names worker heartbeats reports.
+    let heartbeats = if fields.number("format")? == 1 { "reports" } else { "heartbeats" };
+    let names = ["probes", heartbeats, "cancellations", "submissions", "questions"];
     let mut rejected = [0; RequestClass::ALL.len()];
     for (count, name) in rejected.iter_mut().zip(names) {
         *count = fields.number(name)?;
--- a/crates/recovery-report/tests/report.rs
+++ b/crates/recovery-report/tests/report.rs
@@ -45,9 +45,11 @@
 #[test]
 fn lines_of_the_present_and_of_the_former_format_tell_the_same() {
     let renamed = LOG.replace("format=1 block=", "format=2 shard=").replace("grant=", "fencing_token=");
-    let present = renamed.replace("squaring", "reconciling").replace("squared", "reconciled");
+    let renamed = renamed.replace("squaring", "reconciling").replace("squared", "reconciled");
+    let present = renamed.replace("shed format=1", "shed format=2").replace("reports=", "heartbeats=");
     let (old, new) = (History::read(&logs(LOG)).unwrap(), History::read(&logs(&present)).unwrap());
     assert_eq!(old.recoveries, new.recoveries);
+    assert_eq!(old.shed, new.shed);
 }
 
 #[test]
--- a/src/core/common/context.rs
+++ b/src/core/common/context.rs
@@ -164,7 +164,7 @@
 
     /// Answers that the request can't be served now and may be repeated in a second.
     pub fn respond_unavailable(&mut self, request_id: u64, why: &str) {
-        tracing::debug!(request_id = request_id, why, "not now");
+        tracing::debug!(request_id, why, "request answered with 503");
         let body = serde_json::to_string(&ErrorBody { error: why.into(), field: None });
         self.respond(request_id, 503, body.unwrap_or_default(), Some(1));
     }
--- a/src/io/gate/pressure.rs
+++ b/src/io/gate/pressure.rs
@@ -11,7 +11,7 @@
 /// Time between two log lines about what was shed.
 const LOG_INTERVAL_MS: Millis = 1_000;
 /// Version of the fields in overload's log lines.
-const LOG_FORMAT: u32 = 1;
+const LOG_FORMAT: u32 = 2;
 
 /// Measures the lag of the event loop and decides by it which connections are admitted.
 pub struct Pressure {
