--- a/src/core/shard_owner/binding.rs
+++ b/src/core/shard_owner/binding.rs
@@ -6,7 +6,7 @@
 use super::machine::{CachedImage, Machine, Machines};
 use super::placement_records::{self, RecordIndex};
 use crate::core::common::context::NodeContext;
-use crate::core::common::window;
+use crate::core::common::placement;
 use crate::model::{JobIndex, JobSpec, MachineIndex, Ms, Resources, ShardIndex};
 use crate::wire::store::JobState;
 use std::sync::Arc;
@@ -103,7 +103,7 @@
             continue;
         }
         let Some(machine) = machines.get(candidate.index) else { continue };
-        if !window::allowed(spec, &machine.type_name, &machine.zone, machine.is_spot) {
+        if !placement::allowed(spec, &machine.type_name, &machine.zone, machine.is_spot) {
             continue;
         }
         let score = score(context, spec, machine, candidate);
@@ -123,7 +123,7 @@
     let wastes_ordinary = spec.spot && !machine.is_spot;
     let demand = spec.demand();
     let mut score =
-        window::fit_score(&demand, &candidate.free_capacity, capacity, wastes_ordinary, has_image);
+        placement::fit_score(&demand, &candidate.free_capacity, capacity, wastes_ordinary, has_image);
     score += context.machine_types.scarcity_penalty(candidate.machine_type);
     // A machine with a parked heartbeat starts the task now, not with its next heartbeat.
     if machine.parked_heartbeat.is_none() {
--- a/src/core/shard_owner/desired_state.rs
+++ b/src/core/shard_owner/desired_state.rs
@@ -3,7 +3,9 @@
 use super::attempt::Attempt;
 use super::binding::AdmittedTask;
 use super::machine::{Machine, machines_of_mut};
-use super::owned_shard::{GoneAttempt, OwnedShard, ParkedDesiredState, WaitingTaskCount};
+use super::owned_shard::{
+    DesiredVersion, GoneAttempt, OwnedShard, ParkedDesiredState, WaitingTaskCount,
+};
 use super::{ShardOwner, unavailable};
 use crate::core::common::context::NodeContext;
 use crate::model::{JobIndex, Ms, ShardIndex};
@@ -223,7 +225,7 @@
     context.leadership.term() == Some(message.term)
         && message.fencing_token == shard.fencing_token
         && shard.is_loaded()
-        && (shard.desired_term != message.term || message.serial > shard.desired_serial)
+        && shard.newest_serial(message.term).is_none_or(|newest| message.serial > newest)
 }
 
 /// Whether all jobs that the message names are known here.
@@ -238,8 +240,7 @@
     message: &DesiredState,
     desired: &DesiredAttempts,
 ) {
-    shard.desired_term = message.term;
-    shard.desired_serial = message.serial;
+    shard.desired_version = Some(DesiredVersion { term: message.term, serial: message.serial });
     shard.has_unreported_changes = true;
     shard.rejected_attempts.retain(|id| desired.wanted.contains_key(id));
     // The leader takes what our next state message leaves out for never bound and admits
--- a/src/core/shard_owner/direct_commands.rs
+++ b/src/core/shard_owner/direct_commands.rs
@@ -39,10 +39,9 @@
     pub(super) fn repeat_stop_commands(&mut self, context: &mut NodeContext) {
         let now = context.clock.now();
         for machine in self.machines.values_mut() {
-            if (1..MAX_SENDS).contains(&machine.liveness.direct_commands())
-                && machine.parked_heartbeat.is_none()
-                && now >= machine.last_direct_command_at + RESEND_GAP_MS
-            {
+            let may_repeat = (1..MAX_SENDS).contains(&machine.liveness.direct_commands());
+            let is_due = machine.last_direct_command_at.is_some_and(|at| now >= at + RESEND_GAP_MS);
+            if may_repeat && is_due && machine.parked_heartbeat.is_none() {
                 send_stop_commands(context, machine);
             }
         }
@@ -62,7 +61,7 @@
     if commands.is_empty() || machine.address.is_empty() || machine.liveness.has_ended() {
         return;
     }
-    machine.last_direct_command_at = context.clock.now();
+    machine.last_direct_command_at = Some(context.clock.now());
     machine.liveness.note_direct_command();
     let incarnation = machine.liveness.newest().incarnation;
     let fencing_token = machine.fencing_token;
--- a/src/core/shard_owner/load_projection.rs
+++ b/src/core/shard_owner/load_projection.rs
@@ -5,7 +5,8 @@
 use super::machine::{Machine, Machines};
 use super::owned_shard::{OwnedShard, WaitingTaskCount};
 use crate::core::common::context::NodeContext;
-use crate::core::common::window::{self, Booking};
+use crate::core::common::placement;
+use crate::core::common::projection::{self, Booking};
 use crate::model::{JobSpec, MachineIndex, MachineType, Ms, Resources};
 use rustc_hash::FxHashMap;
 use std::cmp::Reverse;
@@ -34,7 +35,7 @@
 
     /// Whether tasks of the job may be there, apart from what else is.
     fn suits(&self, spec: &JobSpec) -> bool {
-        window::allowed(spec, &self.machine.type_name, &self.machine.zone, self.machine.is_spot)
+        placement::allowed(spec, &self.machine.type_name, &self.machine.zone, self.machine.is_spot)
             && spec.demand().fits_within(&self.machine_type.capacity)
     }
 }
@@ -61,7 +62,7 @@
     let Some(machine_type) = context.machine_types.index_of(&machine.type_name) else { return false };
     let capacity = &context.machine_types[machine_type].capacity;
     let bookings = bookings_of(machine, context.clock.now());
-    let projection = window::project(&context.operator, capacity, &bookings, waiting);
+    let projection = projection::project(&context.operator, capacity, &bookings, waiting);
     let has_changed = projection.overloaded != machine.is_overloaded;
     machine.is_overloaded = projection.overloaded;
     machine.peak_load = projection.peak;
--- a/src/core/shard_owner/machine.rs
+++ b/src/core/shard_owner/machine.rs
@@ -74,7 +74,7 @@
     pub(super) peak_load: f64,
     pub(super) parked_heartbeat: Option<ParkedHeartbeat>,
     /// When direct commands were last sent to it.
-    pub(super) last_direct_command_at: Ms,
+    pub(super) last_direct_command_at: Option<Ms>,
 }
 
 impl Machine {
@@ -103,7 +103,7 @@
             is_overloaded: false,
             peak_load: 0.0,
             parked_heartbeat: None,
-            last_direct_command_at: 0,
+            last_direct_command_at: None,
         }
     }
 
--- a/src/core/shard_owner/owned_shard.rs
+++ b/src/core/shard_owner/owned_shard.rs
@@ -21,6 +21,15 @@
     Done,
 }
 
+/// Position of a desired state among all of a shard.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub(super) struct DesiredVersion {
+    /// Term of the leader that sent it.
+    pub(super) term: u64,
+    /// Rises with each message of the term; state messages to the leader echo it.
+    pub(super) serial: u64,
+}
+
 /// A desired state that names jobs which the watch has yet to bring.
 #[derive(Debug)]
 pub(super) struct ParkedDesiredState {
@@ -51,10 +60,8 @@
     pub(super) load: LoadState,
     /// How far what is on record has been reconciled with worker heartbeats.
     pub(super) recovery: ShardRecovery,
-    /// Term of the last desired state taken in; 0 for none.
-    pub(super) desired_term: u64,
-    /// Its serial, which state messages to the leader echo.
-    pub(super) desired_serial: u64,
+    /// The last desired state taken in.
+    pub(super) desired_version: Option<DesiredVersion>,
     /// Attempts that are never bound here, until the leader no longer names them.
     pub(super) rejected_attempts: FxHashSet<u64>,
     pub(super) parked_desired_state: Option<ParkedDesiredState>,
@@ -76,8 +83,7 @@
             fencing_token,
             load: LoadState::Due { at: now },
             recovery: ShardRecovery::new(now),
-            desired_term: 0,
-            desired_serial: 0,
+            desired_version: None,
             rejected_attempts: FxHashSet::default(),
             parked_desired_state: None,
             waiting_tasks: Vec::new(),
@@ -93,6 +99,16 @@
         self.load == LoadState::Done
     }
 
+    /// Whether the last desired state taken in is of the leader of this term.
+    pub(super) fn follows_term(&self, term: u64) -> bool {
+        self.newest_serial(term).is_some()
+    }
+
+    /// Serial of the last desired state taken in, if it is of the leader of this term.
+    pub(super) fn newest_serial(&self, term: u64) -> Option<u64> {
+        self.desired_version.filter(|version| version.term == term).map(|version| version.serial)
+    }
+
     /// Notes attempts that are proven gone. Desired states under way may still allow to
     /// bind them, and our next state message, which leaves them out, has the leader admit
     /// their tasks elsewhere: bound again here, they would run twice.
--- a/src/core/shard_owner/placement_records/draft.rs
+++ b/src/core/shard_owner/placement_records/draft.rs
@@ -5,7 +5,7 @@
 use super::record::RecordIndex;
 use super::write::RecordWrite;
 use crate::core::common::context::NodeContext;
-use crate::core::common::watch_cache::job_key;
+use crate::core::common::store_keys::job_key;
 use crate::core::shard_owner::attempt::{Attempt, RecordingState};
 use crate::core::shard_owner::machine::Machine;
 use crate::core::shard_owner::name_table::place_of;
--- a/src/core/shard_owner/placement_records/schedule.rs
+++ b/src/core/shard_owner/placement_records/schedule.rs
@@ -72,7 +72,7 @@
         term: u64,
     ) {
         // An attempt that a former leader admitted has no standing.
-        if shard.desired_term == term {
+        if shard.follows_term(term) {
             for attempt in machine.attempts.iter().filter(|attempt| attempt.needs_recording(context)) {
                 self.add(shard.index, attempt.record, Urgency::Urgent);
             }
@@ -140,7 +140,7 @@
     for shard in shards.iter_mut().flatten().filter(|shard| shard.is_loaded()) {
         // A leader that has yet to read all records would miss an attempt that moves from
         // one that it reads later to one that it has read.
-        if shard.desired_term != term {
+        if !shard.follows_term(term) {
             continue;
         }
         for record in shard.records.indices() {
@@ -186,7 +186,7 @@
     let record = &mut shard.records[index];
     let reason = write_reason(record, urgency, may_clean_up, now)?;
     if record.is_oversized() {
-        let follows_leader = context.leadership.term() == Some(shard.desired_term);
+        let follows_leader = context.leadership.term().is_some_and(|term| shard.follows_term(term));
         if !follows_leader || must_wait_for_split(context, machines, shard.index, index) {
             return None;
         }
--- a/src/core/shard_owner/placement_records/write.rs
+++ b/src/core/shard_owner/placement_records/write.rs
@@ -5,7 +5,7 @@
 use super::record::RecordIndex;
 use super::record_key;
 use crate::core::common::context::NodeContext;
-use crate::core::common::watch_cache::{LEADER, shard_key};
+use crate::core::common::store_keys::{LEADER, shard_key};
 use crate::core::shard_owner::attempt::{Attempt, RecordingState};
 use crate::core::shard_owner::machine::{Machine, Machines, machines_of, machines_of_mut};
 use crate::core::shard_owner::{OwnedShard, ShardOwnerCall};
@@ -96,7 +96,7 @@
     let base = smallest_attempt(machines, shard.index, record);
     let bytes = required_bytes(machines, shard.index, record, base);
     // An attempt that a former leader admitted has no standing.
-    let takes_new = shard.desired_term == term;
+    let takes_new = shard.follows_term(term);
     let write = RecordWrite::new(shard, record);
     let mut draft = RecordDraft::new(write, compares, base, bytes, takes_new);
     for (index, machine) in machines.iter_mut().filter(|(_, machine)| machine.shard == shard.index) {
--- a/src/core/shard_owner/reported_state.rs
+++ b/src/core/shard_owner/reported_state.rs
@@ -19,6 +19,8 @@
 const MIN_REPORT_GAP_MS: Ms = 60;
 /// Time between two state messages of a shard while nothing changes.
 const IDLE_REPORT_GAP_MS: Ms = 1_000;
+/// Echo of a state message that answers no desired state.
+const NO_DESIRED_STATE: u64 = 0;
 /// Silence of a machine that was never heard, as state messages have it.
 const NEVER_HEARD_MS: u64 = u64::MAX;
 
@@ -54,13 +56,12 @@
     machines: &Machines,
     term: u64,
 ) -> ReportedState {
-    let echo = if shard.desired_term == term { shard.desired_serial } else { 0 };
     let mut builder = ReportBuilder {
         report: ReportedState {
             term,
             shard: shard.index.number(),
             fencing_token: shard.fencing_token,
-            echo,
+            echo: shard.newest_serial(term).unwrap_or(NO_DESIRED_STATE),
             types: Vec::new(),
             jobs: Vec::new(),
             machines: Vec::new(),
