--- a/src/core/common/watch_cache.rs
+++ b/src/core/common/watch_cache.rs
@@ -3,7 +3,7 @@
 //! Each answered call also renews the control lease as of the moment at which it was
 //! *sent*: what we know of shards and cancellations was current then.
 
-pub use super::store_keys::{LEADER, job_key, shard_key};
+pub use super::store_keys::{LEADER, job_key};
 
 use super::context::NodeContext;
 use super::job_records::RecordSource;
