--- a/src/core/leader/free_capacity.rs
+++ b/src/core/leader/free_capacity.rs
@@ -156,14 +156,22 @@
         placed
     }
 
+    /// For each class, whether a job may use its machines, and in zones that are allowed.
+    pub fn usable_classes(
+        &self,
+        context: &NodeContext,
+        spec: &JobSpec,
+        zones: &ZoneConstraints,
+    ) -> Vec<bool> {
+        let is_usable =
+            |class: &MachineClass| may_use(context, spec, class) && zones.allows(&class.zone);
+        self.classes.iter().map(is_usable).collect()
+    }
+
     /// Withholds the machine with the most free capacity among those that a job may use, so
     /// that smaller tasks don't refill it before a task of the job fits.
     pub fn reserve_for(&mut self, context: &NodeContext, spec: &JobSpec, zones: &ZoneConstraints) {
-        let is_class_usable: Vec<bool> = self
-            .classes
-            .iter()
-            .map(|class| may_use(context, spec, class) && zones.allows(&class.zone))
-            .collect();
+        let is_class_usable = self.usable_classes(context, spec, zones);
         let used_share = |machine: &FreeMachine| {
             1.0 - machine.free.dominant_share(&self.classes[machine.class].total)
         };
--- a/src/core/leader/preemption.rs
+++ b/src/core/leader/preemption.rs
@@ -7,7 +7,7 @@
 
 use super::Leader;
 use super::attempts::Attempt;
-use super::free_capacity::{FreeCapacity, FreeMachine, may_use};
+use super::free_capacity::{FreeCapacity, FreeMachine};
 use super::live_jobs::LiveJob;
 use super::scheduling_cycle::WaitingJob;
 use super::zones::ZoneConstraints;
@@ -148,11 +148,7 @@
     ) -> Option<Victims> {
         let zones = ZoneConstraints::for_job(context, self, preemptor.job, &preemptor.spec);
         let free_capacity = state.free_capacity;
-        let is_class_usable: Vec<bool> = free_capacity
-            .classes
-            .iter()
-            .map(|class| may_use(context, &preemptor.spec, class) && zones.allows(&class.zone))
-            .collect();
+        let is_class_usable = free_capacity.usable_classes(context, &preemptor.spec, &zones);
         free_capacity
             .machines
             .iter()
--- a/src/core/leader/reconciliation.rs
+++ b/src/core/leader/reconciliation.rs
@@ -3,7 +3,7 @@
 //!
 //! A reported state lists everything that may be in a shard. Attempts that the leader doesn't
 //! know are adopted or stopped, known ones are updated, and one that is not listed is gone once
-//! the report answers a desired state that named it.
+//! the reported state answers a desired state that named it.
 
 use super::Leader;
 use super::attempts::Attempt;
@@ -15,18 +15,18 @@
 use woadlever_recovery::ledger::{self, AttemptDisposition};
 
 /// A job of a reported state, looked up once for all its tasks.
-struct JobOfReport {
+struct ReportedJobInfo {
     job: JobIndex,
     team: Option<usize>,
     demand: Resources,
 }
 
-impl JobOfReport {
-    fn new(context: &mut NodeContext, reported: &ReportedJob) -> JobOfReport {
+impl ReportedJobInfo {
+    fn new(context: &mut NodeContext, reported: &ReportedJob) -> ReportedJobInfo {
         let teams = &context.platform.cluster.teams;
         let team = teams.iter().position(|team| team.name == reported.team);
         let demand = Resources { cpus: reported.cpus, gpus: reported.gpus, mem: reported.memory_gb };
-        JobOfReport { job: context.job_index_or_lookup(&reported.job), team, demand }
+        ReportedJobInfo { job: context.job_index_or_lookup(&reported.job), team, demand }
     }
 }
 
@@ -34,7 +34,7 @@
 struct ReportedAttempt<'a> {
     shard: ShardIndex,
     machine: InstanceIndex,
-    job: &'a JobOfReport,
+    job: &'a ReportedJobInfo,
     task: &'a ReportedTask,
 }
 
@@ -43,7 +43,7 @@
     /// if the sender is not the owner with the present fencing token.
     pub fn on_reported_state(&mut self, context: &mut NodeContext, from: &str, reported: ReportedState) {
         let shard = ShardIndex::new(reported.shard);
-        if !self.accepts_report(context, from, &reported) {
+        if !self.accepts_reported_state(context, from, &reported) {
             return;
         }
         let assignment = &mut self.shards[shard.place()];
@@ -51,11 +51,16 @@
             assignment.has_reported = true;
             self.cycle_due = true;
         }
-        let listed = self.apply_report(context, shard, &reported);
+        let listed = self.apply_reported_state(context, shard, &reported);
         self.remove_gone_attempts(shard, &listed, reported.echo);
     }
 
-    fn accepts_report(&self, context: &NodeContext, from: &str, reported: &ReportedState) -> bool {
+    fn accepts_reported_state(
+        &self,
+        context: &NodeContext,
+        from: &str,
+        reported: &ReportedState,
+    ) -> bool {
         let place = ShardIndex::new(reported.shard).place();
         let Some(assignment) = self.shards.get(place) else { return false };
         let owner = context.shards.owner(place);
@@ -65,8 +70,9 @@
             && owner.is_some_and(|owner| owner.record.node == from)
     }
 
-    /// Takes in all machines and tasks of a report; the ids of the attempts that it lists.
-    fn apply_report(
+    /// Takes in all machines and tasks of a reported state; the ids of the attempts that it
+    /// lists.
+    fn apply_reported_state(
         &mut self,
         context: &mut NodeContext,
         shard: ShardIndex,
@@ -74,8 +80,8 @@
     ) -> FxHashSet<u64> {
         let mut listed: FxHashSet<u64> = FxHashSet::default();
         let zone = context.shards[shard.place()].zone.clone();
-        let jobs: Vec<JobOfReport> =
-            reported.jobs.iter().map(|job| JobOfReport::new(context, job)).collect();
+        let jobs: Vec<ReportedJobInfo> =
+            reported.jobs.iter().map(|job| ReportedJobInfo::new(context, job)).collect();
         for reported_machine in &reported.machines {
             let type_name =
                 reported.types.get(reported_machine.machine_type as usize).map_or("", String::as_str);
@@ -93,7 +99,7 @@
         listed
     }
 
-    /// Removes the attempts of a shard that a report proves to be gone.
+    /// Removes the attempts of a shard that a reported state proves to be gone.
     fn remove_gone_attempts(&mut self, shard: ShardIndex, listed: &FxHashSet<u64>, echo: u64) {
         let gone: Vec<u64> = self
             .attempts
@@ -133,7 +139,7 @@
     /// Adds an attempt that the leader doesn't know. It was bound for an earlier leader and is
     /// not in the records that this one has read: gone already, or known under a newer attempt.
     fn adopt_attempt(&mut self, reported: &ReportedAttempt) {
-        let ReportedAttempt { shard, machine, job: &JobOfReport { job, team, demand }, task } =
+        let ReportedAttempt { shard, machine, job: &ReportedJobInfo { job, team, demand }, task } =
             *reported;
         let task_has_attempt = self.attempts.has_task(job, task.task);
         let live = self.jobs.get_mut(&job).filter(|live| !live.is_away());
