--- a/src/core/leader/fleet/mod.rs
+++ b/src/core/leader/fleet/mod.rs
@@ -53,7 +53,7 @@
 const OVERLOAD_GAP_MS: Ms = 1_000;
 /// Pause between two windows that begin before their time.
 const EARLY_WINDOW_GAP_MS: Ms = 4_000;
-/// A plan for more than one instance per this many of the fleet opens a window early.
+/// A plan for more instances than the fleet has, divided by this, opens a window early.
 const SURGE_DIVISOR: usize = 4;
 /// A plan for no more instances than this opens none: they come soon enough one by one.
 const SURGE_MIN: usize = 16;
