--- a/src/core/common/mod.rs
+++ b/src/core/common/mod.rs
@@ -28,4 +28,3 @@
 pub mod task_counts;
 pub mod token_bucket;
 pub(crate) mod watch_cache;
-pub mod window;
--- a/src/core/common/store_keys.rs
+++ b/src/core/common/store_keys.rs
@@ -13,6 +13,9 @@
 /// What the keys of all cell leases begin with.
 pub const CELL_LEASE_PREFIX: &str = "w/cell/";
 
+/// What the keys of all placement records begin with; they are not watched.
+pub const PLACEMENT_PREFIX: &str = "place/";
+
 /// What a watched record is about, as its key says.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum WatchedRecord<'a> {
--- a/src/core/common/watch_cache.rs
+++ b/src/core/common/watch_cache.rs
@@ -3,11 +3,9 @@
 //! Each answered call also renews the control lease as of the moment at which it was
 //! *sent*: what we know of shards and cancellations was current then.
 
-pub use super::store_keys::{LEADER, job_key};
-
 use super::context::NodeContext;
 use super::job_records::RecordSource;
-use super::store_keys::{WATCHED_PREFIX, WatchedRecord};
+use super::store_keys::{LEADER, WATCHED_PREFIX, WatchedRecord};
 use crate::core::{StoreCallOwner, StoreRequest, StoreResponse};
 use crate::model::{MachineType, Ms};
 use crate::wire::cloud;
--- a/src/core/leader/cells/acceptance.rs
+++ b/src/core/leader/cells/acceptance.rs
@@ -10,7 +10,7 @@
 use crate::core::common::context::NodeContext;
 use crate::core::common::feasibility::can_run;
 use crate::core::common::job_records::RecordSource;
-use crate::core::common::watch_cache::job_key;
+use crate::core::common::store_keys::job_key;
 use crate::core::leader::Leader;
 use crate::model::{JobSpec, Ms};
 use crate::wire::encoded::Encoded;
--- a/src/core/leader/cells/record_writes.rs
+++ b/src/core/leader/cells/record_writes.rs
@@ -5,7 +5,7 @@
 use super::move_log::log_record;
 use crate::core::common::context::NodeContext;
 use crate::core::common::job_records::RecordSource;
-use crate::core::common::watch_cache::job_key;
+use crate::core::common::store_keys::job_key;
 use crate::core::leader::{Leader, LeaderCall};
 use crate::core::{StoreCallOwner, StoreRequest, StoreResponse};
 use crate::model::{JobIndex, Ms};
--- a/src/core/leader/live_jobs.rs
+++ b/src/core/leader/live_jobs.rs
@@ -77,9 +77,9 @@
         let tasks = spec.tasks;
         LiveJob {
             team,
-            done: TaskSet::with_room(tasks),
+            done: TaskSet::with_capacity(tasks),
             progress: JobProgress::new(tasks),
-            attempted: TaskSet::with_room(tasks),
+            attempted: TaskSet::with_capacity(tasks),
             next_new_task: 0,
             retries: Vec::new(),
             failures: 0,
@@ -138,7 +138,7 @@
 
     /// Takes in tasks that are done in another cell, as hexadecimal digits.
     pub(super) fn take_done_elsewhere(&mut self, bits: &str) {
-        let mut done = TaskSet::with_room(self.spec.tasks);
+        let mut done = TaskSet::with_capacity(self.spec.tasks);
         done.add_hex(0, bits);
         for task in (0..self.spec.tasks).filter(|task| done.contains(*task)) {
             self.finish_task(task);
--- a/src/core/leader/progress/job_progress.rs
+++ b/src/core/leader/progress/job_progress.rs
@@ -35,7 +35,7 @@
     /// The progress of a job with this number of tasks, none of which is done.
     pub fn new(tasks: u32) -> JobProgress {
         JobProgress {
-            recorded: TaskSet::with_room(tasks),
+            recorded: TaskSet::with_capacity(tasks),
             unrecorded: Vec::new(),
             is_write_pending: false,
             is_rereading: false,
--- a/src/core/leader/rebuild.rs
+++ b/src/core/leader/rebuild.rs
@@ -9,6 +9,7 @@
 use super::timer::Timer;
 use super::{FleetRecord, Leader, LeaderCall};
 use crate::core::common::context::NodeContext;
+use crate::core::common::store_keys::PLACEMENT_PREFIX;
 use crate::core::{StoreCallOwner, StoreRequest, StoreResponse};
 use crate::model::{InstanceIndex, Ms, Resources, ShardIndex};
 use crate::wire::peer::ReportedPhase;
@@ -181,10 +182,11 @@
         };
         for machine in &record.machines {
             let index = self.apply_recorded_machine(context, shard, machine, &record.types);
-            for (job, task, id) in machine.tasks(record.base) {
-                let Some(job) = record.jobs.get(job) else { continue };
-                let attempt = recorded_attempt(context, ShardIndex::at(shard), index, job, task);
-                self.attempts.insert(id, attempt);
+            for listed in machine.attempts(record.base) {
+                let Some(job) = record.jobs.get(listed.job) else { continue };
+                let shard = ShardIndex::at(shard);
+                let attempt = recorded_attempt(context, shard, index, job, listed.task);
+                self.attempts.insert(listed.attempt, attempt);
             }
         }
     }
@@ -196,15 +198,14 @@
         machine: &RecordedMachine,
         types: &[String],
     ) -> InstanceIndex {
-        let RecordedMachine(name, machine_type, _, attempts) = machine;
-        let type_name = types.get(*machine_type as usize).map_or("", String::as_str);
+        let type_name = types.get(machine.type_index()).map_or("", String::as_str);
         let zone = &context.shards[shard].zone;
         let is_spot = machine.is(RecordedMachine::SPOT);
-        let index = self.fleet.find_or_add(context, name, type_name, zone, is_spot);
+        let index = self.fleet.find_or_add(context, machine.name(), type_name, zone, is_spot);
         if let Some(known) = self.fleet.machines.get_mut(index) {
             known.cordoned |= machine.is(RecordedMachine::CORDONED);
             known.confirmed = true;
-            known.recorded |= !attempts.is_empty();
+            known.recorded |= machine.has_attempts();
         }
         index
     }
@@ -233,7 +234,7 @@
         most: PAGE_RECORDS,
     };
     let request = match kind {
-        RecordKind::Placements => list("place/"),
+        RecordKind::Placements => list(PLACEMENT_PREFIX),
         RecordKind::Progress => list("progress/"),
         RecordKind::Fleet => StoreRequest::Get(FLEET_KEY.into()),
     };
--- a/src/core/shard_owner/direct_commands.rs
+++ b/src/core/shard_owner/direct_commands.rs
@@ -71,7 +71,7 @@
 
 fn stop_command(context: &NodeContext, attempt: &Attempt) -> Command {
     Command {
-        op: CommandAction::Stop,
+        action: CommandAction::Stop,
         task: attempt.task_name(context),
         attempt: attempt.id,
         grace_s: Some(0.0),
--- a/src/core/shard_owner/loading.rs
+++ b/src/core/shard_owner/loading.rs
@@ -7,8 +7,8 @@
 use super::{ShardOwner, reconciliation, request_record_page};
 use crate::core::StoreResponse;
 use crate::core::common::context::NodeContext;
-use crate::model::{Ms, Resources, ShardIndex};
-use crate::wire::store::{KeyValue, PlacementRecord, RecordedJob, RecordedMachine};
+use crate::model::{Ms, ShardIndex};
+use crate::wire::store::{KeyValue, PlacementRecord, RecordedAttempt, RecordedJob, RecordedMachine};
 use woadlever_recovery::attempt::AttemptPhase;
 
 /// Delay before the records are read again after a failed read.
@@ -63,7 +63,7 @@
         let Some(shard) = &mut self.shards[index.place()] else { return };
         shard.records.insert_loaded(record, OwnedRecord::loaded(context, item.version, bytes));
         for row in &content.machines {
-            let RecordedMachine(name, ..) = row;
+            let name = row.name();
             let new_machine = || Machine::new(name, index, shard.fencing_token);
             // Another record may have listed it already.
             let (_, machine) = self.machines.get_or_insert_with(name, new_machine);
@@ -129,11 +129,11 @@
 
 /// The attempts of a machine's row; what a former owner bound.
 fn inherited_attempts(context: &mut NodeContext, loaded: &LoadedRow<'_>) -> Vec<Attempt> {
-    let attempts = loaded.row.tasks(loaded.content.base);
+    let attempts = loaded.row.attempts(loaded.content.base);
     attempts
-        .filter_map(|(job_row, task, id)| {
-            let job = loaded.content.jobs.get(job_row)?;
-            Some(inherited_attempt(context, job, task, id, loaded.record))
+        .filter_map(|listed| {
+            let job = loaded.content.jobs.get(listed.job)?;
+            Some(inherited_attempt(context, job, listed, loaded.record))
         })
         .collect()
 }
@@ -141,21 +141,19 @@
 fn inherited_attempt(
     context: &mut NodeContext,
     job: &RecordedJob,
-    task: u32,
-    id: u64,
+    listed: RecordedAttempt,
     record: RecordIndex,
 ) -> Attempt {
-    let RecordedJob(job_id, team, cpus, gpus, mem) = job;
-    let demand = Resources { cpus: *cpus, gpus: *gpus, mem: *mem };
+    let demand = job.demand();
     Attempt {
         // A job that is not in memory is final, and its tasks are to be stopped. Left out,
         // they would pass for gone.
-        job: context.job_index_or_lookup(job_id),
-        task,
-        id,
+        job: context.job_index_or_lookup(job.id()),
+        task: listed.task,
+        id: listed.attempt,
         demand,
-        job_row_bytes: placement_records::job_row_bytes(job_id, team, &demand),
-        team: team.clone(),
+        job_row_bytes: placement_records::job_row_bytes(job.id(), job.team(), &demand),
+        team: job.team().to_string(),
         record,
         moving_to: None,
         recording: RecordingState::Recorded,
--- a/src/core/shard_owner/placement_records/mod.rs
+++ b/src/core/shard_owner/placement_records/mod.rs
@@ -40,6 +40,8 @@
 mod splitting;
 mod write;
 
+use crate::core::common::store_keys::PLACEMENT_PREFIX;
+
 pub(super) use allocation::{prepare_open_record, reserve_attempt};
 pub(super) use layout::job_row_bytes;
 pub(super) use record::{OwnedRecord, RecordIndex};
@@ -51,7 +53,7 @@
 
 /// Prefix of the keys of a shard's placement records.
 pub(super) fn record_prefix(shard: &str) -> String {
-    format!("place/{shard}/")
+    format!("{PLACEMENT_PREFIX}{shard}/")
 }
 
 /// Key of one placement record.
--- a/src/core/shard_owner/placement_records/reread.rs
+++ b/src/core/shard_owner/placement_records/reread.rs
@@ -61,7 +61,7 @@
     };
     shard.records[index].on_reread(context, item.version, item.value.len());
     let rows: FxHashMap<&str, &RecordedMachine> =
-        content.machines.iter().map(|row| (row.0.as_str(), row)).collect();
+        content.machines.iter().map(|row| (row.name(), row)).collect();
     let mut outdated = Vec::new();
     for machine in machines_of_mut(machines, shard.index) {
         let row = rows.get(machine.name.as_str()).copied();
@@ -93,7 +93,8 @@
     row: Option<&RecordedMachine>,
     base: u64,
 ) -> Vec<RecordIndex> {
-    let is_listed = |id: u64| row.is_some_and(|row| row.tasks(base).any(|(_, _, listed)| listed == id));
+    let is_listed =
+        |id: u64| row.is_some_and(|row| row.attempts(base).any(|listed| listed.attempt == id));
     let mut left = Vec::new();
     for attempt in &mut machine.attempts {
         if attempt.record == index {
--- a/src/core/shard_owner/worker_commands.rs
+++ b/src/core/shard_owner/worker_commands.rs
@@ -59,7 +59,7 @@
     action: WorkerAction,
     spec: Option<&JobSpec>,
 ) -> Command {
-    let (op, grace_s) = match action {
+    let (action, grace_s) = match action {
         WorkerAction::Start => (CommandAction::Start, None),
         WorkerAction::Stop { with_checkpoint } => {
             let save_s = spec.filter(|_| with_checkpoint).map_or(0.0, |spec| spec.save_s);
@@ -67,17 +67,17 @@
         }
         WorkerAction::Forget => (CommandAction::Forget, None),
     };
-    Command { op, task: attempt.task_name(context), attempt: attempt.id, grace_s }
+    Command { action, task: attempt.task_name(context), attempt: attempt.id, grace_s }
 }
 
 /// The command for an attempt that a heartbeat lists and no record does.
 pub(super) fn command_for_unrecorded(task: &HeartbeatTask) -> Command {
     let action = attempt::action_for_unrecorded(task.state == TaskState::Exited);
-    let (op, grace_s) = match action {
+    let (action, grace_s) = match action {
         WorkerAction::Forget => (CommandAction::Forget, None),
         _ => (CommandAction::Stop, Some(0.0)),
     };
-    Command { op, task: task.task.clone(), attempt: task.attempt, grace_s }
+    Command { action, task: task.task.clone(), attempt: task.attempt, grace_s }
 }
 
 /// Logs how long it took to record an attempt, and then until its machine was heard.
--- a/src/model/task_set.rs
+++ b/src/model/task_set.rs
@@ -17,7 +17,7 @@
 
 impl TaskSet {
     /// An empty set that can hold the tasks 0 to `tasks` - 1.
-    pub fn with_room(tasks: u32) -> Self {
+    pub fn with_capacity(tasks: u32) -> Self {
         TaskSet { words: vec![0; tasks.div_ceil(WORD_BITS) as usize], count: 0 }
     }
 
--- a/src/wire/store/placement_record.rs
+++ b/src/wire/store/placement_record.rs
@@ -113,9 +113,4 @@
             attempt: base.saturating_add(offset),
         })
     }
-
-    /// The attempts as (index of the job, task, attempt); see [`RecordedMachine::attempts`].
-    pub fn tasks(&self, base: u64) -> impl Iterator<Item = (usize, u32, u64)> {
-        self.attempts(base).map(|listed| (listed.job, listed.task, listed.attempt))
-    }
 }
--- a/src/wire/workers.rs
+++ b/src/wire/workers.rs
@@ -78,7 +78,7 @@
 pub struct Command {
     /// What to do.
     #[serde(rename = "verb")]
-    pub op: CommandAction,
+    pub action: CommandAction,
     /// Id of the job and number of the task.
     #[serde(rename = "piece")]
     pub task: String,
--- a/tests/support/workers.rs
+++ b/tests/support/workers.rs
@@ -147,7 +147,7 @@
         let task: u32 = task.parse().unwrap();
         let is_same_task = |known: &WorkerTask| known.job == job && known.task == task;
         let is_it = |known: &WorkerTask| is_same_task(known) && known.attempt == command.attempt;
-        match (command.op, self.tasks.iter().position(is_it)) {
+        match (command.action, self.tasks.iter().position(is_it)) {
             (CommandAction::Start, None) => {
                 let is_alive = |known: &WorkerTask| known.state != TaskState::Exited;
                 let busy = self.tasks.iter().any(|known| is_same_task(known) && is_alive(known));
@@ -183,7 +183,7 @@
 
 impl CommandCounts {
     fn count(&mut self, command: &Command) {
-        match command.op {
+        match command.action {
             CommandAction::Start => {
                 *self.runs.entry((command.task.clone(), command.attempt)).or_default() += 1
             }
@@ -316,7 +316,11 @@
         }
         w.fencing_token = direct.fencing_token;
         for c in direct.commands {
-            assert_eq!(c.op, CommandAction::Stop, "a direct command may be carried out minutes late");
+            assert_eq!(
+                c.action,
+                CommandAction::Stop,
+                "a direct command may be carried out minutes late"
+            );
             let (job, task) = c.task.rsplit_once('/').unwrap();
             let task: u32 = task.parse().unwrap();
             let here = |t: &&mut WorkerTask| t.job == job && t.task == task && t.attempt == c.attempt;
--- a/tests/units.rs
+++ b/tests/units.rs
@@ -5,7 +5,7 @@
 use serde_json::json;
 use std::collections::BTreeMap;
 use woadlever::config::{Operator, Platform};
-use woadlever::core::common::window::{Booking, project, remaining_s};
+use woadlever::core::common::projection::{Booking, project, remaining_s};
 use woadlever::core::forecast::History;
 use woadlever::io::frames::Payload;
 use woadlever::model::{Resources, TaskSet, shard_of, shards_of, split_task};
@@ -170,11 +170,11 @@
 
 #[test]
 fn a_task_set_survives_being_written_in_chunks() {
-    let mut s = TaskSet::with_room(100_000);
+    let mut s = TaskSet::with_capacity(100_000);
     for t in [0, 1, 63, 64, 16_383, 16_384, 70_000, 99_999] {
         assert!(s.insert(t) && !s.insert(t));
     }
-    let mut back = TaskSet::with_room(100_000);
+    let mut back = TaskSet::with_capacity(100_000);
     for segment in 0..7 {
         let text = s.to_hex(segment * 256, segment * 256 + 256);
         assert!(text.len() <= 4096);
