--- a/src/core/common/context.rs
+++ b/src/core/common/context.rs
@@ -34,17 +34,17 @@
 /// millisecond beside all else; it sets how rare large state messages are.
 const ITEMS_PER_MS: f64 = 50.0;
 /// The least share of a core that the gaps between state messages allow for.
-const LEAST_CPU: f64 = 0.01;
+const MIN_CPU: f64 = 0.01;
 /// Cancellations that one heartbeat tells of.
 const CANCELLATIONS_PER_HEARTBEAT: usize = 500;
-/// Machines that one call to the cloud returns.
-pub const MAX_RETURNS: usize = 100;
-/// Returned machines that are kept in mind at the least: the cloud's list shows them for
+/// Instances that one call to the cloud terminates.
+pub const MAX_TERMINATIONS: usize = 100;
+/// Names of terminated machines that are kept at the least: the cloud's list shows them for
 /// seconds, and late heartbeats for minutes.
-const LEAST_RETURNED: usize = 4_096;
-/// Of machines returned at the highest rate that the cloud takes, those of so many times
-/// the lag of its list are kept in mind.
-const RETURNED_LAGS: f64 = 4.0;
+const MIN_TERMINATED_NAMES: usize = 4_096;
+/// Of machines terminated at the highest rate that the cloud takes, the names of this many
+/// times the lag of its list are kept.
+const TERMINATED_NAMES_LAGS: f64 = 4.0;
 /// Longest delay that a long silence of the store adds to a retry.
 const MAX_RETRY_EXTENSION_MS: Ms = 1_500;
 /// A node that the store answered within this time is ready in any case.
@@ -130,12 +130,12 @@
         }
     }
 
-    /// How many returned machines are kept in mind. One that is heard after that is
+    /// How many names of terminated machines are kept. One that is heard after that is
     /// treated as any that the cloud does not list: it gets no work.
-    pub fn returned_kept(&self) -> usize {
+    pub fn terminated_names_kept(&self) -> usize {
         let cloud = &self.platform.cluster.cloud;
-        let at_most = cloud.rps * MAX_RETURNS as f64 * cloud.list_lag_s * RETURNED_LAGS;
-        (at_most as usize).max(LEAST_RETURNED)
+        let at_most = cloud.rps * MAX_TERMINATIONS as f64 * cloud.list_lag_s * TERMINATED_NAMES_LAGS;
+        (at_most as usize).max(MIN_TERMINATED_NAMES)
     }
 
     /// Times that verdicts on workers rest on.
@@ -222,7 +222,7 @@
     /// rarer it gets, so that what it costs stays a part of the processor's
     /// share whatever the fleet's size.
     pub fn load_adjusted_gap(&self, base: Ms, size: usize) -> Ms {
-        let cpu = self.platform.cluster.limits.cpu.clamp(LEAST_CPU, 1.0);
+        let cpu = self.platform.cluster.limits.cpu.clamp(MIN_CPU, 1.0);
         base + (size as f64 / (ITEMS_PER_MS * cpu)) as Ms
     }
 
--- a/src/core/leader/fleet/cloud_calls/scale_out.rs
+++ b/src/core/leader/fleet/cloud_calls/scale_out.rs
@@ -8,7 +8,7 @@
 use crate::core::leader::fleet::{Fleet, machine_type_label};
 use crate::core::{CloudRequest, CloudResponse};
 use crate::model::{InstanceIndex, Ms};
-use crate::wire::cloud::RentRequest;
+use crate::wire::cloud::CreateInstancesRequest;
 
 /// Pause before a request is sent again.
 const RETRY_MS: Ms = 1_000;
@@ -18,7 +18,7 @@
     pub(super) fn due_scale_out(&mut self, context: &NodeContext) -> Option<DueCall> {
         let request = self.fleet.scale_out.next_due(context.clock.now())?;
         request.mark_sent();
-        let rent = RentRequest {
+        let rent = CreateInstancesRequest {
             request: format!("r-{}-{}", self.term, request.number),
             machine_type: context.machine_types[request.offer.machine_type].name.clone(),
             zone: request.offer.zone.clone(),
@@ -26,7 +26,7 @@
             count: request.count,
         };
         let purpose = CallPurpose::ScaleOut(request.number);
-        Some(DueCall { request: CloudRequest::Rent(rent), purpose })
+        Some(DueCall { request: CloudRequest::CreateInstances(rent), purpose })
     }
 }
 
@@ -40,7 +40,7 @@
     ) {
         let Some(request) = self.scale_out.get_mut(number) else { return };
         match result {
-            CloudResponse::Rented(answer) => {
+            CloudResponse::InstancesCreated(answer) => {
                 let Some(request) = self.scale_out.remove(number) else { return };
                 self.on_instances_created(context, &request, &answer.machines);
             }
--- a/src/core/leader/fleet/cloud_calls/termination.rs
+++ b/src/core/leader/fleet/cloud_calls/termination.rs
@@ -1,13 +1,13 @@
 //! Terminations of drained instances as calls to the cloud.
 
 use super::{CallPurpose, DueCall};
-use crate::core::common::context::{MAX_RETURNS, NodeContext};
+use crate::core::common::context::{MAX_TERMINATIONS, NodeContext};
 use crate::core::leader::Leader;
 use crate::core::leader::fleet::{Fleet, InstancePhase};
 use crate::core::leader::shards::GoneInstance;
 use crate::core::{CloudRequest, CloudResponse};
 use crate::model::{InstanceIndex, Ms};
-use crate::wire::cloud::ReturnRequest;
+use crate::wire::cloud::TerminateInstancesRequest;
 
 /// Pause between two looks for instances to terminate, as the look is at all of them.
 const LOOK_GAP_MS: Ms = 100;
@@ -23,7 +23,7 @@
         let mut machines = Vec::new();
         let instances = self.machines.iter_mut();
         let drained = instances.filter(|(_, instance)| instance.phase == InstancePhase::Drained);
-        for (index, instance) in drained.take(MAX_RETURNS) {
+        for (index, instance) in drained.take(MAX_TERMINATIONS) {
             instance.phase = InstancePhase::Terminating;
             indices.push(index);
             machines.push(instance.name.clone());
@@ -31,7 +31,7 @@
         if indices.is_empty() {
             return None;
         }
-        let request = CloudRequest::Return(ReturnRequest { machines });
+        let request = CloudRequest::TerminateInstances(TerminateInstancesRequest { machines });
         Some(DueCall { request, purpose: CallPurpose::Termination(indices) })
     }
 }
@@ -45,7 +45,7 @@
         indices: Vec<InstanceIndex>,
         result: &CloudResponse,
     ) {
-        let is_confirmed = matches!(result, CloudResponse::Returned);
+        let is_confirmed = matches!(result, CloudResponse::InstancesTerminated);
         for index in indices {
             if is_confirmed {
                 self.remove_instance(context, index);
--- a/src/core/leader/fleet/mod.rs
+++ b/src/core/leader/fleet/mod.rs
@@ -104,7 +104,7 @@
     pub fn new(context: &NodeContext) -> Fleet {
         Fleet {
             machines: NamedTable::default(),
-            terminated: RecentNames::new(context.returned_kept()),
+            terminated: RecentNames::new(context.terminated_names_kept()),
             waiting: Vec::new(),
             scale_out: ScaleOutRequests::default(),
             refused_offers: RefusedOffers::default(),
--- a/src/core/messages.rs
+++ b/src/core/messages.rs
@@ -1,7 +1,9 @@
 //! What goes into the core and comes out of it: requests of users and workers, calls to
 //! the key-value store and to the cloud with their results, and messages to other nodes.
 
-use crate::wire::cloud::{Catalog, MachinePage, RentAnswer, RentRequest, ReturnRequest};
+use crate::wire::cloud::{
+    Catalog, CreateInstancesRequest, CreatedInstances, MachinePage, TerminateInstancesRequest,
+};
 use crate::wire::peer::Frame;
 use crate::wire::store::{CompareAndSwap, KeyValue, Page, WatchAnswer};
 use crate::wire::workers::{DirectCommands, WorkerHeartbeat};
@@ -196,10 +198,10 @@
         /// Name after which the page begins.
         since: Option<String>,
     },
-    /// Rent machines.
-    Rent(RentRequest),
-    /// Return machines.
-    Return(ReturnRequest),
+    /// Create instances: scale out.
+    CreateInstances(CreateInstancesRequest),
+    /// Terminate instances: scale in.
+    TerminateInstances(TerminateInstancesRequest),
 }
 
 /// How a call to the cloud ended.
@@ -209,10 +211,10 @@
     Catalog(Catalog),
     /// A page of the list of machines.
     Page(MachinePage),
-    /// Machines were rented.
-    Rented(RentAnswer),
-    /// Machines are gone.
-    Returned,
+    /// Instances were created.
+    InstancesCreated(CreatedInstances),
+    /// The instances are gone.
+    InstancesTerminated,
     /// No such machine is to be had.
     NoCapacity,
     /// Certainly not executed.
--- a/src/core/shard_owner/mod.rs
+++ b/src/core/shard_owner/mod.rs
@@ -97,7 +97,7 @@
         ShardOwner {
             shards: context.shards.iter().map(|_| None).collect(),
             machines: Machines::default(),
-            terminated_machines: RecentNames::new(context.returned_kept()),
+            terminated_machines: RecentNames::new(context.terminated_names_kept()),
             next_scan_at: 0,
             next_check_at: 0,
             next_projection_at: 0,
--- a/src/io/cloud.rs
+++ b/src/io/cloud.rs
@@ -23,8 +23,10 @@
                 let since = since.as_ref().map(|name| format!("since={name}&")).unwrap_or_default();
                 (Method::GET, format!("/rentals?{since}most={PAGE_SIZE}"), None)
             }
-            CloudRequest::Rent(body) => (Method::POST, "/rentals".into(), serde_json::to_vec(body).ok()),
-            CloudRequest::Return(body) => {
+            CloudRequest::CreateInstances(body) => {
+                (Method::POST, "/rentals".into(), serde_json::to_vec(body).ok())
+            }
+            CloudRequest::TerminateInstances(body) => {
                 (Method::POST, "/rentals/return".into(), serde_json::to_vec(body).ok())
             }
         };
@@ -35,9 +37,11 @@
         match (self, reply.status) {
             (CloudRequest::Catalog, 200) => reply.json(SERVICE).map(CloudResponse::Catalog),
             (CloudRequest::List { .. }, 200) => reply.json(SERVICE).map(CloudResponse::Page),
-            (CloudRequest::Rent(_), 200) => reply.json(SERVICE).map(CloudResponse::Rented),
-            (CloudRequest::Return(_), 200 | 204) => Some(CloudResponse::Returned),
-            (CloudRequest::Rent(_), 503) if reply.contains(NO_CAPACITY) => {
+            (CloudRequest::CreateInstances(_), 200) => {
+                reply.json(SERVICE).map(CloudResponse::InstancesCreated)
+            }
+            (CloudRequest::TerminateInstances(_), 200 | 204) => Some(CloudResponse::InstancesTerminated),
+            (CloudRequest::CreateInstances(_), 503) if reply.contains(NO_CAPACITY) => {
                 Some(CloudResponse::NoCapacity)
             }
             (_, 429 | 503) => Some(CloudResponse::NotExecuted),
--- a/src/wire/cloud.rs
+++ b/src/wire/cloud.rs
@@ -70,7 +70,7 @@
 
 /// A request to rent machines.
 #[derive(Debug, Clone, Serialize)]
-pub struct RentRequest {
+pub struct CreateInstancesRequest {
     /// Name of the request, which makes it idempotent; never used again for another one.
     #[serde(rename = "charter")]
     pub request: String,
@@ -89,7 +89,7 @@
 
 /// Response to a request to rent machines.
 #[derive(Debug, Clone, Deserialize)]
-pub struct RentAnswer {
+pub struct CreatedInstances {
     /// Names of the machines that were rented; may be fewer than were asked for.
     #[serde(rename = "hulls")]
     pub machines: Vec<String>,
@@ -97,7 +97,7 @@
 
 /// A request to return machines, 100 at most.
 #[derive(Debug, Clone, Serialize)]
-pub struct ReturnRequest {
+pub struct TerminateInstancesRequest {
     /// Names of the machines.
     #[serde(rename = "hulls")]
     pub machines: Vec<String>,
--- a/tests/support/cloud.rs
+++ b/tests/support/cloud.rs
@@ -6,7 +6,7 @@
 use std::collections::HashMap;
 use std::ops::Range;
 use woadlever::core::{CloudRequest, CloudResponse};
-use woadlever::wire::cloud::{RentRequest, ReturnRequest};
+use woadlever::wire::cloud::{CreateInstancesRequest, TerminateInstancesRequest};
 
 const REQUESTS_PER_S: f64 = 5.0;
 /// Time after which a new machine is listed.
@@ -59,8 +59,8 @@
         match request {
             CloudRequest::Catalog => self.cloud.catalog(),
             CloudRequest::List { since } => self.list_machines(&since.unwrap_or_default()),
-            CloudRequest::Rent(request) => self.rent_machines(request),
-            CloudRequest::Return(request) => self.return_machines(request),
+            CloudRequest::CreateInstances(request) => self.rent_machines(request),
+            CloudRequest::TerminateInstances(request) => self.return_machines(request),
         }
     }
 
@@ -80,7 +80,7 @@
         CloudResponse::Page(serde_json::from_value(json!({"hulls":list,"has_next":false})).unwrap())
     }
 
-    fn rent_machines(&mut self, request: RentRequest) -> CloudResponse {
+    fn rent_machines(&mut self, request: CreateInstancesRequest) -> CloudResponse {
         assert!(request.count <= 50, "{} machines in one request", request.count);
         if let Some(names) = self.cloud.granted.get(&request.request) {
             return rented(names);
@@ -102,7 +102,7 @@
         answer
     }
 
-    fn return_machines(&mut self, request: ReturnRequest) -> CloudResponse {
+    fn return_machines(&mut self, request: TerminateInstancesRequest) -> CloudResponse {
         assert!(request.machines.len() <= 100, "{} names in one request", request.machines.len());
         for name in request.machines {
             if let Some(worker) = self.workers.iter_mut().find(|worker| worker.name == name) {
@@ -111,12 +111,12 @@
             }
             self.cloud.returned.push(name);
         }
-        CloudResponse::Returned
+        CloudResponse::InstancesTerminated
     }
 }
 
 fn rented(names: &[String]) -> CloudResponse {
-    CloudResponse::Rented(serde_json::from_value(json!({ "hulls": names })).unwrap())
+    CloudResponse::InstancesCreated(serde_json::from_value(json!({ "hulls": names })).unwrap())
 }
 
 impl Cloud {
--- a/tests/support/recorder.rs
+++ b/tests/support/recorder.rs
@@ -89,8 +89,8 @@
     match request {
         CloudRequest::Catalog => ("cloud-catalog", Vec::new()),
         CloudRequest::List { since } => ("cloud-list", json(since)),
-        CloudRequest::Rent(rent) => ("cloud-rent", json(rent)),
-        CloudRequest::Return(machines) => ("cloud-return", json(machines)),
+        CloudRequest::CreateInstances(rent) => ("cloud-rent", json(rent)),
+        CloudRequest::TerminateInstances(machines) => ("cloud-return", json(machines)),
     }
 }
 
