--- a/src/core/common/context.rs
+++ b/src/core/common/context.rs
@@ -18,7 +18,7 @@
 use super::task_counts::{TaskCount, TaskCounts};
 use crate::config::{Operator, Platform};
 use crate::core::{Answer, CloudRequest, Output, StoreCallOwner, StoreRequest, StoreResponse};
-use crate::model::{JobIndex, Ms, shards_of};
+use crate::model::{JobIndex, Ms, Term, shards_of};
 use crate::wire::peer::{Frame, PeerHeartbeat, PeerMessage};
 use crate::wire::store::{JobRecord, JobState};
 use crate::wire::users::ErrorBody;
@@ -299,7 +299,7 @@
     // ---- roles ----
 
     /// The term that we lead in, if the watched record names this process.
-    pub fn own_term(&self) -> Option<u64> {
+    pub fn own_term(&self) -> Option<Term> {
         let leader = self.leadership.current()?;
         self.is_self(&leader.record.node, leader.record.incarnation).then_some(leader.term)
     }
--- a/src/core/common/election.rs
+++ b/src/core/common/election.rs
@@ -7,7 +7,7 @@
 use super::context::NodeContext;
 use super::store_keys::LEADER;
 use crate::core::{StoreCallOwner, StoreRequest, StoreResponse};
-use crate::model::Ms;
+use crate::model::{Ms, Term};
 use crate::wire::encoded::Encoded;
 use crate::wire::store::{Compare, CompareAndSwap, LeaderRecord, Mutation};
 
@@ -44,7 +44,7 @@
     renew_at: Ms,
     retry_at: Ms,
     /// Term of a former process of this node whose lease was ended.
-    ended_term: Option<u64>,
+    ended_term: Option<Term>,
     vacant_since: Option<Ms>,
 }
 
@@ -57,7 +57,7 @@
     /// A former process of this node.
     FormerSelf {
         lease: u64,
-        term: u64,
+        term: Term,
     },
     Other,
     Nobody,
--- a/src/core/common/leadership.rs
+++ b/src/core/common/leadership.rs
@@ -1,5 +1,6 @@
 //! Who leads, as the watched record says.
 
+use crate::model::Term;
 use crate::wire::store::LeaderRecord;
 
 /// The leader's record, with the term that it stands for.
@@ -8,7 +9,7 @@
     /// The node and process that lead, and the lease that the record hangs on.
     pub record: LeaderRecord,
     /// Version of the record, which is the term.
-    pub term: u64,
+    pub term: Term,
 }
 
 /// The newest state of the leader's record.
@@ -26,7 +27,7 @@
     }
 
     /// The present term.
-    pub fn term(&self) -> Option<u64> {
+    pub fn term(&self) -> Option<Term> {
         self.current.as_ref().map(|leader| leader.term)
     }
 
@@ -42,7 +43,7 @@
             return;
         }
         self.newest_version = version;
-        self.current = record.map(|record| KnownLeader { record, term: version });
+        self.current = record.map(|record| KnownLeader { record, term: Term::new(version) });
     }
 
     /// Forgets the leader: its lease is known to have ended.
--- a/src/core/common/shard_map.rs
+++ b/src/core/common/shard_map.rs
@@ -1,6 +1,6 @@
 //! The shards of all machines, and who owns each, as the watched records say.
 
-use crate::model::{Shard, ShardIndex, shard_of};
+use crate::model::{FencingToken, Shard, ShardIndex, shard_of};
 use crate::wire::store::ShardRecord;
 use std::ops::Index;
 
@@ -10,7 +10,7 @@
     /// The node and process that own the shard.
     pub record: ShardRecord,
     /// Version of the record, which is the owner's fencing token.
-    pub fencing_token: u64,
+    pub fencing_token: FencingToken,
 }
 
 /// All shards. Every node derives the same from the same settings.
@@ -76,11 +76,11 @@
 
     /// Whether a version of a shard's record is newer than what is known.
     pub(crate) fn is_newer(&self, index: usize, version: u64) -> bool {
-        self.owner(index).is_none_or(|owner| owner.fencing_token < version)
+        self.owner(index).is_none_or(|owner| owner.fencing_token < FencingToken::new(version))
     }
 
     /// Takes in a shard's record.
     pub(crate) fn set_owner(&mut self, index: usize, record: ShardRecord, version: u64) {
-        self.owners[index] = Some(KnownOwner { record, fencing_token: version });
+        self.owners[index] = Some(KnownOwner { record, fencing_token: FencingToken::new(version) });
     }
 }
--- a/src/core/leader/cells/messages.rs
+++ b/src/core/leader/cells/messages.rs
@@ -26,7 +26,7 @@
         for cell in self.neighbors.keys() {
             let message = CellMessage {
                 cell: context.operator.cells.name.clone(),
-                term: leader.term,
+                term: leader.term.number(),
                 revision,
                 forwarded: self.forwarded_state(leader, context, cell),
                 hosted: self.hosted_state(context, cell),
--- a/src/core/leader/desired_states.rs
+++ b/src/core/leader/desired_states.rs
@@ -43,9 +43,9 @@
             assignment.attempts_sent = tasks.values().map(Vec::len).sum();
             let assignment = &self.shards[place];
             let state = DesiredState {
-                term: self.term,
+                term: self.term.number(),
                 shard: shard.number(),
-                fencing_token,
+                fencing_token: fencing_token.number(),
                 serial: assignment.serial,
                 jobs: self.desired_jobs(context, tasks),
                 waiting: waiting_tasks(context, &assignment.waiting),
--- a/src/core/leader/mod.rs
+++ b/src/core/leader/mod.rs
@@ -38,7 +38,7 @@
 use crate::core::StoreResponse;
 use crate::core::common::context::NodeContext;
 use crate::core::common::store_keys::LEADER;
-use crate::model::{JobIndex, Ms, ShardIndex};
+use crate::model::{JobIndex, Ms, ShardIndex, Term};
 use crate::wire::store::Compare;
 use attempts::Attempts;
 use cascading_cancellation::CascadingCancellations;
@@ -126,7 +126,7 @@
 /// The leader, for as long as this node's term lasts.
 pub struct Leader {
     /// Number of the term.
-    pub term: u64,
+    pub term: Term,
     /// When the term began for this process.
     term_started_at: Ms,
     /// Which records have been read.
@@ -177,7 +177,7 @@
 
 impl Leader {
     /// A leader whose term begins now.
-    pub fn new(context: &mut NodeContext, term: u64) -> Leader {
+    pub fn new(context: &mut NodeContext, term: Term) -> Leader {
         Leader {
             term,
             term_started_at: context.clock.now(),
@@ -186,7 +186,7 @@
             activated_at: 0,
             jobs: BTreeMap::new(),
             attempts: Attempts::default(),
-            next_attempt: term << ATTEMPT_BITS_PER_TERM,
+            next_attempt: term.number() << ATTEMPT_BITS_PER_TERM,
             shards: context.shards.iter().map(|_| ShardAssignment::new()).collect(),
             fleet: Fleet::new(context),
             ratios: BTreeMap::new(),
@@ -208,7 +208,7 @@
 
     /// The compare under which everything is written: this term is the present one.
     fn compare_term(&self) -> Compare {
-        Compare { key: LEADER.into(), version: self.term }
+        Compare { key: LEADER.into(), version: self.term.number() }
     }
 
     /// Does the periodic work that is due.
--- a/src/core/leader/rebuild.rs
+++ b/src/core/leader/rebuild.rs
@@ -102,7 +102,7 @@
         context.jobs.clear_changed();
         self.settle_recorded_attempts();
         tracing::info!(
-            term = self.term,
+            term = self.term.number(),
             jobs = self.jobs.len(),
             attempts = self.attempts.len(),
             took_ms = context.clock.now() - self.term_started_at,
--- a/src/core/leader/reconciliation.rs
+++ b/src/core/leader/reconciliation.rs
@@ -9,7 +9,7 @@
 use super::attempts::Attempt;
 use super::run_times::learn_run_time;
 use crate::core::common::context::NodeContext;
-use crate::model::{InstanceIndex, JobIndex, Resources, ShardIndex};
+use crate::model::{FencingToken, InstanceIndex, JobIndex, Resources, ShardIndex, Term};
 use crate::wire::peer::{ReportedJob, ReportedPhase, ReportedState, ReportedTask};
 use rustc_hash::FxHashSet;
 use woadlever_recovery::disposition::{AttemptDisposition, TaskStatus, is_proven_gone};
@@ -65,8 +65,8 @@
         let Some(assignment) = self.shards.get(place) else { return false };
         let owner = context.shards.owner(place);
         self.is_active
-            && reported.term == self.term
-            && reported.fencing_token == assignment.fencing_token
+            && Term::new(reported.term) == self.term
+            && assignment.fencing_token == Some(FencingToken::new(reported.fencing_token))
             && owner.is_some_and(|owner| owner.record.node == from)
     }
 
--- a/src/core/leader/shards.rs
+++ b/src/core/leader/shards.rs
@@ -11,7 +11,7 @@
 use crate::core::common::shard_map::KnownOwner;
 use crate::core::common::store_keys::shard_key;
 use crate::core::{StoreCallOwner, StoreRequest};
-use crate::model::{Ms, ShardIndex};
+use crate::model::{FencingToken, Ms, ShardIndex};
 use crate::wire::encoded::Encoded;
 use crate::wire::store::{Compare, CompareAndSwap, Mutation, ShardRecord};
 
@@ -47,8 +47,8 @@
     pub(super) sent_at: Option<Ms>,
     /// Attempts in the last desired state.
     pub(super) attempts_sent: usize,
-    /// Version of the shard's record; 0 if there is none.
-    pub(super) fencing_token: u64,
+    /// Fencing token of the shard's owner, if it has one.
+    pub(super) fencing_token: Option<FencingToken>,
     /// Whether the owner with this token has reported its whole state.
     pub has_reported: bool,
     /// Instances whose termination the cloud has confirmed.
@@ -67,7 +67,7 @@
             dirty: true,
             sent_at: None,
             attempts_sent: 0,
-            fencing_token: 0,
+            fencing_token: None,
             has_reported: false,
             gone: Vec::new(),
             waiting: Vec::new(),
@@ -82,7 +82,7 @@
     pub(super) fn assign_shards(&mut self, context: &mut NodeContext) {
         for shard in (0..self.shards.len()).map(ShardIndex::at) {
             let owner = context.shards.owner(shard.place()).cloned();
-            let fencing_token = owner.as_ref().map_or(0, |owner| owner.fencing_token);
+            let fencing_token = owner.as_ref().map(|owner| owner.fencing_token);
             self.follow_fencing_token(shard, fencing_token);
             if !self.shards[shard.place()].write.is_ready(context.clock.now()) {
                 continue;
@@ -102,7 +102,7 @@
 
     /// Notes the fencing token of a shard. With a new one the owner knows only what is in the
     /// records, so that everything is sent again.
-    fn follow_fencing_token(&mut self, index: ShardIndex, fencing_token: u64) {
+    fn follow_fencing_token(&mut self, index: ShardIndex, fencing_token: Option<FencingToken>) {
         let shard = &mut self.shards[index.place()];
         if shard.fencing_token == fencing_token {
             return;
@@ -146,15 +146,16 @@
         &mut self,
         context: &mut NodeContext,
         shard: ShardIndex,
-        fencing_token: u64,
+        fencing_token: Option<FencingToken>,
         assignment: &ShardRecord,
     ) {
         let name = &context.shards[shard.place()].name;
         tracing::debug!(shard = name, node = assignment.node, "assigning shard");
         let key = shard_key(name);
         let value = Encoded::new(assignment);
+        let version = fencing_token.map_or(0, FencingToken::number);
         let request = CompareAndSwap {
-            compares: vec![self.compare_term(), Compare { key: key.clone(), version: fencing_token }],
+            compares: vec![self.compare_term(), Compare { key: key.clone(), version }],
             mutations: vec![Mutation::Put { key, value, lease: None }],
         };
         self.shards[shard.place()].write.start();
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -23,7 +23,7 @@
 pub(crate) use store_call_owner::StoreCallOwner;
 
 use crate::config::{Operator, Platform};
-use crate::model::Ms;
+use crate::model::{Ms, Term};
 use crate::wire::peer::{Frame, PeerMessage};
 use common::context::NodeContext;
 use common::election::Election;
@@ -230,10 +230,10 @@
             return;
         }
         if let Some(term) = term {
-            tracing::info!(term, "became leader");
+            tracing::info!(term = term.number(), "became leader");
             self.leader = Some(Leader::new(&mut self.context, term));
         } else {
-            tracing::info!(term = led_term, "lost leadership");
+            tracing::info!(term = led_term.map(Term::number), "lost leadership");
             self.leader = None;
         }
     }
--- a/src/core/shard_owner/desired_state.rs
+++ b/src/core/shard_owner/desired_state.rs
@@ -8,7 +8,7 @@
 };
 use super::{ShardOwner, unavailable};
 use crate::core::common::context::NodeContext;
-use crate::model::{JobIndex, Ms, ShardIndex};
+use crate::model::{FencingToken, JobIndex, Ms, ShardIndex, Term};
 use crate::wire::peer::{self, Decommission, DesiredState};
 use rustc_hash::{FxHashMap, FxHashSet};
 use woadlever_recovery::attempt;
@@ -132,7 +132,8 @@
     fn take_desired_state(&mut self, context: &mut NodeContext, message: DesiredState) {
         let index = ShardIndex::new(message.shard);
         let Some(shard) = &mut self.shards[index.place()] else { return };
-        if shard.fencing_token != message.fencing_token {
+        let fencing_token = FencingToken::new(message.fencing_token);
+        if shard.fencing_token != fencing_token {
             return;
         }
         let desired = DesiredAttempts::from_message(context, &message);
@@ -141,7 +142,7 @@
             self.forget_machine(context, name, index);
         }
         for entry in &message.decommission {
-            self.begin_decommission(entry, index, message.fencing_token);
+            self.begin_decommission(entry, index, fencing_token);
         }
         let known = self.apply_to_machines(context, index, &message, &desired);
         let admitted = desired.admitted(&known);
@@ -151,7 +152,12 @@
     }
 
     /// Notes that a machine is to be decommissioned, which need not be known yet.
-    fn begin_decommission(&mut self, entry: &Decommission, shard: ShardIndex, fencing_token: u64) {
+    fn begin_decommission(
+        &mut self,
+        entry: &Decommission,
+        shard: ShardIndex,
+        fencing_token: FencingToken,
+    ) {
         if self.terminated_machines.contains(&entry.machine) {
             return;
         }
@@ -222,10 +228,11 @@
 /// Whether a message comes from the present leader, is meant for this owner of the shard
 /// and is newer than the last one taken in.
 fn is_current(context: &NodeContext, shard: &OwnedShard, message: &DesiredState) -> bool {
-    context.leadership.term() == Some(message.term)
-        && message.fencing_token == shard.fencing_token
+    let term = Term::new(message.term);
+    context.leadership.term() == Some(term)
+        && FencingToken::new(message.fencing_token) == shard.fencing_token
         && shard.is_loaded()
-        && shard.newest_serial(message.term).is_none_or(|newest| message.serial > newest)
+        && shard.newest_serial(term).is_none_or(|newest| message.serial > newest)
 }
 
 /// Whether all jobs that the message names are known here.
@@ -240,7 +247,8 @@
     message: &DesiredState,
     desired: &DesiredAttempts,
 ) {
-    shard.desired_version = Some(DesiredVersion { term: message.term, serial: message.serial });
+    shard.desired_version =
+        Some(DesiredVersion { term: Term::new(message.term), serial: message.serial });
     shard.has_unreported_changes = true;
     shard.rejected_attempts.retain(|id| desired.wanted.contains_key(id));
     // The leader takes what our next state message leaves out for never bound and admits
--- a/src/core/shard_owner/direct_commands.rs
+++ b/src/core/shard_owner/direct_commands.rs
@@ -65,7 +65,7 @@
     machine.liveness.note_direct_command();
     let incarnation = machine.liveness.newest().incarnation;
     let fencing_token = machine.fencing_token;
-    let commands = DirectCommands { fencing_token, incarnation, commands };
+    let commands = DirectCommands { fencing_token: fencing_token.number(), incarnation, commands };
     context.outbox.push(Output::DirectCommands { addr: machine.address.clone(), commands });
 }
 
--- a/src/core/shard_owner/loading.rs
+++ b/src/core/shard_owner/loading.rs
@@ -7,7 +7,7 @@
 use super::{ShardOwner, reconciliation, request_record_page};
 use crate::core::StoreResponse;
 use crate::core::common::context::NodeContext;
-use crate::model::{Ms, ShardIndex};
+use crate::model::{FencingToken, Ms, ShardIndex};
 use crate::wire::store::{KeyValue, PlacementRecord, RecordedAttempt, RecordedJob, RecordedMachine};
 use woadlever_recovery::attempt::AttemptPhase;
 
@@ -22,7 +22,7 @@
         &mut self,
         context: &mut NodeContext,
         index: ShardIndex,
-        fencing_token: u64,
+        fencing_token: FencingToken,
         response: StoreResponse,
     ) {
         let owned = self.shards[index.place()].as_mut();
--- a/src/core/shard_owner/machine.rs
+++ b/src/core/shard_owner/machine.rs
@@ -5,7 +5,7 @@
 use super::placement_records::RecordIndex;
 use crate::core::common::context::NodeContext;
 use crate::core::common::named_table::NamedTable;
-use crate::model::{MachineIndex, Ms, Resources, ShardIndex};
+use crate::model::{FencingToken, MachineIndex, Ms, Resources, ShardIndex};
 use woadlever_recovery::attempt::AttemptPhase;
 use woadlever_recovery::worker::WorkerLiveness;
 
@@ -44,7 +44,7 @@
     pub(super) is_spot: bool,
     pub(super) shard: ShardIndex,
     /// Fencing token of the shard when the machine became known.
-    pub(super) fencing_token: u64,
+    pub(super) fencing_token: FencingToken,
     /// What its heartbeats and our responses prove.
     pub(super) liveness: WorkerLiveness,
     pub(super) has_preemption_notice: bool,
@@ -79,7 +79,7 @@
 
 impl Machine {
     /// A machine of which nothing is known but its name.
-    pub(super) fn new(name: &str, shard: ShardIndex, fencing_token: u64) -> Machine {
+    pub(super) fn new(name: &str, shard: ShardIndex, fencing_token: FencingToken) -> Machine {
         Machine {
             name: name.into(),
             address: String::new(),
--- a/src/core/shard_owner/mod.rs
+++ b/src/core/shard_owner/mod.rs
@@ -39,7 +39,7 @@
 use crate::core::common::context::NodeContext;
 use crate::core::common::recent_names::RecentNames;
 use crate::core::{StoreCallOwner, StoreRequest, StoreResponse};
-use crate::model::{JobIndex, Ms, ShardIndex};
+use crate::model::{FencingToken, JobIndex, Ms, ShardIndex};
 use machine::Machines;
 use owned_shard::{LoadState, OwnedShard};
 use placement_records::{RecordIndex, RecordWrite, record_prefix};
@@ -63,7 +63,7 @@
         /// The shard.
         shard: ShardIndex,
         /// Fencing token under which it was sent.
-        fencing_token: u64,
+        fencing_token: FencingToken,
     },
     /// Writes a placement record.
     Write(RecordWrite),
@@ -74,7 +74,7 @@
         /// The record.
         record: RecordIndex,
         /// Fencing token under which it was sent.
-        fencing_token: u64,
+        fencing_token: FencingToken,
     },
 }
 
@@ -149,7 +149,11 @@
             self.drop_machines(context, shard);
             let name = &context.shards[place].name;
             self.shards[place] = own_token.map(|fencing_token| {
-                tracing::info!(shard = name, fencing_token, "became shard owner");
+                tracing::info!(
+                    shard = name,
+                    fencing_token = fencing_token.number(),
+                    "became shard owner"
+                );
                 OwnedShard::new(shard, fencing_token, context.clock.now())
             });
             if own_token.is_none() {
@@ -217,7 +221,7 @@
 fn request_record_page(
     context: &mut NodeContext,
     shard: ShardIndex,
-    fencing_token: u64,
+    fencing_token: FencingToken,
     after: Option<String>,
 ) {
     let prefix = record_prefix(&context.shards[shard.place()].name);
--- a/src/core/shard_owner/owned_shard.rs
+++ b/src/core/shard_owner/owned_shard.rs
@@ -2,7 +2,7 @@
 
 use super::attempt::Attempt;
 use super::placement_records::{RecordIndex, ShardRecords};
-use crate::model::{JobIndex, Ms, ShardIndex};
+use crate::model::{FencingToken, JobIndex, Ms, ShardIndex, Term};
 use crate::wire::peer::DesiredState;
 use rustc_hash::FxHashSet;
 use woadlever_recovery::shard::ShardRecovery;
@@ -25,7 +25,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct DesiredVersion {
     /// Term of the leader that sent it.
-    pub(super) term: u64,
+    pub(super) term: Term,
     /// Rises with each message of the term; state messages to the leader echo it.
     pub(super) serial: u64,
 }
@@ -56,7 +56,7 @@
 #[derive(Debug)]
 pub(super) struct OwnedShard {
     pub(super) index: ShardIndex,
-    pub(super) fencing_token: u64,
+    pub(super) fencing_token: FencingToken,
     pub(super) load: LoadState,
     /// How far what is on record has been reconciled with worker heartbeats.
     pub(super) recovery: ShardRecovery,
@@ -77,7 +77,7 @@
 
 impl OwnedShard {
     /// A shard that this node has just begun to own.
-    pub(super) fn new(index: ShardIndex, fencing_token: u64, now: Ms) -> OwnedShard {
+    pub(super) fn new(index: ShardIndex, fencing_token: FencingToken, now: Ms) -> OwnedShard {
         OwnedShard {
             index,
             fencing_token,
@@ -100,12 +100,12 @@
     }
 
     /// Whether the last desired state taken in is of the leader of this term.
-    pub(super) fn follows_term(&self, term: u64) -> bool {
+    pub(super) fn follows_term(&self, term: Term) -> bool {
         self.newest_serial(term).is_some()
     }
 
     /// Serial of the last desired state taken in, if it is of the leader of this term.
-    pub(super) fn newest_serial(&self, term: u64) -> Option<u64> {
+    pub(super) fn newest_serial(&self, term: Term) -> Option<u64> {
         self.desired_version.filter(|version| version.term == term).map(|version| version.serial)
     }
 
--- a/src/core/shard_owner/parked_heartbeats.rs
+++ b/src/core/shard_owner/parked_heartbeats.rs
@@ -46,7 +46,7 @@
             add_commands(context, machine, &mut commands);
         }
         machine.liveness.note_response(context.clock.now());
-        let response = HeartbeatResponse { fencing_token: machine.fencing_token, commands };
+        let response = HeartbeatResponse { fencing_token: machine.fencing_token.number(), commands };
         context.respond_json(parked.request_id, 200, &response);
     }
 
--- a/src/core/shard_owner/placement_records/schedule.rs
+++ b/src/core/shard_owner/placement_records/schedule.rs
@@ -8,7 +8,7 @@
 use crate::core::common::context::NodeContext;
 use crate::core::shard_owner::OwnedShard;
 use crate::core::shard_owner::machine::{Machine, Machines};
-use crate::model::{Ms, ShardIndex};
+use crate::model::{Ms, ShardIndex, Term};
 use rustc_hash::FxHashMap;
 
 /// Share of the store's writes that urgent ones may take, of all nodes together.
@@ -69,7 +69,7 @@
         context: &NodeContext,
         shard: &mut OwnedShard,
         machine: &mut Machine,
-        term: u64,
+        term: Term,
     ) {
         // An attempt that a former leader admitted has no standing.
         if shard.follows_term(term) {
@@ -134,7 +134,7 @@
     context: &NodeContext,
     shards: &mut [Option<OwnedShard>],
     machines: &mut Machines,
-    term: u64,
+    term: Term,
 ) {
     let now = context.clock.now();
     for shard in shards.iter_mut().flatten().filter(|shard| shard.is_loaded()) {
@@ -158,7 +158,7 @@
     context: &NodeContext,
     shards: &mut [Option<OwnedShard>],
     machines: &mut Machines,
-    term: u64,
+    term: Term,
 ) -> PendingChanges {
     let mut pending = PendingChanges::default();
     for machine in machines.values_mut() {
--- a/src/core/shard_owner/placement_records/write.rs
+++ b/src/core/shard_owner/placement_records/write.rs
@@ -10,7 +10,7 @@
 use crate::core::shard_owner::machine::{Machine, Machines, machines_of, machines_of_mut};
 use crate::core::shard_owner::{OwnedShard, ShardOwnerCall};
 use crate::core::{StoreCallOwner, StoreRequest, StoreResponse};
-use crate::model::{MachineIndex, Ms, ShardIndex};
+use crate::model::{FencingToken, MachineIndex, Ms, ShardIndex, Term};
 use crate::wire::encoded::Encoded;
 use crate::wire::store::{Compare, CompareAndSwap, Mutation, RecordedMachine};
 use rustc_hash::{FxHashMap, FxHashSet};
@@ -32,7 +32,7 @@
     /// The record.
     pub(super) record: RecordIndex,
     /// Fencing token under which it was sent.
-    fencing_token: u64,
+    fencing_token: FencingToken,
     /// Attempts that may be started once this write is executed.
     pub(super) new_attempts: FxHashSet<u64>,
     /// Attempts that are copied out of oversized records.
@@ -60,7 +60,7 @@
     shard: &mut OwnedShard,
     machines: &mut Machines,
     record: RecordIndex,
-    term: u64,
+    term: Term,
 ) {
     let draft = draft_record(context, shard, machines, record, term);
     let value = Encoded::new(&draft.content);
@@ -84,13 +84,13 @@
     shard: &OwnedShard,
     machines: &mut Machines,
     record: RecordIndex,
-    term: u64,
+    term: Term,
 ) -> RecordDraft {
     let shard_name = &context.shards[shard.index.place()].name;
     let version = shard.records[record].version();
     let compares = vec![
-        Compare { key: LEADER.into(), version: term },
-        Compare { key: shard_key(shard_name), version: shard.fencing_token },
+        Compare { key: LEADER.into(), version: term.number() },
+        Compare { key: shard_key(shard_name), version: shard.fencing_token.number() },
         Compare { key: record_key(shard_name, record), version },
     ];
     let base = smallest_attempt(machines, shard.index, record);
--- a/src/core/shard_owner/reconciliation.rs
+++ b/src/core/shard_owner/reconciliation.rs
@@ -72,7 +72,7 @@
         target: "woadlever::recovery",
         format = LOG_FORMAT,
         shard = context.shards[shard.index.place()].name,
-        fencing_token = shard.fencing_token,
+        fencing_token = shard.fencing_token.number(),
         phase = recovery.phase().name(),
         age_ms = recovery.age_ms(context.clock.now()),
         revision = recovery.revision(),
--- a/src/core/shard_owner/reported_state.rs
+++ b/src/core/shard_owner/reported_state.rs
@@ -8,7 +8,7 @@
 use super::owned_shard::OwnedShard;
 use crate::core::common::context::NodeContext;
 use crate::core::common::leadership::KnownLeader;
-use crate::model::{JobIndex, Ms};
+use crate::model::{JobIndex, Ms, Term};
 use crate::wire::peer::{
     PeerMessage, ReportedJob, ReportedMachine, ReportedPhase, ReportedState, ReportedTask,
 };
@@ -54,13 +54,13 @@
     context: &NodeContext,
     shard: &OwnedShard,
     machines: &Machines,
-    term: u64,
+    term: Term,
 ) -> ReportedState {
     let mut builder = ReportBuilder {
         report: ReportedState {
-            term,
+            term: term.number(),
             shard: shard.index.number(),
-            fencing_token: shard.fencing_token,
+            fencing_token: shard.fencing_token.number(),
             echo: shard.newest_serial(term).unwrap_or(NO_DESIRED_STATE),
             types: Vec::new(),
             jobs: Vec::new(),
--- a/src/core/shard_owner/worker_heartbeats.rs
+++ b/src/core/shard_owner/worker_heartbeats.rs
@@ -5,7 +5,7 @@
 use super::reconciliation::reconcile_heartbeat;
 use super::{ShardOwner, unavailable};
 use crate::core::common::context::NodeContext;
-use crate::model::{MachineIndex, ShardIndex};
+use crate::model::{FencingToken, MachineIndex, ShardIndex};
 use crate::wire::workers::{Command, Redirect, WorkerHeartbeat};
 use woadlever_recovery::worker::{self, HeartbeatHeader, HeartbeatVersion, Rejection};
 
@@ -13,7 +13,7 @@
 #[derive(Debug, Clone, Copy)]
 struct Ownership {
     shard: ShardIndex,
-    fencing_token: u64,
+    fencing_token: FencingToken,
     /// Whether the shard's placement records have been read.
     is_loaded: bool,
 }
@@ -78,7 +78,7 @@
         if !context.has_control_lease() {
             return Err(Refusal::Unavailable(unavailable::NO_CONTROL_LEASE));
         }
-        worker::check_fencing_token(header_of(heartbeat), owned.fencing_token)?;
+        worker::check_fencing_token(header_of(heartbeat), owned.fencing_token.number())?;
         if self.terminated_machines.contains(&heartbeat.machine) {
             return Err(Refusal::Unavailable(unavailable::TERMINATED));
         }
@@ -141,7 +141,7 @@
     let is_only_node = context.platform.peers.is_empty();
     machine.liveness.accept(
         header_of(heartbeat),
-        ownership.fencing_token,
+        ownership.fencing_token.number(),
         is_only_node,
         &context.timing(),
         context.clock.now(),
