--- a/src/core/leader/attempts.rs
+++ b/src/core/leader/attempts.rs
@@ -7,7 +7,7 @@
 use super::Leader;
 use super::free_capacity::InstanceLocation;
 use super::shards::ShardAssignment;
-use crate::model::{InstanceIndex, JobIndex, Ms, Resources, ShardIndex};
+use crate::model::{AttemptId, InstanceIndex, JobIndex, Ms, Resources, ShardIndex};
 use crate::wire::peer::ReportedPhase;
 use rustc_hash::FxHashMap;
 use std::collections::BTreeSet;
@@ -64,37 +64,37 @@
 /// All attempts that the leader knows, by their ids.
 #[derive(Debug, Default)]
 pub struct Attempts {
-    by_id: FxHashMap<u64, Attempt>,
+    by_id: FxHashMap<AttemptId, Attempt>,
     /// Index of (job, task, id of the attempt).
-    by_task: BTreeSet<(JobIndex, u32, u64)>,
+    by_task: BTreeSet<(JobIndex, u32, AttemptId)>,
 }
 
 impl Attempts {
     /// Adds an attempt.
-    pub fn insert(&mut self, id: u64, attempt: Attempt) {
+    pub fn insert(&mut self, id: AttemptId, attempt: Attempt) {
         self.by_task.insert((attempt.job, attempt.task, id));
         self.by_id.insert(id, attempt);
     }
 
     /// Removes an attempt and returns it.
-    pub fn remove(&mut self, id: u64) -> Option<Attempt> {
+    pub fn remove(&mut self, id: AttemptId) -> Option<Attempt> {
         let attempt = self.by_id.remove(&id)?;
         self.by_task.remove(&(attempt.job, attempt.task, id));
         Some(attempt)
     }
 
     /// The attempt with this id.
-    pub fn get(&self, id: u64) -> Option<&Attempt> {
+    pub fn get(&self, id: AttemptId) -> Option<&Attempt> {
         self.by_id.get(&id)
     }
 
     /// The attempt with this id, to be changed. Its job and task must stay.
-    pub fn get_mut(&mut self, id: u64) -> Option<&mut Attempt> {
+    pub fn get_mut(&mut self, id: AttemptId) -> Option<&mut Attempt> {
         self.by_id.get_mut(&id)
     }
 
     /// Whether an attempt is known.
-    pub fn contains(&self, id: u64) -> bool {
+    pub fn contains(&self, id: AttemptId) -> bool {
         self.by_id.contains_key(&id)
     }
 
@@ -114,37 +114,40 @@
     }
 
     /// All attempts with their ids.
-    pub fn iter(&self) -> impl Iterator<Item = (u64, &Attempt)> {
+    pub fn iter(&self) -> impl Iterator<Item = (AttemptId, &Attempt)> {
         self.by_id.iter().map(|(id, attempt)| (*id, attempt))
     }
 
     /// All attempts with their ids, to be changed. Their jobs and tasks must stay.
-    pub fn iter_mut(&mut self) -> impl Iterator<Item = (u64, &mut Attempt)> {
+    pub fn iter_mut(&mut self) -> impl Iterator<Item = (AttemptId, &mut Attempt)> {
         self.by_id.iter_mut().map(|(id, attempt)| (*id, attempt))
     }
 
     /// Whether any attempt at a task is known.
     pub fn has_task(&self, job: JobIndex, task: u32) -> bool {
-        self.by_task.range((job, task, 0)..=(job, task, u64::MAX)).next().is_some()
+        self.by_task.range((job, task, AttemptId::MIN)..=(job, task, AttemptId::MAX)).next().is_some()
     }
 
     /// Whether any attempt at a task of a job is known.
     pub fn has_job(&self, job: JobIndex) -> bool {
-        self.by_task.range((job, 0, 0)..=(job, u32::MAX, u64::MAX)).next().is_some()
+        self.by_task.range((job, 0, AttemptId::MIN)..=(job, u32::MAX, AttemptId::MAX)).next().is_some()
     }
 
     /// Ids of the attempts at all tasks of a job.
-    pub fn ids_of_job(&self, job: JobIndex) -> Vec<u64> {
-        self.by_task.range((job, 0, 0)..=(job, u32::MAX, u64::MAX)).map(|(_, _, id)| *id).collect()
+    pub fn ids_of_job(&self, job: JobIndex) -> Vec<AttemptId> {
+        self.by_task
+            .range((job, 0, AttemptId::MIN)..=(job, u32::MAX, AttemptId::MAX))
+            .map(|(_, _, id)| *id)
+            .collect()
     }
 
     /// Removes attempts at tasks that have a newer one.
     pub fn drop_superseded(&mut self) {
         let by_task = self.by_task.iter();
         let attempts: Vec<TaskAttempt<JobIndex>> =
-            by_task.map(|&(job, task, attempt)| TaskAttempt { job, task, attempt }).collect();
+            by_task.map(|&(job, task, id)| TaskAttempt { job, task, attempt: id.number() }).collect();
         for id in superseded(&attempts) {
-            self.remove(id);
+            self.remove(AttemptId::new(id));
         }
     }
 }
@@ -167,7 +170,7 @@
             first_named_in: None,
         };
         self.attempts.insert(self.next_attempt, attempt);
-        self.next_attempt += 1;
+        self.next_attempt = self.next_attempt.next();
         self.shards[location.shard.place()].dirty = true;
     }
 
--- a/src/core/leader/desired_states.rs
+++ b/src/core/leader/desired_states.rs
@@ -86,7 +86,7 @@
             let place = attempt.shard.place();
             attempt.first_named_in.get_or_insert(self.shards[place].serial);
             if attempt.is_wanted {
-                let wanted = (attempt.task, id, attempt.may_bind);
+                let wanted = (attempt.task, id.number(), attempt.may_bind);
                 tasks[place].entry(attempt.job).or_default().push(wanted);
             }
         }
--- a/src/core/leader/mod.rs
+++ b/src/core/leader/mod.rs
@@ -38,7 +38,7 @@
 use crate::core::StoreResponse;
 use crate::core::common::context::NodeContext;
 use crate::core::common::store_keys::LEADER;
-use crate::model::{JobIndex, Ms, ShardIndex, Term};
+use crate::model::{AttemptId, JobIndex, Ms, ShardIndex, Term};
 use crate::wire::store::Compare;
 use attempts::Attempts;
 use cascading_cancellation::CascadingCancellations;
@@ -140,7 +140,7 @@
     /// Attempts that are or may be on a machine.
     pub attempts: Attempts,
     /// Id of the next attempt.
-    next_attempt: u64,
+    next_attempt: AttemptId,
     /// All shards.
     shards: Vec<ShardAssignment>,
     /// The machines, and all calls to the cloud.
@@ -186,7 +186,7 @@
             activated_at: 0,
             jobs: BTreeMap::new(),
             attempts: Attempts::default(),
-            next_attempt: term.number() << ATTEMPT_BITS_PER_TERM,
+            next_attempt: AttemptId::new(term.number() << ATTEMPT_BITS_PER_TERM),
             shards: context.shards.iter().map(|_| ShardAssignment::new()).collect(),
             fleet: Fleet::new(context),
             ratios: BTreeMap::new(),
--- a/src/core/leader/preemption.rs
+++ b/src/core/leader/preemption.rs
@@ -12,7 +12,7 @@
 use super::scheduling_cycle::WaitingJob;
 use super::zones::ZoneConstraints;
 use crate::core::common::context::NodeContext;
-use crate::model::{InstanceIndex, JobIndex, JobSpec, Ms, Priority, Resources};
+use crate::model::{AttemptId, InstanceIndex, JobIndex, JobSpec, Ms, Priority, Resources};
 use rustc_hash::{FxHashMap, FxHashSet};
 use std::sync::Arc;
 
@@ -31,7 +31,7 @@
 struct PreemptionState<'a> {
     free_capacity: &'a FreeCapacity,
     /// Attempts that may be stopped, by the instance that they are on.
-    stoppable: FxHashMap<InstanceIndex, Vec<u64>>,
+    stoppable: FxHashMap<InstanceIndex, Vec<AttemptId>>,
     /// By index of the team; without the tasks that are stopped.
     used_by_team: Vec<Resources>,
     /// Tasks that may still be stopped in this cycle.
@@ -53,7 +53,7 @@
 struct Victims {
     /// Run time that is lost by stopping them.
     cost_ms: Ms,
-    attempts: Vec<u64>,
+    attempts: Vec<AttemptId>,
 }
 
 impl Leader {
@@ -113,8 +113,8 @@
     }
 
     /// Attempts on a known instance, by that instance.
-    fn stoppable_attempts(&self) -> FxHashMap<InstanceIndex, Vec<u64>> {
-        let mut stoppable: FxHashMap<InstanceIndex, Vec<u64>> = FxHashMap::default();
+    fn stoppable_attempts(&self) -> FxHashMap<InstanceIndex, Vec<AttemptId>> {
+        let mut stoppable: FxHashMap<InstanceIndex, Vec<AttemptId>> = FxHashMap::default();
         for (id, attempt) in self.attempts.iter() {
             if attempt.is_wanted
                 && !attempt.may_bind
@@ -167,7 +167,7 @@
         machine: &FreeMachine,
     ) -> Option<Victims> {
         let on_machine = state.stoppable.get(&machine.location?.instance)?;
-        let mut candidates: Vec<(Ms, u64)> = on_machine
+        let mut candidates: Vec<(Ms, AttemptId)> = on_machine
             .iter()
             .filter_map(|id| Some((self.preemption_cost(context, state, preemptor, *id)?, *id)))
             .collect();
@@ -193,7 +193,7 @@
         context: &NodeContext,
         state: &PreemptionState,
         preemptor: &Preemptor,
-        id: u64,
+        id: AttemptId,
     ) -> Option<Ms> {
         let attempt = self.attempts.get(id).filter(|attempt| attempt.is_wanted)?;
         let victim = self.jobs.get(&attempt.job)?;
--- a/src/core/leader/rebuild.rs
+++ b/src/core/leader/rebuild.rs
@@ -11,7 +11,7 @@
 use crate::core::common::context::NodeContext;
 use crate::core::common::store_keys::PLACEMENT_PREFIX;
 use crate::core::{StoreCallOwner, StoreRequest, StoreResponse};
-use crate::model::{InstanceIndex, Ms, Resources, ShardIndex};
+use crate::model::{AttemptId, InstanceIndex, Ms, Resources, ShardIndex};
 use crate::wire::peer::ReportedPhase;
 use crate::wire::store::{KeyValue, Page, PlacementRecord, RecordedJob, RecordedMachine};
 use woadlever_recovery::disposition::{AttemptDisposition, TaskStatus};
@@ -186,7 +186,7 @@
                 let Some(job) = record.jobs.get(listed.job) else { continue };
                 let shard = ShardIndex::at(shard);
                 let attempt = recorded_attempt(context, shard, index, job, listed.task);
-                self.attempts.insert(listed.attempt, attempt);
+                self.attempts.insert(AttemptId::new(listed.attempt), attempt);
             }
         }
     }
--- a/src/core/leader/reconciliation.rs
+++ b/src/core/leader/reconciliation.rs
@@ -9,7 +9,7 @@
 use super::attempts::Attempt;
 use super::run_times::learn_run_time;
 use crate::core::common::context::NodeContext;
-use crate::model::{FencingToken, InstanceIndex, JobIndex, Resources, ShardIndex, Term};
+use crate::model::{AttemptId, FencingToken, InstanceIndex, JobIndex, Resources, ShardIndex, Term};
 use crate::wire::peer::{ReportedJob, ReportedPhase, ReportedState, ReportedTask};
 use rustc_hash::FxHashSet;
 use woadlever_recovery::disposition::{AttemptDisposition, TaskStatus, is_proven_gone};
@@ -77,8 +77,8 @@
         context: &mut NodeContext,
         shard: ShardIndex,
         reported: &ReportedState,
-    ) -> FxHashSet<u64> {
-        let mut listed: FxHashSet<u64> = FxHashSet::default();
+    ) -> FxHashSet<AttemptId> {
+        let mut listed: FxHashSet<AttemptId> = FxHashSet::default();
         let zone = context.shards[shard.place()].zone.clone();
         let jobs: Vec<ReportedJobInfo> =
             reported.jobs.iter().map(|job| ReportedJobInfo::new(context, job)).collect();
@@ -92,7 +92,7 @@
             }
             for task in &reported_machine.tasks {
                 let Some(job) = jobs.get(task.job as usize) else { continue };
-                listed.insert(task.attempt);
+                listed.insert(AttemptId::new(task.attempt));
                 self.apply_reported_attempt(context, &ReportedAttempt { shard, machine, job, task });
             }
         }
@@ -100,8 +100,8 @@
     }
 
     /// Removes the attempts of a shard that a reported state proves to be gone.
-    fn remove_gone_attempts(&mut self, shard: ShardIndex, listed: &FxHashSet<u64>, echo: u64) {
-        let gone: Vec<u64> = self
+    fn remove_gone_attempts(&mut self, shard: ShardIndex, listed: &FxHashSet<AttemptId>, echo: u64) {
+        let gone: Vec<AttemptId> = self
             .attempts
             .iter()
             .filter(|(_, attempt)| attempt.shard == shard)
@@ -116,7 +116,7 @@
     }
 
     fn apply_reported_attempt(&mut self, context: &NodeContext, reported: &ReportedAttempt) {
-        if !self.attempts.contains(reported.task.attempt) {
+        if !self.attempts.contains(AttemptId::new(reported.task.attempt)) {
             self.adopt_attempt(reported);
         }
         if !self.update_attempt(reported) {
@@ -127,7 +127,7 @@
             ReportedPhase::Done => self.on_attempt_done(reported),
             ReportedPhase::Failed => self.on_attempt_failed(context, reported),
             ReportedPhase::Stopped | ReportedPhase::Refused => {
-                self.stop_attempt(reported.task.attempt);
+                self.stop_attempt(AttemptId::new(reported.task.attempt));
             }
             ReportedPhase::Bound
             | ReportedPhase::Fetching
@@ -164,14 +164,14 @@
             ran_ms: task.ran_ms,
             first_named_in: None,
         };
-        self.attempts.insert(task.attempt, attempt);
+        self.attempts.insert(AttemptId::new(task.attempt), attempt);
         self.shards[shard.place()].dirty = true;
     }
 
     /// Takes over where an attempt is and how far; whether its phase has changed.
     fn update_attempt(&mut self, reported: &ReportedAttempt) -> bool {
         let ReportedAttempt { machine, task, .. } = *reported;
-        let Some(attempt) = self.attempts.get_mut(task.attempt) else { return false };
+        let Some(attempt) = self.attempts.get_mut(AttemptId::new(task.attempt)) else { return false };
         if attempt.machine != Some(machine) || attempt.may_bind {
             self.cycle_due = true;
         }
@@ -191,7 +191,7 @@
             self.fleet.on_task_succeeded(machine);
             learn_run_time(&mut self.ratios, &live.spec, task.ran_ms);
         } else if live.progress.is_recorded(task.task) {
-            self.stop_attempt(task.attempt);
+            self.stop_attempt(AttemptId::new(task.attempt));
         }
     }
 
@@ -199,7 +199,7 @@
     /// paused; otherwise the machine is.
     fn on_attempt_failed(&mut self, context: &NodeContext, reported: &ReportedAttempt) {
         let ReportedAttempt { machine, job, task, .. } = *reported;
-        self.stop_attempt(task.attempt);
+        self.stop_attempt(AttemptId::new(task.attempt));
         let now = context.clock.now();
         let Some(live) = self.jobs.get_mut(&job.job) else { return };
         if !live.on_task_failed(now, machine) {
@@ -207,7 +207,7 @@
         }
     }
 
-    fn stop_attempt(&mut self, id: u64) {
+    fn stop_attempt(&mut self, id: AttemptId) {
         if let Some(attempt) = self.attempts.get_mut(id) {
             attempt.stop(&mut self.shards);
         }
--- a/src/core/shard_owner/attempt.rs
+++ b/src/core/shard_owner/attempt.rs
@@ -2,7 +2,7 @@
 
 use super::placement_records::RecordIndex;
 use crate::core::common::context::NodeContext;
-use crate::model::{JobIndex, Ms, Resources};
+use crate::model::{AttemptId, JobIndex, Ms, Resources};
 use crate::wire::store::JobState;
 use woadlever_recovery::attempt::{AttemptPhase, AttemptState};
 use woadlever_recovery::worker::HeartbeatVersion;
@@ -23,7 +23,7 @@
 pub(super) struct Attempt {
     pub(super) job: JobIndex,
     pub(super) task: u32,
-    pub(super) id: u64,
+    pub(super) id: AttemptId,
     /// Resources that the task takes.
     pub(super) demand: Resources,
     pub(super) team: String,
--- a/src/core/shard_owner/binding.rs
+++ b/src/core/shard_owner/binding.rs
@@ -7,7 +7,7 @@
 use super::placement_records::{self, RecordIndex};
 use crate::core::common::context::NodeContext;
 use crate::core::common::placement;
-use crate::model::{JobIndex, JobSpec, MachineIndex, Ms, Resources, ShardIndex};
+use crate::model::{AttemptId, JobIndex, JobSpec, MachineIndex, Ms, Resources, ShardIndex};
 use crate::wire::store::JobState;
 use std::sync::Arc;
 use woadlever_recovery::attempt::AttemptPhase;
@@ -29,7 +29,7 @@
 /// A task that the leader allows to bind in a shard of this node.
 pub(super) struct AdmittedTask {
     /// Id of the attempt.
-    pub(super) attempt: u64,
+    pub(super) attempt: AttemptId,
     pub(super) job: JobIndex,
     pub(super) task: u32,
     /// Expected run time.
--- a/src/core/shard_owner/desired_state.rs
+++ b/src/core/shard_owner/desired_state.rs
@@ -8,7 +8,7 @@
 };
 use super::{ShardOwner, unavailable};
 use crate::core::common::context::NodeContext;
-use crate::model::{FencingToken, JobIndex, Ms, ShardIndex, Term};
+use crate::model::{AttemptId, FencingToken, JobIndex, Ms, ShardIndex, Term};
 use crate::wire::peer::{self, Decommission, DesiredState};
 use rustc_hash::{FxHashMap, FxHashSet};
 use woadlever_recovery::attempt;
@@ -28,9 +28,9 @@
 /// The attempts that a desired state names.
 struct DesiredAttempts {
     /// By their ids.
-    wanted: FxHashMap<u64, DesiredAttempt>,
+    wanted: FxHashMap<AttemptId, DesiredAttempt>,
     /// Ids of attempts at tasks of jobs that are unknown here.
-    of_unknown_jobs: FxHashSet<u64>,
+    of_unknown_jobs: FxHashSet<AttemptId>,
 }
 
 impl DesiredAttempts {
@@ -39,12 +39,12 @@
         let mut of_unknown_jobs = FxHashSet::default();
         for desired in &message.jobs {
             let Some(job) = context.job_index(&desired.job) else {
-                of_unknown_jobs.extend(desired.tasks.iter().map(|&(_, id, _)| id));
+                of_unknown_jobs.extend(desired.tasks.iter().map(|&(_, id, _)| AttemptId::new(id)));
                 continue;
             };
             let expected_ms = (desired.expected_s * 1000.0) as Ms;
             for &(task, id, may_bind) in &desired.tasks {
-                wanted.insert(id, DesiredAttempt { job, task, may_bind, expected_ms });
+                wanted.insert(AttemptId::new(id), DesiredAttempt { job, task, may_bind, expected_ms });
             }
         }
         DesiredAttempts { wanted, of_unknown_jobs }
@@ -52,7 +52,7 @@
 
     /// The tasks to bind, by the ids of their attempts: those that may be bound and are on
     /// no machine yet.
-    fn admitted(&self, known: &FxHashSet<u64>) -> Vec<AdmittedTask> {
+    fn admitted(&self, known: &FxHashSet<AttemptId>) -> Vec<AdmittedTask> {
         let mut admitted: Vec<AdmittedTask> = self
             .wanted
             .iter()
@@ -178,9 +178,9 @@
         index: ShardIndex,
         message: &DesiredState,
         desired: &DesiredAttempts,
-    ) -> FxHashSet<u64> {
+    ) -> FxHashSet<AttemptId> {
         let directives = MachineDirectives::from_message(message);
-        let mut known: FxHashSet<u64> = FxHashSet::default();
+        let mut known: FxHashSet<AttemptId> = FxHashSet::default();
         let Some(shard) = &mut self.shards[index.place()] else { return known };
         for machine in machines_of_mut(&mut self.machines, index) {
             directives.apply(machine);
--- a/src/core/shard_owner/direct_commands.rs
+++ b/src/core/shard_owner/direct_commands.rs
@@ -73,7 +73,7 @@
     Command {
         action: CommandAction::Stop,
         task: attempt.task_name(context),
-        attempt: attempt.id,
+        attempt: attempt.id.number(),
         grace_s: Some(0.0),
     }
 }
--- a/src/core/shard_owner/loading.rs
+++ b/src/core/shard_owner/loading.rs
@@ -7,7 +7,7 @@
 use super::{ShardOwner, reconciliation, request_record_page};
 use crate::core::StoreResponse;
 use crate::core::common::context::NodeContext;
-use crate::model::{FencingToken, Ms, ShardIndex};
+use crate::model::{AttemptId, FencingToken, Ms, ShardIndex};
 use crate::wire::store::{KeyValue, PlacementRecord, RecordedAttempt, RecordedJob, RecordedMachine};
 use woadlever_recovery::attempt::AttemptPhase;
 
@@ -150,7 +150,7 @@
         // they would pass for gone.
         job: context.job_index_or_lookup(job.id()),
         task: listed.task,
-        id: listed.attempt,
+        id: AttemptId::new(listed.attempt),
         demand,
         job_row_bytes: placement_records::job_row_bytes(job.id(), job.team(), &demand),
         team: job.team().to_string(),
--- a/src/core/shard_owner/owned_shard.rs
+++ b/src/core/shard_owner/owned_shard.rs
@@ -2,7 +2,7 @@
 
 use super::attempt::Attempt;
 use super::placement_records::{RecordIndex, ShardRecords};
-use crate::model::{FencingToken, JobIndex, Ms, ShardIndex, Term};
+use crate::model::{AttemptId, FencingToken, JobIndex, Ms, ShardIndex, Term};
 use crate::wire::peer::DesiredState;
 use rustc_hash::FxHashSet;
 use woadlever_recovery::shard::ShardRecovery;
@@ -48,7 +48,7 @@
 /// An attempt that is proven gone, with the placement record that lists it.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct GoneAttempt {
-    pub(super) id: u64,
+    pub(super) id: AttemptId,
     pub(super) record: RecordIndex,
 }
 
@@ -63,7 +63,7 @@
     /// The last desired state taken in.
     pub(super) desired_version: Option<DesiredVersion>,
     /// Attempts that are never bound here, until the leader no longer names them.
-    pub(super) rejected_attempts: FxHashSet<u64>,
+    pub(super) rejected_attempts: FxHashSet<AttemptId>,
     pub(super) parked_desired_state: Option<ParkedDesiredState>,
     pub(super) waiting_tasks: Vec<WaitingTaskCount>,
     /// The leader has not been told of the latest changes.
--- a/src/core/shard_owner/placement_records/draft.rs
+++ b/src/core/shard_owner/placement_records/draft.rs
@@ -96,7 +96,11 @@
             }
             row_bytes = 0;
             let row = self.job_row(context, attempt);
-            tasks.extend([u64::from(row), u64::from(attempt.task), attempt.id - self.content.base]);
+            tasks.extend([
+                u64::from(row),
+                u64::from(attempt.task),
+                attempt.id.number() - self.content.base,
+            ]);
         }
         tasks
     }
@@ -105,7 +109,7 @@
     /// takes, if it is the machine's first.
     fn add_attempt(&mut self, context: &NodeContext, attempt: &mut Attempt, row_bytes: usize) -> bool {
         let job_bytes = if self.job_rows.contains_key(&attempt.job) { 0 } else { attempt.job_row_bytes };
-        let own_bytes = attempt_bytes(attempt.task, attempt.id - self.content.base);
+        let own_bytes = attempt_bytes(attempt.task, attempt.id.number() - self.content.base);
         let bytes = own_bytes + row_bytes + job_bytes;
         let fits = self.bytes + bytes <= max_record_bytes(context);
         if attempt.moving_to == Some(self.write.record) {
--- a/src/core/shard_owner/placement_records/layout.rs
+++ b/src/core/shard_owner/placement_records/layout.rs
@@ -79,7 +79,7 @@
         let listed = |attempt: &&Attempt| attempt.record == record && attempt.may_be_recorded();
         for attempt in machine.attempts.iter().filter(listed) {
             has_row = true;
-            bytes += attempt_bytes(attempt.task, attempt.id - base);
+            bytes += attempt_bytes(attempt.task, attempt.id.number() - base);
             if jobs.insert(attempt.job) {
                 bytes += attempt.job_row_bytes;
             }
--- a/src/core/shard_owner/placement_records/reread.rs
+++ b/src/core/shard_owner/placement_records/reread.rs
@@ -7,7 +7,7 @@
 use crate::core::shard_owner::machine::{Machine, Machines, machines_of_mut};
 use crate::core::shard_owner::{OwnedShard, ShardOwnerCall};
 use crate::core::{StoreCallOwner, StoreRequest, StoreResponse};
-use crate::model::Ms;
+use crate::model::{AttemptId, Ms};
 use crate::wire::store::{KeyValue, PlacementRecord, RecordedMachine};
 use rustc_hash::FxHashMap;
 
@@ -93,8 +93,9 @@
     row: Option<&RecordedMachine>,
     base: u64,
 ) -> Vec<RecordIndex> {
-    let is_listed =
-        |id: u64| row.is_some_and(|row| row.attempts(base).any(|listed| listed.attempt == id));
+    let is_listed = |id: AttemptId| {
+        row.is_some_and(|row| row.attempts(base).any(|listed| listed.attempt == id.number()))
+    };
     let mut left = Vec::new();
     for attempt in &mut machine.attempts {
         if attempt.record == index {
--- a/src/core/shard_owner/placement_records/splitting.rs
+++ b/src/core/shard_owner/placement_records/splitting.rs
@@ -112,7 +112,7 @@
     let base = machines_of(machines, shard)
         .flat_map(|machine| &machine.attempts)
         .filter(|attempt| attempt.record == record)
-        .map(|attempt| attempt.id)
+        .map(|attempt| attempt.id.number())
         .min()
         .unwrap_or(0);
     required_bytes(machines, shard, record, base) > max_record_bytes(context)
--- a/src/core/shard_owner/placement_records/write.rs
+++ b/src/core/shard_owner/placement_records/write.rs
@@ -10,7 +10,7 @@
 use crate::core::shard_owner::machine::{Machine, Machines, machines_of, machines_of_mut};
 use crate::core::shard_owner::{OwnedShard, ShardOwnerCall};
 use crate::core::{StoreCallOwner, StoreRequest, StoreResponse};
-use crate::model::{FencingToken, MachineIndex, Ms, ShardIndex, Term};
+use crate::model::{AttemptId, FencingToken, MachineIndex, Ms, ShardIndex, Term};
 use crate::wire::encoded::Encoded;
 use crate::wire::store::{Compare, CompareAndSwap, Mutation, RecordedMachine};
 use rustc_hash::{FxHashMap, FxHashSet};
@@ -34,9 +34,9 @@
     /// Fencing token under which it was sent.
     fencing_token: FencingToken,
     /// Attempts that may be started once this write is executed.
-    pub(super) new_attempts: FxHashSet<u64>,
+    pub(super) new_attempts: FxHashSet<AttemptId>,
     /// Attempts that are copied out of oversized records.
-    pub(super) moved_attempts: FxHashSet<u64>,
+    pub(super) moved_attempts: FxHashSet<AttemptId>,
     /// What the record shows of the machines whose own state is in it.
     pub(super) machine_flags: FxHashMap<MachineIndex, u8>,
 }
@@ -111,7 +111,7 @@
         |attempt: &&Attempt| attempt.record == record || attempt.moving_to == Some(record);
     machines_of(machines, shard)
         .flat_map(|machine| machine.attempts.iter().filter(belongs_here))
-        .map(|attempt| attempt.id)
+        .map(|attempt| attempt.id.number())
         .min()
         .unwrap_or(0)
 }
--- a/src/core/shard_owner/reconciliation.rs
+++ b/src/core/shard_owner/reconciliation.rs
@@ -7,7 +7,7 @@
 use super::owned_shard::{GoneAttempt, OwnedShard};
 use super::worker_commands::command_for_unrecorded;
 use crate::core::common::context::NodeContext;
-use crate::model::{Ms, split_task};
+use crate::model::{AttemptId, Ms, split_task};
 use crate::wire::workers::{Command, HeartbeatTask, TaskState};
 use rustc_hash::FxHashSet;
 use woadlever_recovery::attempt::{self, AttemptPhase, Verdict};
@@ -114,7 +114,7 @@
 }
 
 /// Notes that the worker does not receive our responses if a heartbeat proves so.
-fn note_undelivered(machine: &mut Machine, listed: &FxHashSet<u64>) {
+fn note_undelivered(machine: &mut Machine, listed: &FxHashSet<AttemptId>) {
     let is_undelivered = |attempt: &Attempt| {
         let is_listed = listed.contains(&attempt.id);
         attempt::judge(&attempt.state(), is_listed, &machine.liveness) == Verdict::Undelivered
@@ -130,7 +130,7 @@
         machine,
         job = context.jobs.id(attempt.job),
         task = attempt.task,
-        attempt = attempt.id,
+        attempt = attempt.id.number(),
         phase = ?attempt.phase,
         "attempt is gone"
     );
@@ -144,8 +144,8 @@
     tasks: &[HeartbeatTask],
     recovery: &mut ShardRecovery,
     commands: &mut Vec<Command>,
-) -> FxHashSet<u64> {
-    let mut listed: FxHashSet<u64> = FxHashSet::default();
+) -> FxHashSet<AttemptId> {
+    let mut listed: FxHashSet<AttemptId> = FxHashSet::default();
     for task in tasks {
         let Some(attempt) = find_attempt(context, machine, task) else {
             recovery.count_unrecorded();
@@ -171,7 +171,7 @@
     let (job_id, number) = split_task(&task.task)?;
     let job = context.job_index(job_id)?;
     let is_named = |attempt: &&mut Attempt| {
-        attempt.id == task.attempt && attempt.job == job && attempt.task == number
+        attempt.id.number() == task.attempt && attempt.job == job && attempt.task == number
     };
     machine.attempts.iter_mut().find(is_named)
 }
--- a/src/core/shard_owner/reported_state.rs
+++ b/src/core/shard_owner/reported_state.rs
@@ -107,7 +107,7 @@
         ReportedTask {
             job: self.job_row(context, attempt),
             task: attempt.task,
-            attempt: attempt.id,
+            attempt: attempt.id.number(),
             state: reported_phase(attempt.phase),
             ran_ms: attempt.run_time_ms(context.clock.now()),
         }
--- a/src/core/shard_owner/worker_commands.rs
+++ b/src/core/shard_owner/worker_commands.rs
@@ -67,7 +67,7 @@
         }
         WorkerAction::Forget => (CommandAction::Forget, None),
     };
-    Command { action, task: attempt.task_name(context), attempt: attempt.id, grace_s }
+    Command { action, task: attempt.task_name(context), attempt: attempt.id.number(), grace_s }
 }
 
 /// The command for an attempt that a heartbeat lists and no record does.
@@ -88,7 +88,7 @@
         machine,
         job = context.jobs.id(attempt.job),
         task = attempt.task,
-        attempt = attempt.id,
+        attempt = attempt.id.number(),
         record_ms = recorded_at.saturating_sub(bound_at),
         wait_ms = context.clock.now().saturating_sub(recorded_at),
         "start command sent"
--- a/src/model/mod.rs
+++ b/src/model/mod.rs
@@ -14,7 +14,7 @@
 pub use job_order::JobOrder;
 pub use job_spec::{JobSpec, Priority};
 pub use machine_type::{MachineType, merge_types};
-pub use numbers::{FencingToken, Term};
+pub use numbers::{AttemptId, FencingToken, Term};
 pub use resources::Resources;
 pub use shard::{Shard, shard_of, shards_of};
 pub use task_set::{TaskSet, split_task};
--- a/src/model/numbers.rs
+++ b/src/model/numbers.rs
@@ -37,3 +37,20 @@
     /// assignment of the shard.
     FencingToken
 }
+number_type! {
+    /// Id of an attempt at a task: the term that admitted it, and a sequence. Of two attempts
+    /// at one task the newer has the larger id.
+    AttemptId
+}
+
+impl AttemptId {
+    /// The smallest id.
+    pub const MIN: AttemptId = AttemptId(0);
+    /// The largest id.
+    pub const MAX: AttemptId = AttemptId(u64::MAX);
+
+    /// The id that follows.
+    pub const fn next(self) -> AttemptId {
+        AttemptId(self.0 + 1)
+    }
+}
