--- a/src/config/cells.rs
+++ b/src/config/cells.rs
@@ -87,7 +87,7 @@
             "silence_s" => self.silence_ms = millis_from(5.0)?,
             "idle_s" => self.idle_ms = millis_from(5.0)?,
             "max_forwarded" => {
-                self.max_forwarded = number_within(value, 1.0, FORWARDED_UPPER_BOUND)? as usize
+                self.max_forwarded = number_within(value, 1.0, FORWARDED_UPPER_BOUND)? as usize;
             }
             "fit_share" => self.fit_share = number_within(value, 0.0, 1.0)?,
             _ => return Err(SettingError::Unknown),
--- a/src/core/common/election.rs
+++ b/src/core/common/election.rs
@@ -21,7 +21,7 @@
 
 /// A call of the election to the store.
 #[derive(Debug)]
-pub enum ElectionCall {
+pub(crate) enum ElectionCall {
     /// A lease for our record is opened.
     OpenLease,
     /// Our record is written, hanging on this lease.
@@ -37,7 +37,7 @@
 
 /// This node's part in the election.
 #[derive(Debug, Default)]
-pub struct Election {
+pub(crate) struct Election {
     /// A lease that was opened here.
     lease: Option<u64>,
     in_flight: bool,
@@ -79,7 +79,7 @@
 
 impl Election {
     /// Renews our lease, or runs for leader if nobody leads.
-    pub fn poll(&mut self, context: &mut NodeContext) {
+    pub(crate) fn poll(&mut self, context: &mut NodeContext) {
         if !context.is_synced || self.in_flight || context.clock.now() < self.retry_at {
             return;
         }
@@ -127,7 +127,12 @@
     }
 
     /// Takes in the response to a call.
-    pub fn on_result(&mut self, context: &mut NodeContext, call: ElectionCall, response: StoreResponse) {
+    pub(crate) fn on_result(
+        &mut self,
+        context: &mut NodeContext,
+        call: ElectionCall,
+        response: StoreResponse,
+    ) {
         self.in_flight = false;
         match call {
             ElectionCall::OpenLease => self.on_lease_opened(context, &response),
--- a/src/core/common/feasibility.rs
+++ b/src/core/common/feasibility.rs
@@ -6,7 +6,7 @@
 
 /// Why a job could never run; users are told.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
-pub enum Infeasible {
+pub(crate) enum Infeasible {
     /// No such team.
     #[error("unknown team {0}")]
     UnknownTeam(String),
@@ -19,7 +19,7 @@
 }
 
 /// Whether the job could ever run; if not, why.
-pub fn can_run(context: &NodeContext, spec: &JobSpec) -> Result<(), Infeasible> {
+pub(crate) fn can_run(context: &NodeContext, spec: &JobSpec) -> Result<(), Infeasible> {
     let team = context.platform.cluster.teams.iter().find(|team| team.name == spec.team);
     let team = team.ok_or_else(|| Infeasible::UnknownTeam(spec.team.clone()))?;
     if spec.cpus > team.cpus_max || spec.gpus > team.gpus_max {
--- a/src/core/common/lookups.rs
+++ b/src/core/common/lookups.rs
@@ -17,11 +17,11 @@
 
 /// The read of one job's record, by the job's index.
 #[derive(Debug, Clone, Copy)]
-pub struct LookupCall(pub JobIndex);
+pub(crate) struct LookupCall(pub JobIndex);
 
 /// Reads of single records on their way.
 #[derive(Debug, Default)]
-pub struct Lookups {
+pub(crate) struct Lookups {
     in_flight: FxHashSet<JobIndex>,
     retry_at: Ms,
 }
@@ -29,7 +29,7 @@
 impl Lookups {
     /// Begins the reads that are due. A full read of the records may bring them
     /// all, so it comes first.
-    pub fn poll(&mut self, context: &mut NodeContext) {
+    pub(crate) fn poll(&mut self, context: &mut NodeContext) {
         if context.jobs.watched_revision().is_none() || context.clock.now() < self.retry_at {
             return;
         }
@@ -46,7 +46,12 @@
     }
 
     /// Takes in the answer to a read.
-    pub fn on_result(&mut self, context: &mut NodeContext, call: LookupCall, result: StoreResponse) {
+    pub(crate) fn on_result(
+        &mut self,
+        context: &mut NodeContext,
+        call: LookupCall,
+        result: StoreResponse,
+    ) {
         let LookupCall(index) = call;
         self.in_flight.remove(&index);
         let item = match result {
--- a/src/core/common/watch_cache.rs
+++ b/src/core/common/watch_cache.rs
@@ -24,7 +24,7 @@
 
 /// A call of the cache to the store.
 #[derive(Debug)]
-pub enum WatchCacheCall {
+pub(crate) enum WatchCacheCall {
     /// The next page of a full read.
     Page(FullRead),
     /// A watch from this revision on.
@@ -36,7 +36,7 @@
 
 /// A full read under way.
 #[derive(Debug)]
-pub struct FullRead {
+pub(crate) struct FullRead {
     /// When the call for its first page was sent.
     first_sent_at: Ms,
     /// Revision of its first page. Changes made while we page are seen again by the
@@ -50,7 +50,7 @@
 
 /// The read or watch under way.
 #[derive(Debug, Default)]
-pub struct WatchCache {
+pub(crate) struct WatchCache {
     /// Revision that the watch goes on from; none: read everything again.
     watched_revision: Option<u64>,
     in_flight: bool,
@@ -59,7 +59,7 @@
 
 impl WatchCache {
     /// Begins the next read or watch.
-    pub fn poll(&mut self, context: &mut NodeContext) {
+    pub(crate) fn poll(&mut self, context: &mut NodeContext) {
         if self.in_flight || context.clock.now() < self.retry_at {
             return;
         }
@@ -79,7 +79,7 @@
     }
 
     /// Takes in the response to a call that was sent at this time.
-    pub fn on_result(
+    pub(crate) fn on_result(
         &mut self,
         context: &mut NodeContext,
         call: WatchCacheCall,
--- a/src/core/leader/attempts.rs
+++ b/src/core/leader/attempts.rs
@@ -15,7 +15,7 @@
 
 /// One attempt at a task, as the leader knows it.
 #[derive(Debug)]
-pub struct Attempt {
+pub(crate) struct Attempt {
     /// The job.
     pub job: JobIndex,
     /// Number of the task within the job.
@@ -43,7 +43,7 @@
 
 impl Attempt {
     /// Whether it takes, or may take, capacity of its machine and quota of its team.
-    pub fn occupies_capacity(&self) -> bool {
+    pub(crate) fn occupies_capacity(&self) -> bool {
         matches!(
             self.state,
             ReportedPhase::Bound
@@ -55,7 +55,7 @@
 
     /// Marks it as no longer wanted. The shard owner learns of that with its next desired
     /// state.
-    pub fn stop(&mut self, shards: &mut [ShardAssignment]) {
+    pub(crate) fn stop(&mut self, shards: &mut [ShardAssignment]) {
         self.is_wanted = false;
         shards[self.shard.place()].dirty = true;
     }
@@ -63,7 +63,7 @@
 
 /// All attempts that the leader knows, by their ids.
 #[derive(Debug, Default)]
-pub struct Attempts {
+pub(crate) struct Attempts {
     by_id: FxHashMap<AttemptId, Attempt>,
     /// Index of (job, task, id of the attempt).
     by_task: BTreeSet<(JobIndex, u32, AttemptId)>,
@@ -71,70 +71,70 @@
 
 impl Attempts {
     /// Adds an attempt.
-    pub fn insert(&mut self, id: AttemptId, attempt: Attempt) {
+    pub(crate) fn insert(&mut self, id: AttemptId, attempt: Attempt) {
         self.by_task.insert((attempt.job, attempt.task, id));
         self.by_id.insert(id, attempt);
     }
 
     /// Removes an attempt and returns it.
-    pub fn remove(&mut self, id: AttemptId) -> Option<Attempt> {
+    pub(crate) fn remove(&mut self, id: AttemptId) -> Option<Attempt> {
         let attempt = self.by_id.remove(&id)?;
         self.by_task.remove(&(attempt.job, attempt.task, id));
         Some(attempt)
     }
 
     /// The attempt with this id.
-    pub fn get(&self, id: AttemptId) -> Option<&Attempt> {
+    pub(crate) fn get(&self, id: AttemptId) -> Option<&Attempt> {
         self.by_id.get(&id)
     }
 
     /// The attempt with this id, to be changed. Its job and task must stay.
-    pub fn get_mut(&mut self, id: AttemptId) -> Option<&mut Attempt> {
+    pub(crate) fn get_mut(&mut self, id: AttemptId) -> Option<&mut Attempt> {
         self.by_id.get_mut(&id)
     }
 
     /// Whether an attempt is known.
-    pub fn contains(&self, id: AttemptId) -> bool {
+    pub(crate) fn contains(&self, id: AttemptId) -> bool {
         self.by_id.contains_key(&id)
     }
 
     /// Number of attempts.
-    pub fn len(&self) -> usize {
+    pub(crate) fn len(&self) -> usize {
         self.by_id.len()
     }
 
     /// All attempts.
-    pub fn values(&self) -> impl Iterator<Item = &Attempt> {
+    pub(crate) fn values(&self) -> impl Iterator<Item = &Attempt> {
         self.by_id.values()
     }
 
     /// All attempts, to be changed. Their jobs and tasks must stay.
-    pub fn values_mut(&mut self) -> impl Iterator<Item = &mut Attempt> {
+    pub(crate) fn values_mut(&mut self) -> impl Iterator<Item = &mut Attempt> {
         self.by_id.values_mut()
     }
 
     /// All attempts with their ids.
-    pub fn iter(&self) -> impl Iterator<Item = (AttemptId, &Attempt)> {
+    pub(crate) fn iter(&self) -> impl Iterator<Item = (AttemptId, &Attempt)> {
         self.by_id.iter().map(|(id, attempt)| (*id, attempt))
     }
 
     /// All attempts with their ids, to be changed. Their jobs and tasks must stay.
-    pub fn iter_mut(&mut self) -> impl Iterator<Item = (AttemptId, &mut Attempt)> {
+    pub(crate) fn iter_mut(&mut self) -> impl Iterator<Item = (AttemptId, &mut Attempt)> {
         self.by_id.iter_mut().map(|(id, attempt)| (*id, attempt))
     }
 
     /// Whether any attempt at a task is known.
-    pub fn has_task(&self, job: JobIndex, task: u32) -> bool {
+    pub(crate) fn has_task(&self, job: JobIndex, task: u32) -> bool {
         self.by_task.range((job, task, AttemptId::MIN)..=(job, task, AttemptId::MAX)).next().is_some()
     }
 
     /// Whether any attempt at a task of a job is known.
-    pub fn has_job(&self, job: JobIndex) -> bool {
+    pub(crate) fn has_job(&self, job: JobIndex) -> bool {
         self.by_task.range((job, 0, AttemptId::MIN)..=(job, u32::MAX, AttemptId::MAX)).next().is_some()
     }
 
     /// Ids of the attempts at all tasks of a job.
-    pub fn ids_of_job(&self, job: JobIndex) -> Vec<AttemptId> {
+    pub(crate) fn ids_of_job(&self, job: JobIndex) -> Vec<AttemptId> {
         self.by_task
             .range((job, 0, AttemptId::MIN)..=(job, u32::MAX, AttemptId::MAX))
             .map(|(_, _, id)| *id)
@@ -142,7 +142,7 @@
     }
 
     /// Removes attempts at tasks that have a newer one.
-    pub fn drop_superseded(&mut self) {
+    pub(crate) fn drop_superseded(&mut self) {
         let by_task = self.by_task.iter();
         let attempts: Vec<TaskAttempt<JobIndex>> =
             by_task.map(|&(job, task, id)| TaskAttempt { job, task, attempt: id.number() }).collect();
--- a/src/core/leader/cascading_cancellation.rs
+++ b/src/core/leader/cascading_cancellation.rs
@@ -29,7 +29,7 @@
 
 /// Cancellations that the leader has still to write.
 #[derive(Debug, Default)]
-pub struct CascadingCancellations {
+pub(super) struct CascadingCancellations {
     pending: BTreeSet<JobIndex>,
     write: WriteState,
 }
--- a/src/core/leader/cells/mod.rs
+++ b/src/core/leader/cells/mod.rs
@@ -22,7 +22,7 @@
 mod offers;
 mod record_writes;
 
-pub use record_writes::CellCall;
+pub(super) use record_writes::CellCall;
 
 use super::Leader;
 use super::live_jobs::LiveJob;
@@ -50,7 +50,7 @@
 const RECORD_SLACK: usize = 256;
 
 /// What the leader knows of other cells and of the jobs that move between them.
-pub struct Cells {
+pub(super) struct Cells {
     neighbors: BTreeMap<String, Neighbor>,
     /// Rate limit for the first records of other cells' jobs and for forwardings.
     write_limit: TokenBucket,
@@ -86,7 +86,7 @@
 
 impl Cells {
     /// Nothing is known yet. If load is not shared there are no other cells.
-    pub fn new(context: &NodeContext) -> Cells {
+    pub(super) fn new(context: &NodeContext) -> Cells {
         let now = context.clock.now();
         let settings = &context.operator.cells;
         let rate = context.platform.cluster.state.write_rps * WRITE_SHARE;
@@ -162,7 +162,7 @@
     }
 
     /// Takes in the message of another cell.
-    pub fn on_cell_message(&mut self, context: &mut NodeContext, message: CellMessage) {
+    pub(crate) fn on_cell_message(&mut self, context: &mut NodeContext, message: CellMessage) {
         // Its own jobs are not known yet; the next message comes soon.
         if !self.is_active {
             return;
--- a/src/core/leader/cells/record_writes.rs
+++ b/src/core/leader/cells/record_writes.rs
@@ -19,7 +19,7 @@
 
 /// What a call to the key-value store was for.
 #[derive(Debug)]
-pub enum CellCall {
+pub(crate) enum CellCall {
     /// A job of this cell begins to be forwarded.
     Forward {
         /// The job.
@@ -45,7 +45,7 @@
 
 /// A change of the record of a job that moves.
 #[derive(Debug)]
-pub struct RecordChange {
+pub(crate) struct RecordChange {
     /// The job.
     pub(super) job: JobIndex,
     /// Its new record.
--- a/src/core/leader/fleet/cloud_calls/mod.rs
+++ b/src/core/leader/fleet/cloud_calls/mod.rs
@@ -109,7 +109,12 @@
     }
 
     /// Takes in the result of a call to the cloud.
-    pub fn on_cloud_response(&mut self, context: &mut NodeContext, call: u64, result: CloudResponse) {
+    pub(crate) fn on_cloud_response(
+        &mut self,
+        context: &mut NodeContext,
+        call: u64,
+        result: CloudResponse,
+    ) {
         let Some(purpose) = self.fleet.cloud.in_flight.remove(&call) else { return };
         if let CloudResponse::NotExecuted = result {
             let pause = context.jitter(NOT_EXECUTED_PAUSE_MS);
--- a/src/core/leader/fleet/directives.rs
+++ b/src/core/leader/fleet/directives.rs
@@ -7,7 +7,7 @@
 
 /// What the leader wants of the machines of a shard.
 #[derive(Debug, Clone, Default)]
-pub struct MachineDirectives {
+pub(crate) struct MachineDirectives {
     /// Machines that get no new tasks until they are drained.
     pub cordoned: Vec<String>,
     /// Machines to be made ready for their termination.
@@ -18,7 +18,7 @@
 
 impl Fleet {
     /// The directives for all shards, in their order.
-    pub fn directives(&self, context: &NodeContext) -> Vec<MachineDirectives> {
+    pub(crate) fn directives(&self, context: &NodeContext) -> Vec<MachineDirectives> {
         let mut directives = vec![MachineDirectives::default(); context.shards.len()];
         for instance in self.machines.values() {
             let Some(of_shard) = directives.get_mut(instance.shard.place()) else { continue };
--- a/src/core/leader/fleet/instance.rs
+++ b/src/core/leader/fleet/instance.rs
@@ -24,7 +24,7 @@
 
 /// How far an instance is, in the order of its life.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum InstancePhase {
+pub(crate) enum InstancePhase {
     /// Requested or listed; none of its heartbeats has been reported yet.
     Booting,
     /// Up: it may get tasks.
@@ -39,7 +39,7 @@
 
 /// An instance of the fleet.
 #[derive(Debug)]
-pub struct Instance {
+pub(crate) struct Instance {
     /// Its name at the cloud.
     pub name: String,
     /// Index of its machine type.
@@ -138,7 +138,7 @@
     }
 
     /// Whether new tasks may be bound to it now.
-    pub fn takes_tasks(&self, context: &NodeContext) -> bool {
+    pub(crate) fn takes_tasks(&self, context: &NodeContext) -> bool {
         let now = context.clock.now();
         self.phase == InstancePhase::Ready
             && !self.cordoned
--- a/src/core/leader/fleet/mod.rs
+++ b/src/core/leader/fleet/mod.rs
@@ -20,9 +20,9 @@
 mod scale_out_requests;
 mod window_rule;
 
-pub use instance::InstancePhase;
+pub(super) use instance::InstancePhase;
 pub(in crate::core::leader) use offer::InstanceKind;
-pub use offer::{InstanceOffer, machine_type_label};
+pub(super) use offer::{InstanceOffer, machine_type_label};
 
 use super::Leader;
 use super::forecast::History;
@@ -79,7 +79,7 @@
 }
 
 /// The leader's view of the fleet, and what it has under way at the cloud.
-pub struct Fleet {
+pub(crate) struct Fleet {
     /// The instances that exist, as far as is known.
     pub machines: NamedTable<InstanceIndex, Instance>,
     /// Terminated instances; late lists and heartbeats must not bring them back.
@@ -101,7 +101,7 @@
 
 impl Fleet {
     /// A fleet of which nothing is known yet.
-    pub fn new(context: &NodeContext) -> Fleet {
+    pub(crate) fn new(context: &NodeContext) -> Fleet {
         Fleet {
             machines: NamedTable::default(),
             terminated: RecentNames::new(context.terminated_names_kept()),
@@ -116,12 +116,12 @@
     }
 
     /// A first leader has no predecessor whose requests could still show up.
-    pub fn start_without_predecessor(&mut self, context: &NodeContext) {
+    pub(crate) fn start_without_predecessor(&mut self, context: &NodeContext) {
         self.predecessor_settled_at = Some(context.clock.now());
     }
 
     /// Goes on with the window that began at `at_ms`, a time of day, under a former leader.
-    pub fn resume(&mut self, context: &NodeContext, at_ms: u64, history: History) {
+    pub(crate) fn resume(&mut self, context: &NodeContext, at_ms: u64, history: History) {
         let now = context.clock.now();
         let age = context.clock.wall().saturating_sub(at_ms);
         self.window.resume(now.saturating_sub(age), history);
@@ -130,12 +130,12 @@
     }
 
     /// The write of the window's record has ended, with whatever result.
-    pub fn on_window_record_written(&mut self) {
+    pub(crate) fn on_window_record_written(&mut self) {
         self.window.on_record_written();
     }
 
     /// The write of the catalog's record has ended. If it failed the catalog is read again.
-    pub fn catalog_saved(&mut self, now: Ms, ok: bool) {
+    pub(crate) fn catalog_saved(&mut self, now: Ms, ok: bool) {
         if !ok {
             self.cloud.catalog.on_save_failed(now);
         }
@@ -143,7 +143,7 @@
 
     /// The index of an instance, which is added if it is new. [`NO_INSTANCE`] if it was
     /// terminated, or if its type or zone is not known.
-    pub fn find_or_add(
+    pub(crate) fn find_or_add(
         &mut self,
         context: &NodeContext,
         name: &str,
@@ -170,7 +170,7 @@
 
     /// Takes in what a shard owner says of a machine. Returns its index, see
     /// [`Fleet::find_or_add`].
-    pub fn on_reported_machine(
+    pub(crate) fn on_reported_machine(
         &mut self,
         context: &NodeContext,
         reported: &ReportedMachine,
@@ -185,7 +185,7 @@
     }
 
     /// A task has succeeded on a machine, so earlier failures there say nothing of it.
-    pub fn on_task_succeeded(&mut self, machine: InstanceIndex) {
+    pub(crate) fn on_task_succeeded(&mut self, machine: InstanceIndex) {
         if let Some(instance) = self.machines.get_mut(machine) {
             instance.on_task_succeeded();
         }
@@ -193,7 +193,7 @@
 
     /// A task of a job that has succeeded nowhere else has failed on a machine: the machine is
     /// quarantined, for longer if tasks of several jobs failed on it in a row.
-    pub fn on_task_failed(&mut self, now: Ms, machine: InstanceIndex, job: JobIndex) {
+    pub(crate) fn on_task_failed(&mut self, now: Ms, machine: InstanceIndex, job: JobIndex) {
         if let Some(instance) = self.machines.get_mut(machine) {
             instance.on_task_failed(job, now);
         }
@@ -239,7 +239,7 @@
 
 impl Leader {
     /// Does what is due: cloud calls, health checks, scale-out and scale-in.
-    pub fn poll_fleet(&mut self, context: &mut NodeContext) {
+    pub(crate) fn poll_fleet(&mut self, context: &mut NodeContext) {
         self.send_due_cloud_call(context);
         let now = context.clock.now();
         if context.machine_types.is_empty() || !self.fleet.timers.poll.is_due(now) {
--- a/src/core/leader/fleet/offer.rs
+++ b/src/core/leader/fleet/offer.rs
@@ -6,7 +6,7 @@
 /// What one scale-out request can ask for: spot or on-demand instances of a machine type in
 /// one zone.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct InstanceOffer {
+pub(crate) struct InstanceOffer {
     /// Index of the machine type.
     pub machine_type: usize,
     /// The zone.
@@ -48,7 +48,7 @@
 
 /// The name of a machine type, with `+spot` for spot instances. It is a key of the fleet's
 /// record and must stay as it is. `?` stands for a type that is not known.
-pub fn machine_type_label(context: &NodeContext, machine_type: usize, is_spot: bool) -> String {
+pub(crate) fn machine_type_label(context: &NodeContext, machine_type: usize, is_spot: bool) -> String {
     let name = context.machine_types.get(machine_type).map_or("?", |t| t.name.as_str());
     format!("{name}{}", if is_spot { "+spot" } else { "" })
 }
--- a/src/core/leader/free_capacity.rs
+++ b/src/core/leader/free_capacity.rs
@@ -8,14 +8,14 @@
 use super::fleet::{InstanceOffer, InstancePhase};
 use super::zones::ZoneConstraints;
 use crate::core::common::context::NodeContext;
-use crate::core::common::placement::{allowed, fit_score};
+use crate::core::common::placement::{PlacementOption, allowed};
 use crate::model::{InstanceIndex, JobSpec, Resources, ShardIndex};
 use rustc_hash::FxHashMap;
 
 /// Machines that no job can tell apart: of the same type, in the same zone, and all spot
 /// instances or all on-demand instances.
 #[derive(Debug, Clone)]
-pub struct MachineClass {
+pub(super) struct MachineClass {
     /// Index of the machine type in the catalog.
     pub machine_type: usize,
     /// Zone of the machines.
@@ -32,7 +32,7 @@
 
 /// An instance of the fleet and the shard that it belongs to.
 #[derive(Debug, Clone, Copy)]
-pub struct InstanceLocation {
+pub(super) struct InstanceLocation {
     /// The instance.
     pub instance: InstanceIndex,
     /// Its shard.
@@ -41,7 +41,7 @@
 
 /// One machine and what is free on it, as far as the leader knows.
 #[derive(Debug, Clone)]
-pub struct FreeMachine {
+pub(super) struct FreeMachine {
     /// The instance; `None` for a machine that is only requested or planned.
     pub location: Option<InstanceLocation>,
     /// Index of its class in [`FreeCapacity::classes`].
@@ -55,7 +55,7 @@
 /// With thousands of full machines most jobs fit nowhere, so each class keeps a bound by
 /// which a job skips all of its machines at once.
 #[derive(Debug, Clone, Default)]
-pub struct FreeCapacity {
+pub(super) struct FreeCapacity {
     /// The machine classes.
     pub classes: Vec<MachineClass>,
     /// The machines of all classes.
@@ -65,7 +65,7 @@
 impl FreeCapacity {
     /// Index of the class of machines of a type, zone and kind; added if it is new. `total`
     /// is the capacity of one such machine.
-    pub fn class_index(
+    pub(super) fn class_index(
         &mut self,
         machine_type: usize,
         zone: &str,
@@ -89,12 +89,12 @@
     }
 
     /// Adds an instance of the fleet to a class.
-    pub fn add_instance(&mut self, class: usize, location: InstanceLocation, free: Resources) {
+    pub(super) fn add_instance(&mut self, class: usize, location: InstanceLocation, free: Resources) {
         self.add(FreeMachine { location: Some(location), class, free });
     }
 
     /// Adds an empty machine that is only requested or planned; its index.
-    pub fn add_future_machine(&mut self, class: usize) -> usize {
+    pub(super) fn add_future_machine(&mut self, class: usize) -> usize {
         let free = self.classes[class].total;
         self.add(FreeMachine { location: None, class, free })
     }
@@ -109,7 +109,7 @@
     }
 
     /// Machines that one task fits on, among the classes that `accepts` holds for.
-    pub fn machines_fitting(
+    pub(super) fn machines_fitting(
         &mut self,
         demand: &Resources,
         accepts: impl Fn(&MachineClass) -> bool,
@@ -132,13 +132,13 @@
     }
 
     /// The class of a machine.
-    pub fn class_of(&self, machine: usize) -> &MachineClass {
+    pub(super) fn class_of(&self, machine: usize) -> &MachineClass {
         &self.classes[self.machines[machine].class]
     }
 
     /// Places up to `count` tasks on a machine, as many as fit and as the zones allow, and
     /// counts them in both; the number of tasks placed.
-    pub fn pack(
+    pub(super) fn pack(
         &mut self,
         machine: usize,
         demand: &Resources,
@@ -157,7 +157,7 @@
     }
 
     /// For each class, whether a job may use its machines, and in zones that are allowed.
-    pub fn usable_classes(
+    pub(super) fn usable_classes(
         &self,
         context: &NodeContext,
         spec: &JobSpec,
@@ -170,7 +170,12 @@
 
     /// Withholds the machine with the most free capacity among those that a job may use, so
     /// that smaller tasks don't refill it before a task of the job fits.
-    pub fn reserve_for(&mut self, context: &NodeContext, spec: &JobSpec, zones: &ZoneConstraints) {
+    pub(super) fn reserve_for(
+        &mut self,
+        context: &NodeContext,
+        spec: &JobSpec,
+        zones: &ZoneConstraints,
+    ) {
         let is_class_usable = self.usable_classes(context, spec, zones);
         let used_share = |machine: &FreeMachine| {
             1.0 - machine.free.dominant_share(&self.classes[machine.class].total)
@@ -186,14 +191,14 @@
 
 /// Whether tasks of a job may be placed on machines of a class: its constraints allow them,
 /// and one task fits on an empty machine.
-pub fn may_use(context: &NodeContext, spec: &JobSpec, class: &MachineClass) -> bool {
+pub(super) fn may_use(context: &NodeContext, spec: &JobSpec, class: &MachineClass) -> bool {
     let machine_type = context.machine_types.get(class.machine_type);
     machine_type.is_some_and(|known| allowed(spec, &known.name, &class.zone, class.is_spot))
         && spec.demand().fits_within(&class.total)
 }
 
 /// Machines that one task of a job fits on, the best fit first.
-pub fn best_fit_machines(
+pub(super) fn best_fit_machines(
     context: &NodeContext,
     free_capacity: &mut FreeCapacity,
     spec: &JobSpec,
@@ -202,10 +207,13 @@
     let fitting = free_capacity.machines_fitting(&demand, |class| may_use(context, spec, class));
     let score = |index: usize| {
         let class = free_capacity.class_of(index);
-        let wastes_on_demand = spec.spot && !class.is_spot;
-        let free = &free_capacity.machines[index].free;
-        fit_score(&demand, free, &class.total, wastes_on_demand, true)
-            + context.machine_types.scarcity_penalty(class.machine_type)
+        let option = PlacementOption {
+            free: &free_capacity.machines[index].free,
+            capacity: &class.total,
+            wastes_on_demand: spec.spot && !class.is_spot,
+            has_image: true,
+        };
+        option.fit_score(&demand) + context.machine_types.scarcity_penalty(class.machine_type)
     };
     let mut scored: Vec<(f64, usize)> = fitting.into_iter().map(|index| (score(index), index)).collect();
     scored.sort_by(|(left, _), (right, _)| left.total_cmp(right));
--- a/src/core/leader/inherited_urgency.rs
+++ b/src/core/leader/inherited_urgency.rs
@@ -18,7 +18,7 @@
 
 /// Priority and deadline of a job, those of its dependents included.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct InheritedUrgency {
+pub(super) struct InheritedUrgency {
     /// The highest priority among the job and its dependents.
     pub priority: Priority,
     /// Time of day, in seconds, by which the job has to be done so that it and all its
--- a/src/core/leader/live_jobs.rs
+++ b/src/core/leader/live_jobs.rs
@@ -21,7 +21,7 @@
 
 /// Which cell runs a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum JobLocation {
+pub(super) enum JobLocation {
     /// This cell, which the job belongs to.
     Local,
     /// Another cell.
@@ -38,7 +38,7 @@
 
 /// A job that is live and whose dependencies are all done.
 #[derive(Debug)]
-pub struct LiveJob {
+pub(super) struct LiveJob {
     /// The job as it was submitted.
     pub spec: Arc<JobSpec>,
     /// Index of its team in the settings.
@@ -95,27 +95,27 @@
     }
 
     /// Whether all tasks are done.
-    pub fn is_complete(&self) -> bool {
+    pub(super) fn is_complete(&self) -> bool {
         self.done.len() == self.spec.tasks
     }
 
     /// Seconds since the job could be started, at a time of day in milliseconds.
-    pub fn age_s(&self, wall_ms: u64) -> f64 {
+    pub(super) fn age_s(&self, wall_ms: u64) -> f64 {
         wall_ms.saturating_sub(self.ready_at_ms) as f64 / 1000.0
     }
 
     /// Whether only another cell may run it.
-    pub fn is_away(&self) -> bool {
+    pub(super) fn is_away(&self) -> bool {
         matches!(self.location, JobLocation::Away { .. })
     }
 
     /// Whether it belongs to another cell.
-    pub fn is_hosted(&self) -> bool {
+    pub(super) fn is_hosted(&self) -> bool {
         matches!(self.location, JobLocation::Hosted { .. })
     }
 
     /// Whether its tasks may be admitted here, as far as other cells are concerned.
-    pub fn is_schedulable(&self) -> bool {
+    pub(super) fn is_schedulable(&self) -> bool {
         matches!(self.location, JobLocation::Local | JobLocation::Hosted { is_listed: true })
     }
 
@@ -186,7 +186,7 @@
     }
 
     /// The next task that needs an attempt.
-    pub fn next_task(&mut self) -> Option<u32> {
+    pub(super) fn next_task(&mut self) -> Option<u32> {
         while let Some(&task) = self.retries.last() {
             if !self.done.contains(task) {
                 return Some(task);
@@ -203,7 +203,7 @@
     }
 
     /// Takes the task that [`LiveJob::next_task`] returns.
-    pub fn admit_next_task(&mut self) -> Option<u32> {
+    pub(super) fn admit_next_task(&mut self) -> Option<u32> {
         let task = self.next_task()?;
         if self.retries.last() == Some(&task) {
             self.retries.pop();
@@ -232,7 +232,7 @@
     }
 
     /// Number of tasks that need an attempt, counted up to `most`.
-    pub fn waiting(&self, most: u32) -> u32 {
+    pub(super) fn waiting(&self, most: u32) -> u32 {
         let mut waiting = self.retries.iter().filter(|task| !self.done.contains(**task)).count() as u32;
         let mut task = self.next_new_task;
         while waiting < most && task < self.spec.tasks {
--- a/src/core/leader/mod.rs
+++ b/src/core/leader/mod.rs
@@ -66,7 +66,7 @@
 
 /// What a call of the leader to the store is for.
 #[derive(Debug)]
-pub enum LeaderCall {
+pub(crate) enum LeaderCall {
     /// Read records at the start of the term.
     Load(RecordKind),
     /// Write the owner of a shard.
@@ -108,7 +108,7 @@
 
 /// `fleet`: what leaders hand on to each other, written once per window.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
-pub struct FleetRecord {
+pub(super) struct FleetRecord {
     /// Time of day at which the window began.
     #[serde(rename = "at", default)]
     pub at_ms: u64,
@@ -124,7 +124,7 @@
 }
 
 /// The leader, for as long as this node's term lasts.
-pub struct Leader {
+pub(super) struct Leader {
     /// Number of the term.
     pub term: Term,
     /// When the term began for this process.
@@ -177,7 +177,7 @@
 
 impl Leader {
     /// A leader whose term begins now.
-    pub fn new(context: &mut NodeContext, term: Term) -> Leader {
+    pub(super) fn new(context: &mut NodeContext, term: Term) -> Leader {
         Leader {
             term,
             term_started_at: context.clock.now(),
@@ -212,7 +212,7 @@
     }
 
     /// Does the periodic work that is due.
-    pub fn poll(&mut self, context: &mut NodeContext) {
+    pub(super) fn poll(&mut self, context: &mut NodeContext) {
         if !self.is_active {
             self.load(context);
             if !self.is_active {
@@ -251,7 +251,12 @@
     }
 
     /// Takes in the response to a call to the store.
-    pub fn on_result(&mut self, context: &mut NodeContext, call: LeaderCall, response: StoreResponse) {
+    pub(super) fn on_result(
+        &mut self,
+        context: &mut NodeContext,
+        call: LeaderCall,
+        response: StoreResponse,
+    ) {
         match call {
             LeaderCall::Load(kind) => self.on_load(context, kind, response),
             LeaderCall::AssignShard { shard } => self.on_shard_assigned(context, shard),
--- a/src/core/leader/quota.rs
+++ b/src/core/leader/quota.rs
@@ -23,7 +23,7 @@
 
 /// How many more tasks of this demand the team's quota allows, given what the team uses. A
 /// quota of 0 allows none. Memory has no quota.
-pub fn quota_tasks(team: &Team, used: &Resources, demand: &Resources) -> u32 {
+pub(super) fn quota_tasks(team: &Team, used: &Resources, demand: &Resources) -> u32 {
     let remaining =
         Resources { cpus: team.cpus_max - used.cpus, gpus: team.gpus_max - used.gpus, mem: f64::MAX };
     demand.count_fitting(&remaining)
--- a/src/core/leader/rebuild.rs
+++ b/src/core/leader/rebuild.rs
@@ -25,7 +25,7 @@
 
 /// The records that a new leader reads.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum RecordKind {
+pub(crate) enum RecordKind {
     /// Where attempts have been placed, by shard.
     Placements,
     /// Which tasks of live jobs are done.
@@ -49,7 +49,7 @@
 
 /// How far the records of all kinds have been read.
 #[derive(Debug, Default)]
-pub struct RecordLoading {
+pub(super) struct RecordLoading {
     placements: LoadState,
     progress: LoadState,
     fleet: LoadState,
@@ -130,7 +130,7 @@
             }
             // No window has ever begun: there is no fleet to wait for.
             (RecordKind::Fleet, StoreResponse::NotFound) => {
-                self.fleet.start_without_predecessor(context)
+                self.fleet.start_without_predecessor(context);
             }
             _ => {
                 *self.loading.state_mut(kind) = LoadState::Due;
--- a/src/core/leader/reconciliation.rs
+++ b/src/core/leader/reconciliation.rs
@@ -41,7 +41,12 @@
 impl Leader {
     /// Takes in a state that a shard owner reports. Ignored if it is meant for another term, or
     /// if the sender is not the owner with the present fencing token.
-    pub fn on_reported_state(&mut self, context: &mut NodeContext, from: &str, reported: ReportedState) {
+    pub(crate) fn on_reported_state(
+        &mut self,
+        context: &mut NodeContext,
+        from: &str,
+        reported: ReportedState,
+    ) {
         let shard = ShardIndex::new(reported.shard);
         if !self.accepts_reported_state(context, from, &reported) {
             return;
--- a/src/core/leader/run_times.rs
+++ b/src/core/leader/run_times.rs
@@ -16,13 +16,13 @@
 const LEARNING_RATE: f64 = 0.03;
 
 /// Expected run time of a job's tasks, in seconds.
-pub fn expected_run_s(ratios: &BTreeMap<String, f64>, spec: &JobSpec) -> f64 {
+pub(super) fn expected_run_s(ratios: &BTreeMap<String, f64>, spec: &JobSpec) -> f64 {
     spec.estimate_s * ratios.get(&spec.class).copied().unwrap_or(UNKNOWN_RATIO)
 }
 
 /// Takes in that a task of a job has succeeded after a run of this length. Tasks without an
 /// estimate, or whose run time is not known, teach nothing.
-pub fn learn_run_time(ratios: &mut BTreeMap<String, f64>, spec: &JobSpec, ran_ms: Ms) {
+pub(super) fn learn_run_time(ratios: &mut BTreeMap<String, f64>, spec: &JobSpec, ran_ms: Ms) {
     if ran_ms == 0 || spec.estimate_s <= 0.0 {
         return;
     }
--- a/src/core/leader/scale_out_plan.rs
+++ b/src/core/leader/scale_out_plan.rs
@@ -10,7 +10,7 @@
 
 /// Machines to be requested, by offer.
 #[derive(Debug, Default)]
-pub struct ScaleOutPlan {
+pub(super) struct ScaleOutPlan {
     machines: BTreeMap<InstanceOffer, u32>,
 }
 
@@ -21,35 +21,35 @@
     }
 
     /// Whether nothing is to be requested.
-    pub fn is_empty(&self) -> bool {
+    pub(super) fn is_empty(&self) -> bool {
         self.machines.is_empty()
     }
 
     /// Number of machines in all.
-    pub fn machines(&self) -> u32 {
+    pub(super) fn machines(&self) -> u32 {
         self.machines.values().sum()
     }
 
     /// Number of machines of one kind.
-    pub fn machines_of(&self, kind: InstanceKind) -> u32 {
+    pub(super) fn machines_of(&self, kind: InstanceKind) -> u32 {
         let of_kind = self.iter().filter(|(offer, _)| offer.kind() == kind);
         of_kind.map(|(_, count)| count).sum()
     }
 
     /// The offers with their numbers of machines.
-    pub fn iter(&self) -> impl Iterator<Item = (&InstanceOffer, u32)> {
+    pub(super) fn iter(&self) -> impl Iterator<Item = (&InstanceOffer, u32)> {
         self.machines.iter().map(|(offer, count)| (offer, *count))
     }
 
     /// Takes one machine of a kind out of the plan.
-    pub fn take(&mut self, kind: InstanceKind) -> Option<InstanceOffer> {
+    pub(super) fn take(&mut self, kind: InstanceKind) -> Option<InstanceOffer> {
         let offer = self.machines.keys().find(|offer| offer.kind() == kind)?.clone();
         self.take_one(&offer);
         Some(offer)
     }
 
     /// Takes one machine of the first offer out of the plan.
-    pub fn take_first(&mut self) -> Option<InstanceOffer> {
+    pub(super) fn take_first(&mut self) -> Option<InstanceOffer> {
         let offer = self.machines.keys().next()?.clone();
         self.take_one(&offer);
         Some(offer)
--- a/src/core/leader/scheduling_cycle.rs
+++ b/src/core/leader/scheduling_cycle.rs
@@ -27,7 +27,7 @@
 
 /// A job with tasks that wait for capacity.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct WaitingJob {
+pub(crate) struct WaitingJob {
     /// The job.
     pub job: JobIndex,
     /// Number of the tasks that its team's quota allows.
--- a/src/core/leader/shards.rs
+++ b/src/core/leader/shards.rs
@@ -29,7 +29,7 @@
 
 /// An instance whose termination the cloud has confirmed.
 #[derive(Debug)]
-pub struct GoneInstance {
+pub(crate) struct GoneInstance {
     /// Its name.
     pub name: String,
     /// When the cloud confirmed it.
@@ -38,7 +38,7 @@
 
 /// What the leader knows of a shard, and what it has sent to the owner.
 #[derive(Debug)]
-pub struct ShardAssignment {
+pub(crate) struct ShardAssignment {
     /// Serial of the last desired state.
     pub(super) serial: u64,
     /// Whether the desired state has changed since it was last sent.
--- a/src/core/leader/write_state.rs
+++ b/src/core/leader/write_state.rs
@@ -5,29 +5,29 @@
 
 /// Keeps a kind of write to one at a time, with a pause after a failed one.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct WriteState {
+pub(super) struct WriteState {
     is_in_flight: bool,
     retry: Timer,
 }
 
 impl WriteState {
     /// Whether a write may start now: none is in flight, and the pause is over.
-    pub fn is_ready(&self, now: Ms) -> bool {
+    pub(super) fn is_ready(&self, now: Ms) -> bool {
         !self.is_in_flight && self.retry.is_due(now)
     }
 
     /// A write has been sent.
-    pub fn start(&mut self) {
+    pub(super) fn start(&mut self) {
         self.is_in_flight = true;
     }
 
     /// The write has been answered.
-    pub fn finish(&mut self) {
+    pub(super) fn finish(&mut self) {
         self.is_in_flight = false;
     }
 
     /// The write has been answered, and the next one must wait until a time.
-    pub fn finish_and_wait(&mut self, retry_at: Ms) {
+    pub(super) fn finish_and_wait(&mut self, retry_at: Ms) {
         self.is_in_flight = false;
         self.retry.set(retry_at);
     }
--- a/src/core/leader/zones.rs
+++ b/src/core/leader/zones.rs
@@ -9,7 +9,7 @@
 use rustc_hash::FxHashMap;
 
 /// In which zones further tasks of a job may be placed, given where its tasks are.
-pub struct ZoneConstraints {
+pub(super) struct ZoneConstraints {
     /// Whether all tasks must be in the same zone.
     is_one_zone: bool,
     /// How many tasks may be in one zone, if that is limited.
@@ -20,7 +20,7 @@
 
 impl ZoneConstraints {
     /// The constraints of a job, with all its attempts that are not done counted in.
-    pub fn for_job(
+    pub(super) fn for_job(
         context: &NodeContext,
         leader: &Leader,
         job: JobIndex,
@@ -50,14 +50,14 @@
     }
 
     /// Counts a task that is placed in a zone.
-    pub fn count_task(&mut self, zone: &str) {
+    pub(super) fn count_task(&mut self, zone: &str) {
         if self.is_constrained() {
             *self.tasks_by_zone.entry(zone.to_string()).or_default() += 1;
         }
     }
 
     /// Whether one more task may be placed in a zone.
-    pub fn allows(&self, zone: &str) -> bool {
+    pub(super) fn allows(&self, zone: &str) -> bool {
         let is_elsewhere = !self.tasks_by_zone.is_empty() && !self.tasks_by_zone.contains_key(zone);
         if self.is_one_zone && is_elsewhere {
             return false;
--- a/src/core/shard_owner/binding.rs
+++ b/src/core/shard_owner/binding.rs
@@ -118,12 +118,13 @@
 /// image and with little capacity left over come first, spot instances before others
 /// where they are allowed.
 fn score(context: &NodeContext, spec: &JobSpec, machine: &Machine, candidate: &CandidateMachine) -> f64 {
-    let capacity = &context.machine_types[candidate.machine_type].capacity;
-    let has_image = spec.image_gb <= 0.0 || machine.images.iter().any(|image| image.name == spec.image);
-    let wastes_ordinary = spec.spot && !machine.is_spot;
-    let demand = spec.demand();
-    let mut score =
-        placement::fit_score(&demand, &candidate.free_capacity, capacity, wastes_ordinary, has_image);
+    let option = placement::PlacementOption {
+        free: &candidate.free_capacity,
+        capacity: &context.machine_types[candidate.machine_type].capacity,
+        wastes_on_demand: spec.spot && !machine.is_spot,
+        has_image: spec.image_gb <= 0.0 || machine.images.iter().any(|image| image.name == spec.image),
+    };
+    let mut score = option.fit_score(&spec.demand());
     score += context.machine_types.scarcity_penalty(candidate.machine_type);
     // A machine with a parked heartbeat starts the task now, not with its next heartbeat.
     if machine.parked_heartbeat.is_none() {
--- a/src/core/shard_owner/desired_state.rs
+++ b/src/core/shard_owner/desired_state.rs
@@ -96,7 +96,7 @@
 impl ShardOwner {
     /// Takes in a desired state, unless it is out of date, or parks it until the jobs that
     /// it names are known.
-    pub fn on_desired_state(&mut self, context: &mut NodeContext, message: DesiredState) {
+    pub(crate) fn on_desired_state(&mut self, context: &mut NodeContext, message: DesiredState) {
         let Some(Some(shard)) = self.shards.get_mut(message.shard as usize) else { return };
         if !is_current(context, shard, &message) {
             return;
--- a/src/core/shard_owner/machine.rs
+++ b/src/core/shard_owner/machine.rs
@@ -10,7 +10,7 @@
 use woadlever_recovery::worker::WorkerLiveness;
 
 /// Machines of all shards that this node owns.
-pub type Machines = NamedTable<MachineIndex, Machine>;
+pub(super) type Machines = NamedTable<MachineIndex, Machine>;
 
 /// The machines of one shard.
 pub(super) fn machines_of(machines: &Machines, shard: ShardIndex) -> impl Iterator<Item = &Machine> {
@@ -34,7 +34,7 @@
 
 /// A machine of an owned shard.
 #[derive(Debug)]
-pub struct Machine {
+pub(crate) struct Machine {
     pub(super) name: String,
     /// Address for direct commands; empty until a heartbeat has told it.
     pub(super) address: String,
--- a/src/core/shard_owner/mod.rs
+++ b/src/core/shard_owner/mod.rs
@@ -57,7 +57,7 @@
 
 /// A call of the shard owner to the key-value store, to be known again by its response.
 #[derive(Debug)]
-pub enum ShardOwnerCall {
+pub(crate) enum ShardOwnerCall {
     /// Reads a page of a shard's placement records.
     Load {
         /// The shard.
@@ -79,7 +79,7 @@
 }
 
 /// The shards that this node owns, and their machines.
-pub struct ShardOwner {
+pub(super) struct ShardOwner {
     /// All shards by their index; none: owned by another node, or by nobody.
     shards: Vec<Option<OwnedShard>>,
     /// The machines of all owned shards.
@@ -93,7 +93,7 @@
 
 impl ShardOwner {
     /// The shard owner of a process that has just started: it owns no shard yet.
-    pub fn new(context: &NodeContext) -> ShardOwner {
+    pub(super) fn new(context: &NodeContext) -> ShardOwner {
         ShardOwner {
             shards: context.shards.iter().map(|_| None).collect(),
             machines: Machines::default(),
@@ -105,7 +105,7 @@
     }
 
     /// Does what is due by now.
-    pub fn poll(&mut self, context: &mut NodeContext) {
+    pub(super) fn poll(&mut self, context: &mut NodeContext) {
         self.follow_shard_records(context);
         for place in 0..self.shards.len() {
             self.start_due_load(context, ShardIndex::at(place));
@@ -191,7 +191,7 @@
     }
 
     /// Takes in the store's response to a call.
-    pub fn on_result(
+    pub(super) fn on_result(
         &mut self,
         context: &mut NodeContext,
         call: ShardOwnerCall,
--- a/src/core/shard_owner/placement_records/allocation.rs
+++ b/src/core/shard_owner/placement_records/allocation.rs
@@ -73,7 +73,7 @@
 /// Makes sure that the record which takes new attempts has capacity for one more. What
 /// stored records list though it is gone counts as free capacity, as their next write
 /// leaves it out.
-pub fn prepare_open_record(context: &NodeContext, shard: &mut OwnedShard, machines: &Machines) {
+pub(crate) fn prepare_open_record(context: &NodeContext, shard: &mut OwnedShard, machines: &Machines) {
     let limit = max_record_bytes(context);
     let spare = MAX_ATTEMPT_BYTES + 2 * USUAL_ROW_BYTES;
     let has_capacity =
@@ -103,7 +103,7 @@
 
 /// Reserves capacity for one more attempt on this machine: in the open record, or in any
 /// other that surely has it.
-pub fn reserve_attempt(
+pub(crate) fn reserve_attempt(
     context: &NodeContext,
     shard: &mut OwnedShard,
     machine: &mut Machine,
--- a/src/core/shard_owner/placement_records/layout.rs
+++ b/src/core/shard_owner/placement_records/layout.rs
@@ -45,7 +45,7 @@
 /// What a job's row takes, to the byte: an estimate would leave bound tasks waiting for
 /// capacity that is there. It is worked out once for an attempt, as it writes out three
 /// decimal numbers.
-pub fn job_row_bytes(name: &str, team: &str, demand: &Resources) -> usize {
+pub(crate) fn job_row_bytes(name: &str, team: &str, demand: &Resources) -> usize {
     let decimal_bytes = |number: f64| number.to_string().len() + DECIMAL_OVERHEAD_BYTES;
     let demand_bytes =
         decimal_bytes(demand.cpus) + decimal_bytes(demand.gpus) + decimal_bytes(demand.mem);
--- a/src/core/shard_owner/placement_records/mod.rs
+++ b/src/core/shard_owner/placement_records/mod.rs
@@ -48,7 +48,7 @@
 pub(super) use reread::on_reread_result;
 pub(super) use schedule::write_due_records;
 pub(super) use shard_records::ShardRecords;
-pub use write::RecordWrite;
+pub(super) use write::RecordWrite;
 pub(super) use write::on_write_result;
 
 /// Prefix of the keys of a shard's placement records.
--- a/src/core/shard_owner/placement_records/record.rs
+++ b/src/core/shard_owner/placement_records/record.rs
@@ -18,26 +18,26 @@
 
 /// Number of a placement record within its shard, as its key has it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct RecordIndex(u32);
+pub(crate) struct RecordIndex(u32);
 
 impl RecordIndex {
     /// The record with this number.
-    pub const fn new(number: u32) -> RecordIndex {
+    pub(crate) const fn new(number: u32) -> RecordIndex {
         RecordIndex(number)
     }
 
     /// Its number.
-    pub const fn number(self) -> u32 {
+    pub(crate) const fn number(self) -> u32 {
         self.0
     }
 
     /// Its place in a list of all records of the shard.
-    pub const fn place(self) -> usize {
+    pub(crate) const fn place(self) -> usize {
         self.0 as usize
     }
 
     /// The record at a place in a list of all records of the shard.
-    pub const fn at(place: usize) -> RecordIndex {
+    pub(crate) const fn at(place: usize) -> RecordIndex {
         RecordIndex(place as u32)
     }
 }
@@ -69,7 +69,7 @@
 
 /// One placement record of an owned shard.
 #[derive(Debug)]
-pub struct OwnedRecord {
+pub(crate) struct OwnedRecord {
     /// Version of the stored record; 0: it does not exist yet.
     version: u64,
     call: CallState,
@@ -87,7 +87,7 @@
 
 impl OwnedRecord {
     /// A record that does not exist yet.
-    pub fn new() -> OwnedRecord {
+    pub(crate) fn new() -> OwnedRecord {
         OwnedRecord {
             version: 0,
             call: CallState::READY,
@@ -100,7 +100,7 @@
     }
 
     /// A record that was read, with the length of its value.
-    pub fn loaded(context: &NodeContext, version: u64, bytes: usize) -> OwnedRecord {
+    pub(crate) fn loaded(context: &NodeContext, version: u64, bytes: usize) -> OwnedRecord {
         OwnedRecord {
             version,
             reserved_bytes: RECORD_SLACK_BYTES + bytes,
--- a/src/core/shard_owner/placement_records/reread.rs
+++ b/src/core/shard_owner/placement_records/reread.rs
@@ -25,7 +25,7 @@
 }
 
 /// Takes in the record as it was read back, or that the read failed.
-pub fn on_reread_result(
+pub(crate) fn on_reread_result(
     context: &mut NodeContext,
     shard: &mut OwnedShard,
     machines: &mut Machines,
--- a/src/core/shard_owner/placement_records/schedule.rs
+++ b/src/core/shard_owner/placement_records/schedule.rs
@@ -96,7 +96,7 @@
 /// Writes the records that something new waits for, as far as the rate of writes allows,
 /// and reads back those whose last write has an unknown outcome. Without a known leader,
 /// nothing is done.
-pub fn write_due_records(
+pub(crate) fn write_due_records(
     context: &mut NodeContext,
     shards: &mut [Option<OwnedShard>],
     machines: &mut Machines,
--- a/src/core/shard_owner/placement_records/shard_records.rs
+++ b/src/core/shard_owner/placement_records/shard_records.rs
@@ -6,7 +6,7 @@
 
 /// All placement records of a shard.
 #[derive(Debug)]
-pub struct ShardRecords {
+pub(crate) struct ShardRecords {
     records: Vec<OwnedRecord>,
     /// The record that takes new attempts.
     open: RecordIndex,
@@ -42,7 +42,7 @@
     }
 
     /// Puts a record that was read in its place.
-    pub fn insert_loaded(&mut self, index: RecordIndex, record: OwnedRecord) {
+    pub(crate) fn insert_loaded(&mut self, index: RecordIndex, record: OwnedRecord) {
         while self.records.len() <= index.place() {
             self.records.push(OwnedRecord::new());
         }
@@ -89,7 +89,7 @@
     }
 
     /// Marks records whose stored form lists what is gone.
-    pub fn mark_outdated(&mut self, records: impl IntoIterator<Item = RecordIndex>, now: Ms) {
+    pub(crate) fn mark_outdated(&mut self, records: impl IntoIterator<Item = RecordIndex>, now: Ms) {
         for index in records {
             if let Some(record) = self.get_mut(index) {
                 record.mark_outdated(now);
--- a/src/core/shard_owner/placement_records/write.rs
+++ b/src/core/shard_owner/placement_records/write.rs
@@ -26,7 +26,7 @@
 
 /// One write of a placement record under way.
 #[derive(Debug)]
-pub struct RecordWrite {
+pub(crate) struct RecordWrite {
     /// The shard of the record.
     pub(in crate::core::shard_owner) shard: ShardIndex,
     /// The record.
@@ -135,7 +135,7 @@
 }
 
 /// Takes in the outcome of a write. One under an earlier fencing token is ignored.
-pub fn on_write_result(
+pub(crate) fn on_write_result(
     context: &mut NodeContext,
     shard: &mut OwnedShard,
     machines: &mut Machines,
--- a/src/core/shard_owner/worker_heartbeats.rs
+++ b/src/core/shard_owner/worker_heartbeats.rs
@@ -31,7 +31,7 @@
 impl ShardOwner {
     /// Takes in a worker's heartbeat. It is answered at once, or parked until there is work
     /// for the machine.
-    pub fn on_worker_heartbeat(
+    pub(crate) fn on_worker_heartbeat(
         &mut self,
         context: &mut NodeContext,
         request_id: u64,
--- a/src/core/user_api/cancellation.rs
+++ b/src/core/user_api/cancellation.rs
@@ -15,7 +15,7 @@
 
 impl UserApi {
     /// Cancels the job with this id.
-    pub fn cancel(&mut self, context: &mut NodeContext, request_id: u64, id: &str) {
+    pub(crate) fn cancel(&mut self, context: &mut NodeContext, request_id: u64, id: &str) {
         if !valid_id(id) || is_hosted(context, id) {
             return refuse_unknown(context, request_id);
         }
--- a/src/core/user_api/mod.rs
+++ b/src/core/user_api/mod.rs
@@ -42,7 +42,7 @@
 
 /// A call of the user API to the store.
 #[derive(Debug)]
-pub enum UserApiCall {
+pub(crate) enum UserApiCall {
     /// The record of a new job is written.
     Submit {
         /// The request that submitted it.
@@ -75,7 +75,7 @@
 
 /// Requests of users that wait for the store.
 #[derive(Debug, Default)]
-pub struct UserApi {
+pub(super) struct UserApi {
     reads: CoalescedReads,
     submissions: PendingSubmissions,
     /// Requests that wait for a job's cascading cancellation to be written.
@@ -87,7 +87,7 @@
 
 impl UserApi {
     /// Drops what is no longer needed for answers.
-    pub fn poll(&mut self, context: &mut NodeContext) {
+    pub(super) fn poll(&mut self, context: &mut NodeContext) {
         if context.clock.now() >= self.cleanup_at {
             self.cleanup_at = context.clock.now() + CLEANUP_EVERY_MS;
             context.drop_final_specs();
@@ -95,7 +95,12 @@
     }
 
     /// Takes in the response to a call.
-    pub fn on_result(&mut self, context: &mut NodeContext, call: UserApiCall, response: StoreResponse) {
+    pub(super) fn on_result(
+        &mut self,
+        context: &mut NodeContext,
+        call: UserApiCall,
+        response: StoreResponse,
+    ) {
         match call {
             UserApiCall::Submit { request_id, id, state } => {
                 self.on_submitted(context, request_id, id, state, &response);
--- a/src/core/user_api/status.rs
+++ b/src/core/user_api/status.rs
@@ -12,7 +12,7 @@
 
 impl UserApi {
     /// Answers a question about the job with this id.
-    pub fn status(&mut self, context: &mut NodeContext, request_id: u64, id: &str) {
+    pub(crate) fn status(&mut self, context: &mut NodeContext, request_id: u64, id: &str) {
         if !valid_id(id) || is_hosted(context, id) {
             return refuse_unknown(context, request_id);
         }
--- a/src/core/user_api/submission.rs
+++ b/src/core/user_api/submission.rs
@@ -51,7 +51,7 @@
 impl UserApi {
     /// Answers a submission with this body. An accepted job stays accepted, whatever a
     /// later body says and whatever has become of the limits.
-    pub fn submit(&mut self, context: &mut NodeContext, request_id: u64, body: &[u8]) {
+    pub(crate) fn submit(&mut self, context: &mut NodeContext, request_id: u64, body: &[u8]) {
         let Submission { id, spec, awaits } = match parse_job(body) {
             Ok(submission) => submission,
             Err(invalid) => return self.refuse_invalid(context, request_id, body, &invalid),
--- a/src/io/client.rs
+++ b/src/io/client.rs
@@ -36,7 +36,7 @@
 }
 
 /// One HTTP request.
-pub struct HttpCall {
+pub(super) struct HttpCall {
     /// Method of the request.
     pub method: Method,
     /// Path with its query.
@@ -48,7 +48,7 @@
 }
 
 /// The response to a call.
-pub struct Reply {
+pub(super) struct Reply {
     /// HTTP status.
     pub status: u16,
     /// Its body.
@@ -57,20 +57,20 @@
 
 impl Reply {
     /// The body, read as JSON. A body that can't be read is logged, with the service's name.
-    pub fn json<T: DeserializeOwned>(&self, service: &str) -> Option<T> {
+    pub(super) fn json<T: DeserializeOwned>(&self, service: &str) -> Option<T> {
         serde_json::from_slice(&self.body)
             .map_err(|error| tracing::error!(%error, service, "unreadable response"))
             .ok()
     }
 
     /// Whether the body contains this text.
-    pub fn contains(&self, text: &str) -> bool {
+    pub(super) fn contains(&self, text: &str) -> bool {
         self.body.windows(text.len()).any(|window| window == text.as_bytes())
     }
 }
 
 /// A request to an outer service, and how the reply to it is read.
-pub trait ServiceRequest {
+pub(super) trait ServiceRequest {
     /// What the core is told.
     type Response: From<CallError>;
 
@@ -82,7 +82,7 @@
 }
 
 /// Carries out a request. What can't be read may have been executed all the same.
-pub async fn call_service<R: ServiceRequest>(client: &Client, request: R) -> R::Response {
+pub(super) async fn call_service<R: ServiceRequest>(client: &Client, request: R) -> R::Response {
     match client.call(request.to_http()).await {
         Ok(reply) => request.read_reply(&reply).unwrap_or_else(|| CallError::OutcomeUnknown.into()),
         Err(error) => error.into(),
@@ -93,7 +93,7 @@
 
 /// Connections to one address. Clones share them.
 #[derive(Clone)]
-pub struct Client {
+pub(super) struct Client {
     address: SocketAddr,
     idle: Rc<RefCell<Vec<Connection>>>,
     max_idle: usize,
@@ -104,12 +104,12 @@
 impl Client {
     /// A client that keeps up to `max_idle` connections open, and refuses calls beyond
     /// `max_calls` at once.
-    pub fn new(address: SocketAddr, max_idle: usize, max_calls: usize) -> Client {
+    pub(super) fn new(address: SocketAddr, max_idle: usize, max_calls: usize) -> Client {
         Client { address, idle: Rc::default(), max_idle, permits: Arc::new(Semaphore::new(max_calls)) }
     }
 
     /// Makes a call and waits for the whole response.
-    pub async fn call(&self, call: HttpCall) -> Result<Reply, CallError> {
+    pub(super) async fn call(&self, call: HttpCall) -> Result<Reply, CallError> {
         let _permit = self.permits.try_acquire().map_err(|_| CallError::NotSent)?;
         let start = Instant::now();
         let mut connection = self.connection().await?;
--- a/src/io/gate/acceptor.rs
+++ b/src/io/gate/acceptor.rs
@@ -15,7 +15,7 @@
 use tokio::sync::mpsc::Receiver;
 
 /// A connection together with its part of the limit on connections.
-pub struct AdmittedStream {
+pub(crate) struct AdmittedStream {
     /// The connection.
     pub stream: TcpStream,
     /// Held for as long as the connection is open.
@@ -63,7 +63,7 @@
 }
 
 /// A connection that was admitted, and where it comes from.
-pub struct AdmittedConnection {
+pub(crate) struct AdmittedConnection {
     /// The connection.
     pub stream: AdmittedStream,
     /// Address of the client.
@@ -71,7 +71,7 @@
 }
 
 /// Hands admitted connections to the HTTP server, and owns the task that admits them.
-pub struct GatedAcceptor {
+pub(crate) struct GatedAcceptor {
     admitted: Receiver<AdmittedConnection>,
     holdings: Vec<Holding>,
     _admission: OwnedTask,
@@ -79,7 +79,7 @@
 
 impl GatedAcceptor {
     /// Hands out what `admission` sends, for the server at `local_address`.
-    pub fn new(
+    pub(crate) fn new(
         local_address: SocketAddr,
         admitted: Receiver<AdmittedConnection>,
         admission: OwnedTask,
--- a/src/io/gate/mod.rs
+++ b/src/io/gate/mod.rs
@@ -10,8 +10,8 @@
 mod acceptor;
 mod pressure;
 
-pub use acceptor::GatedAcceptor;
-pub use pressure::Pressure;
+pub(super) use acceptor::GatedAcceptor;
+pub(super) use pressure::Pressure;
 
 use super::owned_task::OwnedTask;
 use acceptor::{AdmittedConnection, AdmittedStream};
@@ -40,7 +40,7 @@
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
 /// Binds the address for users and workers, with at most `max_connections` at once.
-pub fn bind(
+pub(super) fn bind(
     address: SocketAddr,
     max_connections: usize,
     pressure: Arc<Pressure>,
--- a/src/io/gate/pressure.rs
+++ b/src/io/gate/pressure.rs
@@ -14,7 +14,7 @@
 const LOG_FORMAT: u32 = 2;
 
 /// Measures the lag of the event loop and decides by it which connections are admitted.
-pub struct Pressure {
+pub(crate) struct Pressure {
     started: Instant,
     state: Mutex<State>,
 }
@@ -36,7 +36,7 @@
 
 impl Pressure {
     /// For a node with this share of a core.
-    pub fn new(settings: &OverloadSettings, core_share: f64) -> Arc<Pressure> {
+    pub(crate) fn new(settings: &OverloadSettings, core_share: f64) -> Arc<Pressure> {
         let state = State {
             admission: Admission::new(&settings.admission, core_share, 0),
             monitor: LagMonitor::new(settings.lag_target_ms, settings.lag_interval_ms),
@@ -47,7 +47,7 @@
     }
 
     /// Steady time since this value was made.
-    pub fn now(&self) -> Millis {
+    pub(crate) fn now(&self) -> Millis {
         self.started.elapsed().as_millis() as Millis
     }
 
@@ -57,7 +57,7 @@
     }
 
     /// Notes that the event loop got at `now` to what was due at `due`.
-    pub fn note_timer(&self, due: Millis, now: Millis) {
+    pub(crate) fn note_timer(&self, due: Millis, now: Millis) {
         let mut state = self.state();
         state.monitor.note_timer(due, now);
         let is_under_pressure = state.monitor.is_under_pressure(now);
@@ -69,12 +69,12 @@
     }
 
     /// Whether the node has to choose which requests it serves.
-    pub fn is_limiting(&self) -> bool {
+    pub(crate) fn is_limiting(&self) -> bool {
         self.state().admission.is_limiting()
     }
 
     /// Whether a new connection whose request is of this class is admitted.
-    pub fn admit(&self, class: RequestClass) -> bool {
+    pub(crate) fn admit(&self, class: RequestClass) -> bool {
         let now = self.now();
         let mut state = self.state();
         let is_admitted = state.admission.admit(class, now);
@@ -87,30 +87,30 @@
     }
 
     /// Counts a connection beyond the limit on connections; its class is not known.
-    pub fn count_over_limit(&self) {
+    pub(crate) fn count_over_limit(&self) {
         self.state().counts.rejected[RequestClass::StatusQuery.index()] += 1;
     }
 
     /// Counts a request whose client no longer waits for the answer.
-    pub fn count_expired(&self) {
+    pub(crate) fn count_expired(&self) {
         self.state().counts.expired += 1;
     }
 
     /// Seconds until a client that is rejected should come back.
-    pub fn retry_after_s(&self) -> u32 {
+    pub(crate) fn retry_after_s(&self) -> u32 {
         let now = self.now();
         self.state().admission.retry_after_s(rand::random(), now)
     }
 
     /// How long to wait before the next connection is accepted.
-    pub fn accept_delay(&self) -> Option<Duration> {
+    pub(crate) fn accept_delay(&self) -> Option<Duration> {
         let now = self.now();
         let accept_delay_ms = self.state().admission.accept_delay_ms(now);
         (accept_delay_ms > 0).then(|| Duration::from_millis(accept_delay_ms))
     }
 
     /// Connections that the kernel is to keep until they are accepted.
-    pub fn backlog(&self) -> u32 {
+    pub(crate) fn backlog(&self) -> u32 {
         self.state().admission.backlog()
     }
 }
--- a/src/io/inputs.rs
+++ b/src/io/inputs.rs
@@ -17,7 +17,7 @@
 const SMALL_CORE_SHARE: f64 = 0.04;
 
 /// What has happened.
-pub enum Event {
+pub(super) enum Event {
     /// A request has arrived; its answer is awaited.
     Request(PendingRequest),
     /// Anything else.
@@ -25,7 +25,7 @@
 }
 
 /// Where inputs come from.
-pub struct Sources {
+pub(super) struct Sources {
     /// Results of calls to the store and the cloud.
     pub call_results: UnboundedReceiver<Input>,
     /// Frames of the other nodes.
@@ -37,7 +37,7 @@
 }
 
 /// All inputs, one at a time.
-pub struct Inputs {
+pub(super) struct Inputs {
     sources: Sources,
     tick: Pin<Box<Sleep>>,
     tick_interval: Duration,
@@ -47,7 +47,7 @@
 
 impl Inputs {
     /// Inputs of a node with this share of a core.
-    pub fn new(sources: Sources, core_share: f64) -> Inputs {
+    pub(super) fn new(sources: Sources, core_share: f64) -> Inputs {
         let is_small = core_share < SMALL_CORE_SHARE;
         let tick_interval = if is_small { TICK * 2 } else { TICK };
         let tick = Box::pin(tokio::time::sleep(tick_interval));
@@ -55,12 +55,12 @@
     }
 
     /// Time between two ticks.
-    pub fn tick_interval(&self) -> Duration {
+    pub(super) fn tick_interval(&self) -> Duration {
         self.tick_interval
     }
 
     /// Waits for the next event. Results of calls come first, then messages, then requests.
-    pub async fn next(&mut self) -> Event {
+    pub(super) async fn next(&mut self) -> Event {
         let sources = &mut self.sources;
         let event = tokio::select! {
             biased;
--- a/src/io/links.rs
+++ b/src/io/links.rs
@@ -7,23 +7,23 @@
 use woadlever_cells::message::CellMessage;
 
 /// Links to the other nodes of this cell, by name.
-pub struct PeerLinks(HashMap<String, Link<Frame>>);
+pub(super) struct PeerLinks(HashMap<String, Link<Frame>>);
 
 impl PeerLinks {
     /// A link to each node of the settings.
-    pub fn new(peers: &[PeerEntry]) -> PeerLinks {
+    pub(super) fn new(peers: &[PeerEntry]) -> PeerLinks {
         PeerLinks(peers.iter().map(|peer| (peer.node.clone(), Link::new(peer.addr))).collect())
     }
 
     /// Sends a frame to a node; to one that is not in the settings, nothing is sent.
-    pub fn send(&self, node: &str, frame: Frame) {
+    pub(super) fn send(&self, node: &str, frame: Frame) {
         if let Some(link) = self.0.get(node) {
             link.send(Box::new(frame));
         }
     }
 
     /// Has the next frame to a node open another connection.
-    pub fn reconnect(&self, node: &str) {
+    pub(super) fn reconnect(&self, node: &str) {
         if let Some(link) = self.0.get(node) {
             link.reconnect();
         }
@@ -31,11 +31,11 @@
 }
 
 /// Links to all controllers of each other cell, by the cell's name.
-pub struct CellLinks(HashMap<String, Vec<Link<CellMessage>>>);
+pub(super) struct CellLinks(HashMap<String, Vec<Link<CellMessage>>>);
 
 impl CellLinks {
     /// A link to each controller of the settings; none if load is not shared.
-    pub fn new(settings: &CellSettings) -> CellLinks {
+    pub(super) fn new(settings: &CellSettings) -> CellLinks {
         let neighbors = settings.neighbors.iter().filter(|_| settings.enabled);
         let links = neighbors.map(|cell| {
             let controllers = cell.controllers.iter().copied().map(Link::new).collect();
@@ -45,7 +45,7 @@
     }
 
     /// Sends a message to all controllers of a cell: any of them may be its leader.
-    pub fn send(&self, cell: &str, message: &CellMessage) {
+    pub(super) fn send(&self, cell: &str, message: &CellMessage) {
         for link in self.0.get(cell).into_iter().flatten() {
             link.send(Box::new(message.clone()));
         }
--- a/src/io/listeners.rs
+++ b/src/io/listeners.rs
@@ -54,20 +54,20 @@
 }
 
 /// Binds the address for the other nodes.
-pub async fn bind_peers(platform: &Platform) -> Result<TcpListener, StartError> {
+pub(super) async fn bind_peers(platform: &Platform) -> Result<TcpListener, StartError> {
     let address = platform.peer_listen;
     TcpListener::bind(address).await.map_err(|source| StartError::Peers { address, source })
 }
 
 /// Serves the other nodes: their frames come out of the receiver.
-pub fn serve_peers(listener: TcpListener) -> (Receiver<Frame>, OwnedTask) {
+pub(super) fn serve_peers(listener: TcpListener) -> (Receiver<Frame>, OwnedTask) {
     let (sender, frames) = channel(RECEIVE_QUEUE);
     (frames, OwnedTask::spawn_local(listen(listener, sender, MAX_PEER_CONNECTIONS)))
 }
 
 /// Serves other cells, if load is shared: their messages come out of the receiver. Without,
 /// there is no task, and none ever come.
-pub async fn serve_cells(
+pub(super) async fn serve_cells(
     platform: &Platform,
     settings: &CellSettings,
 ) -> Result<(Receiver<CellMessage>, Option<OwnedTask>), StartError> {
@@ -85,7 +85,7 @@
 
 /// Serves users, workers and the load balancer: their requests come out of the result. With
 /// `pressure` connections and requests are chosen by importance.
-pub async fn serve_http(
+pub(super) async fn serve_http(
     platform: &Platform,
     settings: &OverloadSettings,
     pressure: Option<Arc<Pressure>>,
--- a/src/io/outputs.rs
+++ b/src/io/outputs.rs
@@ -20,7 +20,7 @@
 const MAX_CLOUD_CALLS: usize = 8;
 
 /// The outer services, the other nodes and the workers, as the core's outputs reach them.
-pub struct Outputs {
+pub(super) struct Outputs {
     store: Client,
     cloud: Client,
     peers: PeerLinks,
@@ -35,7 +35,7 @@
 
 impl Outputs {
     /// Outputs with the results of calls going to `results`.
-    pub fn new(
+    pub(super) fn new(
         platform: &Platform,
         peers: PeerLinks,
         cells: CellLinks,
@@ -57,7 +57,7 @@
     }
 
     /// Carries out one output, without waiting. Answers to requests are not among them.
-    pub fn carry_out(&mut self, output: Output) {
+    pub(super) fn carry_out(&mut self, output: Output) {
         while self.calls.try_join_next().is_some() {}
         match output {
             Output::Store { call, request } => {
--- a/src/io/owned_task.rs
+++ b/src/io/owned_task.rs
@@ -3,16 +3,16 @@
 use tokio::task::JoinHandle;
 
 /// A task of the local task set that is aborted when this value is dropped.
-pub struct OwnedTask(JoinHandle<()>);
+pub(super) struct OwnedTask(JoinHandle<()>);
 
 impl OwnedTask {
     /// Starts the task.
-    pub fn spawn_local(future: impl Future<Output = ()> + 'static) -> OwnedTask {
+    pub(super) fn spawn_local(future: impl Future<Output = ()> + 'static) -> OwnedTask {
         OwnedTask(tokio::task::spawn_local(future))
     }
 
     /// Whether the task has ended by itself.
-    pub fn is_finished(&self) -> bool {
+    pub(super) fn is_finished(&self) -> bool {
         self.0.is_finished()
     }
 }
--- a/src/io/requests.rs
+++ b/src/io/requests.rs
@@ -9,7 +9,7 @@
 use woadlever_overload::queue::{RequestQueue, Shed};
 
 /// Requests in the order in which the core takes them.
-pub struct Requests {
+pub(super) struct Requests {
     incoming: Receiver<PendingRequest>,
     prioritized: Option<PrioritizedRequests>,
 }
@@ -22,12 +22,12 @@
 
 impl Requests {
     /// All requests, in the order in which they arrive.
-    pub fn in_order(incoming: Receiver<PendingRequest>) -> Requests {
+    pub(super) fn in_order(incoming: Receiver<PendingRequest>) -> Requests {
         Requests { incoming, prioritized: None }
     }
 
     /// At most `limit` requests, the most important first.
-    pub fn by_importance(
+    pub(super) fn by_importance(
         incoming: Receiver<PendingRequest>,
         limit: usize,
         pressure: Arc<Pressure>,
@@ -38,7 +38,7 @@
 
     /// The next request; none once the server has ended. Nothing is lost if the future
     /// is dropped before it is ready.
-    pub async fn next(&mut self) -> Option<PendingRequest> {
+    pub(super) async fn next(&mut self) -> Option<PendingRequest> {
         let Some(prioritized) = &mut self.prioritized else { return self.incoming.recv().await };
         loop {
             while let Ok(pending) = self.incoming.try_recv() {
--- a/src/io/server.rs
+++ b/src/io/server.rs
@@ -14,7 +14,7 @@
 use tokio::sync::oneshot;
 
 /// A request that waits for its answer.
-pub struct PendingRequest {
+pub(super) struct PendingRequest {
     /// What is asked.
     pub request: HttpRequest,
     /// Where the answer goes; closed once nobody waits for it.
@@ -27,7 +27,7 @@
 const MAX_HEARTBEAT_BYTES: usize = 4 << 20;
 
 /// The service that hands all requests to `requests`.
-pub fn service(requests: Sender<PendingRequest>) -> Service {
+pub(super) fn service(requests: Sender<PendingRequest>) -> Service {
     let core = CoreClient { requests };
     let router = Router::new()
         .push(
@@ -42,7 +42,7 @@
 }
 
 /// The answer to a request that the node has no time for.
-pub fn overloaded(retry_after_s: u32) -> Answer {
+pub(super) fn overloaded(retry_after_s: u32) -> Answer {
     Answer { retry_after_s: Some(retry_after_s), ..error_answer(503, "overloaded", None) }
 }
 
--- a/src/model/shard.rs
+++ b/src/model/shard.rs
@@ -36,7 +36,7 @@
     let shard = |part: u32| Shard {
         name: format!("{zone}.{part}"),
         zone: zone.to_string(),
-        home: homes.get(part as usize).map(|home| home.to_string()),
+        home: homes.get(part as usize).map(std::string::ToString::to_string),
         part,
         parts,
     };
