--- a/crates/cells/tests/model/host.rs
+++ b/crates/cells/tests/model/host.rs
@@ -15,7 +15,7 @@
 
 /// A host's record of the job.
 #[derive(Debug, Clone)]
-pub struct HostedRecord {
+pub(crate) struct HostedRecord {
     state: State,
     origin: Origin,
 }
@@ -41,7 +41,7 @@
 }
 
 #[derive(Debug, Default)]
-pub struct Host {
+pub(crate) struct Host {
     record: Option<HostedRecord>,
     lease: CellLease,
     pub task: Option<Task>,
@@ -56,13 +56,13 @@
 
 impl Host {
     /// A new leader has heard nothing.
-    pub fn lose_leader(&mut self, down_until: Millis) {
+    pub(crate) fn lose_leader(&mut self, down_until: Millis) {
         self.down_until = down_until;
         self.newest = None;
         self.term += 1;
     }
 
-    pub fn receive(&mut self, offer: Offer, now: Millis) {
+    pub(crate) fn receive(&mut self, offer: Offer, now: Millis) {
         let is_newer = self.newest.as_ref().is_none_or(|known| offer.revision >= known.revision);
         if now >= self.down_until && is_newer {
             self.newest = Some(offer);
@@ -168,7 +168,7 @@
 }
 
 impl Model {
-    pub fn step_host(&mut self, index: usize) {
+    pub(crate) fn step_host(&mut self, index: usize) {
         let now = self.now;
         let host = &mut self.hosts[index];
         host.carry_out_writes(now);
--- a/crates/cells/tests/model/network.rs
+++ b/crates/cells/tests/model/network.rs
@@ -11,7 +11,7 @@
 
 /// What the origin tells a host.
 #[derive(Debug, Clone)]
-pub struct Offer {
+pub(crate) struct Offer {
     pub revision: u64,
     pub lease_until_ms: Millis,
     pub job: Option<OfferedJob>,
@@ -19,14 +19,14 @@
 
 /// The job, as the origin lists it.
 #[derive(Debug, Clone, Copy)]
-pub struct OfferedJob {
+pub(crate) struct OfferedJob {
     pub epoch: u64,
     pub is_recalled: bool,
 }
 
 /// What a host tells the origin.
 #[derive(Debug, Clone, Copy)]
-pub struct Status {
+pub(crate) struct Status {
     pub epoch: u64,
     pub phase: HostedPhase,
 }
@@ -41,7 +41,7 @@
 }
 
 #[derive(Debug, Default)]
-pub struct Network {
+pub(crate) struct Network {
     to_hosts: Vec<Delivery<Offer>>,
     to_origin: Vec<Delivery<Option<Status>>>,
     /// Until then nothing gets through between the origin and a host.
@@ -58,7 +58,7 @@
 
 impl Model {
     /// Sends the origin's state to both hosts; now and then a copy arrives much later.
-    pub fn send_offers(&mut self) {
+    pub(crate) fn send_offers(&mut self) {
         if self.now < self.origin.down_until {
             return;
         }
@@ -88,14 +88,14 @@
     }
 
     /// Sends what a host says to the origin.
-    pub fn send_status(&mut self, host: usize, message: Option<Status>) {
+    pub(crate) fn send_status(&mut self, host: usize, message: Option<Status>) {
         if self.now >= self.network.cut_until[host] {
             self.network.to_origin.push(Delivery { at: self.now + DELAY_MS, host, message });
         }
     }
 
     /// Delivers what arrives now.
-    pub fn deliver(&mut self) {
+    pub(crate) fn deliver(&mut self) {
         for Delivery { host, message, .. } in take_due(&mut self.network.to_hosts, self.now) {
             self.hosts[host].receive(message, self.now);
         }
--- a/crates/cells/tests/model/origin.rs
+++ b/crates/cells/tests/model/origin.rs
@@ -11,7 +11,7 @@
 
 /// The origin's record of the job.
 #[derive(Debug, Clone)]
-pub struct OwnRecord {
+pub(crate) struct OwnRecord {
     pub state: State,
     pub forwarding: Option<Forwarding>,
     pub version: u64,
@@ -31,7 +31,7 @@
     status: Option<Status>,
 }
 
-pub struct OriginCell {
+pub(crate) struct OriginCell {
     pub revision: u64,
     pub record: OwnRecord,
     pub task: Option<Task>,
@@ -60,18 +60,18 @@
 
 impl OriginCell {
     /// A new leader knows the records only.
-    pub fn lose_leader(&mut self, down_until: Millis) {
+    pub(crate) fn lose_leader(&mut self, down_until: Millis) {
         self.down_until = down_until;
         self.heard.clear();
         self.observed = None;
     }
 
-    pub fn write(&mut self, state: State, forwarding: Option<Forwarding>) {
+    pub(crate) fn write(&mut self, state: State, forwarding: Option<Forwarding>) {
         self.revision += 1;
         self.record = OwnRecord { state, forwarding, version: self.revision };
     }
 
-    pub fn receive(&mut self, host: usize, status: Option<Status>, now: Millis) {
+    pub(crate) fn receive(&mut self, host: usize, status: Option<Status>, now: Millis) {
         if now >= self.down_until {
             self.heard.insert(host, Heard { at: now, status });
         }
@@ -90,7 +90,7 @@
 }
 
 impl Model {
-    pub fn step_origin(&mut self) {
+    pub(crate) fn step_origin(&mut self) {
         if self.now < self.origin.down_until || self.origin.record.state != State::Live {
             return;
         }
@@ -148,7 +148,7 @@
         self.origin.write(State::Live, Some(forwarding));
     }
 
-    pub fn run_own_task(&mut self) {
+    pub(crate) fn run_own_task(&mut self) {
         let origin = &mut self.origin;
         if origin.task.is_some_and(|task| task.has_run(self.now)) {
             origin.task = None;
--- a/crates/overload/tests/support/mod.rs
+++ b/crates/overload/tests/support/mod.rs
@@ -11,9 +11,9 @@
 use woadlever_overload::lag::LagMonitor;
 
 /// Microseconds of a whole core.
-pub const NEW_CONNECTION_US: u64 = 250;
-pub const KEPT_CONNECTION_US: u64 = 90;
-pub const REJECTION_US: u64 = 25;
+pub(crate) const NEW_CONNECTION_US: u64 = 250;
+pub(crate) const KEPT_CONNECTION_US: u64 = 90;
+pub(crate) const REJECTION_US: u64 = 25;
 /// Timers of the event loop.
 const TIMER_MS: Millis = 50;
 const LAG_TARGET_MS: Millis = 100;
@@ -24,7 +24,7 @@
 
 /// How a client behaves.
 #[derive(Debug, Clone, Copy)]
-pub struct Behavior {
+pub(crate) struct Behavior {
     pub class: RequestClass,
     /// Time between an answer and the next request; none: it sends one request.
     pub period_ms: Option<Millis>,
@@ -61,7 +61,7 @@
 }
 
 /// The node with all its clients.
-pub struct Simulation {
+pub(crate) struct Simulation {
     pub now: Millis,
     core_share: f64,
     admission: Option<Admission>,
@@ -81,7 +81,7 @@
 }
 
 impl Simulation {
-    pub fn new(core_share: f64, with_admission: bool) -> Simulation {
+    pub(crate) fn new(core_share: f64, with_admission: bool) -> Simulation {
         let admission =
             with_admission.then(|| Admission::new(&AdmissionSettings::default(), core_share, 0));
         let backlog_limit = admission.as_ref().map_or(USUAL_BACKLOG, |a| a.backlog() as usize);
@@ -102,7 +102,7 @@
     }
 
     /// Adds a client that sends its first request at `first`.
-    pub fn add(&mut self, behavior: Behavior, first: Millis) {
+    pub(crate) fn add(&mut self, behavior: Behavior, first: Millis) {
         self.clients.push(Client {
             behavior,
             is_connected: false,
@@ -114,7 +114,7 @@
     }
 
     /// The connections of the first clients end, and these reconnect within `spread_ms`.
-    pub fn drop_connections(&mut self, clients: usize, spread_ms: Millis) {
+    pub(crate) fn drop_connections(&mut self, clients: usize, spread_ms: Millis) {
         let is_other = |event: &Event| match event {
             Event::Ask(client) | Event::GiveUp(client, _) => *client >= clients,
         };
@@ -130,11 +130,11 @@
     }
 
     /// The node is suspended.
-    pub fn stall(&mut self, ms: Millis) {
+    pub(crate) fn stall(&mut self, ms: Millis) {
         self.now += ms;
     }
 
-    pub fn run_until(&mut self, end: Millis) {
+    pub(crate) fn run_until(&mut self, end: Millis) {
         while self.now < end {
             let due = self.now + TIMER_MS;
             let turn_ms = self.turn();
@@ -150,19 +150,19 @@
     }
 
     /// Answers in time per second, over the seconds from `from_s` to `to_s`.
-    pub fn goodput(&self, from_s: u64, to_s: u64) -> f64 {
+    pub(crate) fn goodput(&self, from_s: u64, to_s: u64) -> f64 {
         let sum: u64 = self.good_answers.range(from_s..to_s).map(|(_, n)| n).sum();
         sum as f64 / (to_s - from_s) as f64
     }
 
     /// Share of the clients that were answered at all since `answers` was taken.
-    pub fn share_answered_since(&self, answers: &[u64]) -> f64 {
+    pub(crate) fn share_answered_since(&self, answers: &[u64]) -> f64 {
         let answered =
             self.clients.iter().zip(answers).filter(|(client, n)| client.answered > **n).count();
         answered as f64 / self.clients.len() as f64
     }
 
-    pub fn answers(&self) -> Vec<u64> {
+    pub(crate) fn answers(&self) -> Vec<u64> {
         self.clients.iter().map(|client| client.answered).collect()
     }
 
--- a/tests/cells_loopback.rs
+++ b/tests/cells_loopback.rs
@@ -2,6 +2,7 @@
 //! two. Then controllers are killed: all of one host cell, all of the origin, and all of the
 //! other host cell for good. Asserted is the history of all workers and what users are told.
 
+#![allow(unreachable_pub, reason = "modules of a test program are not a library")]
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic, reason = "a test fails by panicking")]
 
 mod processes;
--- a/tests/combined_faults/late_heartbeats.rs
+++ b/tests/combined_faults/late_heartbeats.rs
@@ -1,7 +1,7 @@
 //! Heartbeats that are old.
 
 use crate::fixtures::{busy, machine_of, run_without_cloud};
-use crate::support::{LEASE_MS, World, job};
+use crate::support::{LEASE_MS, Worker, World, job};
 use serde_json::json;
 
 /// Two old heartbeats reach a new shard owner, one of an earlier incarnation and one of this
@@ -16,7 +16,7 @@
         w.add_worker(i, if i % 2 == 0 { "east" } else { "west" }, false, 500);
     }
     w.run(8_000);
-    let first: Vec<_> = w.workers.iter().map(|x| x.heartbeat()).collect();
+    let first: Vec<_> = w.workers.iter().map(Worker::heartbeat).collect();
     for x in &mut w.workers {
         x.cut = true;
     }
@@ -25,7 +25,7 @@
         x.cut = false;
     }
     w.run(9_000);
-    let second: Vec<_> = w.workers.iter().map(|x| x.heartbeat()).collect();
+    let second: Vec<_> = w.workers.iter().map(Worker::heartbeat).collect();
     assert!(second.iter().all(|r| r.incarnation == 2));
     for (n, zone) in [(1, "east"), (2, "west")] {
         let mut j = job(n, "t1", 2, 600.0);
@@ -63,7 +63,7 @@
 fn old_heartbeats_reach_every_controller_as_a_new_leader_begins() {
     for (seed, wait) in [(571, 0), (572, 5_600), (573, 9_000)] {
         let mut w = busy(seed, 8);
-        let old: Vec<_> = w.workers.iter().map(|x| x.heartbeat()).collect();
+        let old: Vec<_> = w.workers.iter().map(Worker::heartbeat).collect();
         // What ran then ends, on some machines by a lease that ran out.
         let m = machine_of(&w, 2);
         w.workers[m].cut = true;
--- a/tests/combined_faults/main.rs
+++ b/tests/combined_faults/main.rs
@@ -1,6 +1,7 @@
 //! Meetings of troubles, brought about in the order and at the moments that they
 //! need. docs/combined-faults.md lists what keeps the rules in each.
 
+#![allow(unreachable_pub, reason = "modules of a test program are not a library")]
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic, reason = "a test fails by panicking")]
 
 #[path = "../support/mod.rs"]
--- a/tests/final_jobs.rs
+++ b/tests/final_jobs.rs
@@ -1,6 +1,7 @@
 //! Jobs that are over leave memory: what a node keeps is bounded, and what it no
 //! longer keeps is answered, awaited and stopped as before.
 
+#![allow(unreachable_pub, reason = "modules of a test program are not a library")]
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic, reason = "a test fails by panicking")]
 
 mod support;
--- a/tests/large_cells.rs
+++ b/tests/large_cells.rs
@@ -1,5 +1,6 @@
 //! Cells of four thousand machines: the whole work of one that is full moves to another.
 
+#![allow(unreachable_pub, reason = "modules of a test program are not a library")]
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic, reason = "a test fails by panicking")]
 
 mod support;
--- a/tests/large_fleet.rs
+++ b/tests/large_fleet.rs
@@ -1,5 +1,6 @@
 //! Six thousand machines: as many as the operators run, and half as many again.
 
+#![allow(unreachable_pub, reason = "modules of a test program are not a library")]
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic, reason = "a test fails by panicking")]
 
 mod support;
--- a/tests/loopback.rs
+++ b/tests/loopback.rs
@@ -3,6 +3,7 @@
 //! the history of all workers and what users are told, never how long it took; the bound
 //! on the number of looks only ends a test that would never end.
 
+#![allow(unreachable_pub, reason = "modules of a test program are not a library")]
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic, reason = "a test fails by panicking")]
 
 mod processes;
--- a/tests/pipelines.rs
+++ b/tests/pipelines.rs
@@ -5,6 +5,7 @@
 //! processes had left in the store and on 60 machines in a scenario of
 //! theirs. They are not to be made anew by later code.
 
+#![allow(unreachable_pub, reason = "modules of a test program are not a library")]
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic, reason = "a test fails by panicking")]
 
 mod support;
--- a/tests/recovery.rs
+++ b/tests/recovery.rs
@@ -1,6 +1,7 @@
 //! Coming back from the loss of all controllers: what workers report is reconciled with
 //! what is on record before orders are given, and no more orders are given than needed.
 
+#![allow(unreachable_pub, reason = "modules of a test program are not a library")]
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic, reason = "a test fails by panicking")]
 
 mod support;
--- a/tests/recovery_model.rs
+++ b/tests/recovery_model.rs
@@ -2,6 +2,7 @@
 //! workers, the store and links fail in any order, and in the end everything that
 //! was accepted is done, each task as often as its machines made it start anew.
 
+#![allow(unreachable_pub, reason = "modules of a test program are not a library")]
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic, reason = "a test fails by panicking")]
 
 mod support;
--- a/tests/resource_bounds.rs
+++ b/tests/resource_bounds.rs
@@ -1,6 +1,7 @@
 //! Bounds on what a node keeps in memory and on how often it does its largest pieces
 //! of work, counted without a clock.
 
+#![allow(unreachable_pub, reason = "modules of a test program are not a library")]
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic, reason = "a test fails by panicking")]
 
 mod support;
--- a/tests/scenarios/workers.rs
+++ b/tests/scenarios/workers.rs
@@ -1,7 +1,7 @@
 //! Workers are late, silent, unreachable, restarted or sick.
 
 use crate::fixtures::{busy_machine, busy_world, idle_east, world};
-use crate::support::{World, job};
+use crate::support::{Worker, World, job};
 use serde_json::{Value, json};
 
 /// Invariant 3: a heartbeat from before the task started, arriving late at a new
@@ -157,7 +157,7 @@
 fn late_copies_of_heartbeats_change_nothing() {
     let mut w = busy_world(60, 8);
     let gone = w.workers.iter().position(|x| x.tasks.is_empty());
-    let copies: Vec<_> = w.workers.iter().map(|x| x.heartbeat()).collect();
+    let copies: Vec<_> = w.workers.iter().map(Worker::heartbeat).collect();
     let (m, shard_owner) = busy_machine(&w);
     // A machine goes for good, and its node with it; later copies of all
     // heartbeats reach every node, again and again.
--- a/tests/support/events.rs
+++ b/tests/support/events.rs
@@ -31,53 +31,27 @@
     pub(super) number: u64,
 }
 
+/// How a request to the store was under way.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum Delivery {
+    Usual,
+    /// For long: it arrives whatever the store refuses now.
+    Late,
+    /// For so long that nobody waits for the answer any more.
+    GivenUp,
+}
+
 /// Something that is under way.
 pub enum Event {
-    StoreRequest {
-        call: Call,
-        request: StoreRequest,
-        /// Nobody waits for the answer any more.
-        is_given_up: bool,
-        /// It was under way for long, and arrives whatever the store refuses now.
-        is_late: bool,
-    },
-    StoreResponse {
-        call: Call,
-        response: StoreResponse,
-    },
-    CloudRequest {
-        call: Call,
-        request: CloudRequest,
-    },
-    CloudResponse {
-        call: Call,
-        response: CloudResponse,
-    },
-    Frame {
-        to: usize,
-        incarnation: u64,
-        frame: Frame,
-    },
-    WorkerHeartbeat {
-        worker: usize,
-        id: u64,
-        node: usize,
-        heartbeat: Box<WorkerHeartbeat>,
-    },
-    HeartbeatResponse {
-        worker: usize,
-        node: usize,
-        id: u64,
-        answer: Answer,
-    },
-    DirectCommands {
-        worker: usize,
-        commands: DirectCommands,
-    },
-    UserAnswer {
-        request: u64,
-        answer: Answer,
-    },
+    StoreRequest { call: Call, request: StoreRequest, delivery: Delivery },
+    StoreResponse { call: Call, response: StoreResponse },
+    CloudRequest { call: Call, request: CloudRequest },
+    CloudResponse { call: Call, response: CloudResponse },
+    Frame { to: usize, incarnation: u64, frame: Frame },
+    WorkerHeartbeat { worker: usize, id: u64, node: usize, heartbeat: Box<WorkerHeartbeat> },
+    HeartbeatResponse { worker: usize, node: usize, id: u64, answer: Answer },
+    DirectCommands { worker: usize, commands: DirectCommands },
+    UserAnswer { request: u64, answer: Answer },
 }
 
 impl World {
@@ -192,7 +166,12 @@
             let response = StoreResponse::OutcomeUnknown;
             self.push(LOST_ANSWER_MS, Event::StoreResponse { call, response });
         }
-        self.push(delay, Event::StoreRequest { call, request, is_given_up, is_late: slow > 0 });
+        let delivery = match (is_given_up, slow) {
+            (true, _) => Delivery::GivenUp,
+            (false, 0) => Delivery::Usual,
+            (false, _) => Delivery::Late,
+        };
+        self.push(delay, Event::StoreRequest { call, request, delivery });
     }
 
     fn lose_write(&mut self, call: Call, write: CompareAndSwap, fate: Fate) {
@@ -214,8 +193,8 @@
     /// Something arrives.
     pub(super) fn handle(&mut self, event: Event) {
         match event {
-            Event::StoreRequest { call, request, is_given_up, is_late } => {
-                self.on_store_request(call, request, is_given_up, is_late);
+            Event::StoreRequest { call, request, delivery } => {
+                self.on_store_request(call, request, delivery);
             }
             Event::StoreResponse { call, response } => {
                 if self.controllers[call.node].runs(call.incarnation) {
@@ -266,7 +245,7 @@
         (wait > 0).then_some(wait + 1)
     }
 
-    fn on_store_request(&mut self, call: Call, request: StoreRequest, is_given_up: bool, is_late: bool) {
+    fn on_store_request(&mut self, call: Call, request: StoreRequest, delivery: Delivery) {
         self.store.requests += 1;
         let is_refused =
             self.store.refuses.contains(&call.node) || self.store.over_rate(self.now, &request);
@@ -279,13 +258,13 @@
             self.store.watches.push(PendingWatch { call, prefix, since, until });
             return;
         }
-        if is_given_up {
+        if delivery == Delivery::GivenUp {
             if !self.store.down {
                 self.store.run(self.now, &request);
             }
             return;
         }
-        let response = if self.store.down || is_refused && !is_late {
+        let response = if self.store.down || is_refused && delivery != Delivery::Late {
             StoreResponse::NotExecuted
         } else {
             self.store.run(self.now, &request)
--- a/tests/support/workers.rs
+++ b/tests/support/workers.rs
@@ -185,7 +185,7 @@
     fn count(&mut self, command: &Command) {
         match command.action {
             CommandAction::Start => {
-                *self.runs.entry((command.task.clone(), command.attempt)).or_default() += 1
+                *self.runs.entry((command.task.clone(), command.attempt)).or_default() += 1;
             }
             CommandAction::Stop => self.stops += 1,
             CommandAction::Forget => self.clears += 1,
