--- a/tests/combined_faults/answers.rs
+++ b/tests/combined_faults/answers.rs
@@ -1,6 +1,6 @@
 //! Users ask within milliseconds, oddly, or through a slow store.
 
-use crate::fixtures::{busy, id, status_of};
+use crate::fixtures::{busy, id};
 use crate::support::{CANCEL_MS, World, job};
 use serde_json::json;
 use woadlever::core::HttpRequest;
@@ -31,7 +31,7 @@
             let sent = w.submit(node, &body);
             w.run(100);
             for r in [asked, sent] {
-                assert!(matches!(status_of(&w, r).as_str(), "queued" | "running" | "done"));
+                assert!(matches!(w.status_answered(r).as_str(), "queued" | "running" | "done"));
             }
         }
         if n % 2 == 0 {
@@ -40,7 +40,7 @@
             while !w.users.answers.contains_key(&c) {
                 w.run(5);
             }
-            let word = status_of(&w, c);
+            let word = w.status_answered(c);
             assert!(word == "withdrawn" || word == "done", "{word}");
             let mut asked = Vec::new();
             for node in 0..3 {
@@ -50,22 +50,22 @@
             }
             w.run(100);
             for r in asked {
-                assert_eq!(status_of(&w, r), word);
+                assert_eq!(w.status_answered(r), word);
             }
         } else {
             let mut r = 0;
             for _ in 0..200 {
                 r = w.ask(at, HttpRequest::Status(id(n)));
                 w.run(200);
-                if status_of(&w, r) == "done" {
+                if w.status_answered(r) == "done" {
                     break;
                 }
             }
-            assert_eq!(status_of(&w, r), "done");
+            assert_eq!(w.status_answered(r), "done");
             for node in 0..3 {
                 let asked = [w.ask(node, HttpRequest::Status(id(n))), w.submit(node, &body)];
                 w.run(100);
-                assert!(asked.iter().all(|r| status_of(&w, *r) == "done"));
+                assert!(asked.iter().all(|r| w.status_answered(*r) == "done"));
             }
         }
     }
@@ -86,7 +86,7 @@
     w.network.lag.remove(&1);
     assert_eq!(w.cancel(1, &id(1)), 200);
     w.run(2_000);
-    assert_eq!(status_of(&w, asked), "withdrawn");
+    assert_eq!(w.status_answered(asked), "withdrawn");
     w.fair();
 }
 
@@ -155,7 +155,7 @@
         w.run(100);
         assert_eq!(w.users.answers[&r].status, 422, "{field}");
     }
-    assert!(!w.store.keys.contains_key("w/job/run-000001"));
+    assert!(!w.store.records.contains_key("w/job/run-000001"));
     w.accept(0, &whole);
     // Again, unfinished and then done, whole and with a field missing.
     let mut lacking = whole.clone();
@@ -172,10 +172,10 @@
     for node in 0..3 {
         let r = w.ask(node, HttpRequest::Cancel(id(1)));
         w.run(100);
-        assert_eq!(status_of(&w, r), "done");
+        assert_eq!(w.status_answered(r), "done");
         let r = w.ask(node, HttpRequest::Submit(lacking.to_string().into_bytes()));
         w.run(100);
-        assert_eq!(status_of(&w, r), "done");
+        assert_eq!(w.status_answered(r), "done");
     }
     w.fair();
 }
--- a/tests/combined_faults/cancellations.rs
+++ b/tests/combined_faults/cancellations.rs
@@ -1,6 +1,6 @@
 //! Cancellations meet other faults.
 
-use crate::fixtures::{busy, id, machine_of, on_machines, state_of, status_of};
+use crate::fixtures::{busy, id, machine_of, on_machines, state_of};
 use crate::support::{CANCEL_MS, World, job};
 use woadlever::core::HttpRequest;
 
@@ -29,8 +29,11 @@
     // Bound and on record, its `run` not yet sent: it never is.
     w.accept(0, &job(2, "t1", 12, 600.0));
     let on_record = |w: &World| {
-        let mut places = w.store.keys.iter().filter(|(k, _)| k.starts_with("place/"));
-        places.any(|(_, v)| v.0["j"].as_array().unwrap().iter().any(|j| j[0] == id(2)))
+        let mut records = w.store.records_under("place/");
+        records.any(|(_, record)| {
+            let jobs = record.value["j"].as_array().unwrap();
+            jobs.iter().any(|job| job[0] == id(2))
+        })
     };
     for x in &mut w.workers {
         x.mute = true;
@@ -134,9 +137,9 @@
         assert!(end == "d" || end == "c", "{end}");
         seen[usize::from(end == "c")] += 1;
         let word = if end == "d" { "done" } else { "withdrawn" };
-        assert_eq!(status_of(&w, a), word);
+        assert_eq!(w.status_answered(a), word);
         for r in [b, c] {
-            let s = status_of(&w, r);
+            let s = w.status_answered(r);
             assert!(s == word || s == "queued" || s == "running", "{s}");
         }
         for n in 0..3 {
--- a/tests/combined_faults/control_lease.rs
+++ b/tests/combined_faults/control_lease.rs
@@ -1,6 +1,6 @@
 //! Cancellations are confirmed elsewhere while a node acts on its control lease.
 
-use crate::fixtures::{busy, id, on_machines, run_without_cloud, state_of, status_of};
+use crate::fixtures::{busy, id, on_machines, run_without_cloud, state_of};
 use crate::support::{CANCEL_MS, World, job};
 use woadlever::core::HttpRequest;
 
@@ -42,7 +42,7 @@
         if round == 0 {
             let r = w.submit(other, &job(3, "t1", 6, 600.0));
             w.run(12_000);
-            assert!(matches!(status_of(&w, r).as_str(), "queued" | "running"));
+            assert!(matches!(w.status_answered(r).as_str(), "queued" | "running"));
         }
     }
     assert_eq!(w.users.cancelled.len(), 3);
--- a/tests/combined_faults/load.rs
+++ b/tests/combined_faults/load.rs
@@ -100,7 +100,7 @@
     for _ in 0..160 {
         w.run(25);
         let has_tasks = |m: &usize| {
-            let row = w.record_of(&w.workers[*m].name);
+            let row = w.placement_of(&w.workers[*m].name);
             row.is_some_and(|(_, r)| !r[3].as_array().unwrap().is_empty())
         };
         if let Some(m) = ours.iter().copied().find(has_tasks) {
--- a/tests/combined_faults/store_writes.rs
+++ b/tests/combined_faults/store_writes.rs
@@ -86,9 +86,9 @@
     w.store_faults.pick = None;
     w.run(12_000);
     let key = format!("progress/{}/0", id(1));
-    let before = w.store.keys[&key].clone();
+    let before = w.store.records[&key].clone();
     assert!(w.carry_out_late().iter().all(|r| matches!(r, StoreResponse::Conflict(_))));
-    assert_eq!(w.store.keys[&key].0, before.0, "bits went back");
+    assert_eq!(w.store.records[&key].value, before.value, "bits went back");
     w.crash(leader, 5_000);
     assert!(w.until_done(&id(1), 120_000));
     assert!(w.oracle.starts.values().all(|n| *n == 1), "done tasks ran again: {:?}", w.oracle.starts);
--- a/tests/final_jobs.rs
+++ b/tests/final_jobs.rs
@@ -7,6 +7,7 @@
 
 use serde_json::{Value, json};
 use std::sync::Arc;
+use support::store::StoredRecord;
 use support::{World, job, platform};
 use woadlever::config::Operator;
 use woadlever::core::HttpRequest;
@@ -132,13 +133,13 @@
     assert_eq!((status, &body["status"]), (200, &json!("withdrawn")));
     let (status, body, _) = answer(&mut world, 2, HttpRequest::Cancel(id(FIRST_OLD_JOB + 2)));
     assert_eq!((status, &body["status"]), (200, &json!("done")));
-    let records = world.store.keys.clone();
+    let records = world.store.records.clone();
     world.run(20_000);
     assert!(world.oracle.starts.is_empty());
-    let unchanged = |(key, value): (&String, &(Value, u64, Option<u64>))| {
-        !key.starts_with("w/job/") || records.get(key) == Some(value)
+    let unchanged = |(key, record): (&String, &StoredRecord)| {
+        !key.starts_with("w/job/") || records.get(key) == Some(record)
     };
-    assert!(world.store.keys.iter().all(unchanged));
+    assert!(world.store.records.iter().all(unchanged));
 }
 
 #[test]
@@ -282,7 +283,7 @@
     let progress = format!("progress/{}/0", id(FIRST_OLD_JOB));
     world.store.put_record(&progress, json!("c0"));
     world.run(20_000);
-    assert!(!world.store.keys.contains_key(&progress));
+    assert!(!world.store.records.contains_key(&progress));
 }
 
 #[test]
@@ -290,7 +291,7 @@
     let mut world = World::new(3, 10);
     world.run(3_000);
     world.accept(0, &job(1, "t1", 1, 600.0));
-    let live = world.store.keys[&job_key(1)].0.clone();
+    let live = world.store.records[&job_key(1)].value.clone();
     let total = 3 * (MAX_FINAL_JOBS + FINAL_JOBS_BATCH) as u32;
     for number in 0..total {
         let key = job_key(FIRST_OLD_JOB + number);
--- a/tests/large_fleet.rs
+++ b/tests/large_fleet.rs
@@ -44,7 +44,7 @@
     let starts = world.oracle.starts.len();
     world.crash(leader, 4_000);
     let done = |world: &World, id: u32| {
-        world.store.keys.get(&format!("w/job/run-{id:06}")).is_some_and(|record| record.0["s"] == "d")
+        world.store.job(&format!("run-{id:06}")).is_some_and(|record| record["s"] == "d")
     };
     let end = world.now + 200_000;
     while !(0..jobs).all(|id| done(&world, id)) && world.now < end {
--- a/tests/pipelines.rs
+++ b/tests/pipelines.rs
@@ -10,14 +10,16 @@
 mod support;
 
 use serde_json::{Value, json};
-use support::{World, job};
+use std::collections::HashSet;
+use support::store::StoredRecord;
+use support::{AnnouncedLimits, World, job};
 use woadlever::core::HttpRequest;
 
 /// What the store takes after its limits have fallen.
-const NEXT: support::Next = (2.0, 4, 15.0);
+const NEXT: AnnouncedLimits = AnnouncedLimits { value_kb: 2.0, mutations: 4, mutations_per_s: 15.0 };
 
 fn world(seed: u64) -> World {
-    let mut w = World::announced(3, seed, NEXT);
+    let mut w = World::with_announced_limits(3, seed, NEXT);
     w.run(5_000);
     w
 }
@@ -48,10 +50,8 @@
 }
 
 fn state_of(w: &World, n: u32) -> String {
-    w.store
-        .keys
-        .get(&format!("w/job/{}", id(n)))
-        .map_or(String::new(), |v| v.0["s"].as_str().unwrap_or_default().to_string())
+    let state = w.store.job(&id(n)).and_then(|record| record["s"].as_str());
+    state.unwrap_or_default().to_string()
 }
 
 #[test]
@@ -172,7 +172,7 @@
     // Repeats count once; null and nothing are the same.
     j["awaits"] = json!([id(1), id(1), id(1)]);
     assert_eq!(submit(&mut w, 2, &j).0, 201);
-    let rec = w.store.keys[&format!("w/job/{}", id(2))].0.clone();
+    let rec = w.store.job(&id(2)).unwrap().clone();
     assert_eq!(rec["w"], "000001");
     j = stage(3, &[]);
     j["awaits"] = Value::Null;
@@ -264,7 +264,7 @@
     while state_of(&w, 1) != "d" {
         w.run(500);
     }
-    let at = w.store.keys[&format!("w/job/{}", id(1))].0["t"].as_u64().unwrap();
+    let at = w.store.job(&id(1)).unwrap()["t"].as_u64().unwrap();
     let now = 1_000_000_000 + w.now;
     assert!(at <= now && at + 5_000 > now);
     let leader = w.leader().unwrap();
@@ -380,7 +380,7 @@
 fn long_chains_and_wide_fans_are_cancelled_step_by_step() {
     let mut w = world(19);
     w.run_ms = 300_000;
-    w.fall();
+    w.lower_store_limits();
     w.accept(0, &stage(1, &[]));
     for n in 2..42 {
         let s = stage(n, &[if n < 22 { n - 1 } else { 1 }]);
@@ -417,8 +417,8 @@
 }
 
 fn longest(w: &World, prefix: &str) -> usize {
-    let keys = w.store.keys.iter().filter(|(k, _)| k.starts_with(prefix));
-    keys.map(|(_, v)| v.0.to_string().len()).max().unwrap_or(0)
+    let records = w.store.records_under(prefix);
+    records.map(|(_, record)| record.value.to_string().len()).max().unwrap_or(0)
 }
 
 /// What the version in production left is taken up, brought under the limits to
@@ -431,7 +431,7 @@
         let running = w.oracle.starts.len();
         // The limits may come first, while the long records are there.
         if first {
-            w.fall();
+            w.lower_store_limits();
         }
         always_on_record(&mut w, 6_000);
         // A shard owner is lost amid the move.
@@ -440,7 +440,7 @@
         always_on_record(&mut w, 12_000);
         assert!(longest(&w, "place/") <= 2_048, "{} bytes", longest(&w, "place/"));
         if !first {
-            w.fall();
+            w.lower_store_limits();
         }
         let all: Vec<usize> = (0..3).collect();
         for n in all {
@@ -461,7 +461,7 @@
         // records longer than the limit by now.
         assert!(w.until_done(&id(77), 200_000));
         w.run(5_000);
-        assert!(!w.store.keys.keys().any(|k| k.starts_with("progress/")), "records left behind");
+        assert!(w.store.records_under("progress/").next().is_none(), "records left behind");
         let long = w.store.rejected.len();
         assert!(long <= 4, "{long} times too long: {:?}", w.store.rejected);
         w.fair();
@@ -473,16 +473,17 @@
 #[test]
 fn an_attempt_on_two_records_is_one() {
     let mut w = World::from_production(26, NEXT);
-    w.fall();
+    w.lower_store_limits();
     let twice = |w: &World| {
-        let mut seen = std::collections::HashSet::new();
-        let rows = w.store.keys.iter().filter(|(k, _)| k.starts_with("place/"));
-        let ids = rows.flat_map(|(_, v)| {
-            let base = v.0["b"].as_u64().unwrap();
-            let rows = v.0["m"].as_array().unwrap().clone();
-            rows.into_iter().flat_map(move |m| {
-                let list = m[3].as_array().unwrap().clone();
-                list.chunks(3).map(|t| base + t[2].as_u64().unwrap()).collect::<Vec<_>>()
+        let mut seen = HashSet::new();
+        let records = w.store.records_under("place/");
+        let ids = records.flat_map(|(_, record)| {
+            let base = record.value["b"].as_u64().unwrap();
+            let rows = record.value["m"].as_array().unwrap().clone();
+            rows.into_iter().flat_map(move |row| {
+                let attempts = row[3].as_array().unwrap().clone();
+                let number = |attempt: &[Value]| base + attempt[2].as_u64().unwrap();
+                attempts.chunks(3).map(number).collect::<Vec<_>>()
             })
         });
         ids.filter(|id| !seen.insert(*id)).count()
@@ -500,32 +501,35 @@
     w.fair();
 }
 
-/// Machines on their way back are on a record at any moment too: without it a
-/// later shard owner could use one whose return is still carried out.
+/// The name of a machine that is being terminated.
+fn terminating_machine(index: usize) -> String {
+    format!("host-{:06}", 1_000 + 2 * index)
+}
+
+/// Terminating machines are on a record at any moment too: without it a later shard owner
+/// could use one whose return is still carried out.
 #[test]
 fn machines_on_their_way_back_stay_on_record_while_a_long_one_shrinks() {
     for (seed, moves, lossy) in [(27, 40, 0.0), (28, 90, 0.4)] {
         let mut w = World::from_production(seed, NEXT);
         w.store_faults.loss = lossy;
         let key = "place/east.0/0";
-        let mut rec = w.store.keys[key].0.clone();
-        for i in 0..moves {
-            let name = format!("host-{:06}", 1_000 + 2 * i);
-            rec["m"].as_array_mut().unwrap().push(json!([name, 0, 4, []]));
+        let record = w.store.records.get_mut(key).unwrap();
+        for index in 0..moves {
+            let row = json!([terminating_machine(index), 0, 4, []]);
+            record.value["m"].as_array_mut().unwrap().push(row);
         }
-        let (_, version, lease) = w.store.keys[key].clone();
-        w.store.keys.insert(key.into(), (rec, version, lease));
         // They can't be returned now.
         w.cloud.is_down = true;
-        w.fall();
+        w.lower_store_limits();
         let on_record = |w: &World| {
-            let rows = w.store.keys.iter().filter(|(k, _)| k.starts_with("place/east"));
-            let names = rows.flat_map(|(_, v)| v.0["m"].as_array().unwrap().clone());
-            let back: std::collections::HashSet<String> = names
-                .filter(|m| m[2].as_u64().unwrap() & 4 != 0)
-                .map(|m| m[0].as_str().unwrap().to_string())
+            let records = w.store.records_under("place/east");
+            let rows = records.flat_map(|(_, record)| record.value["m"].as_array().unwrap().clone());
+            let terminating: HashSet<String> = rows
+                .filter(|row| row[2].as_u64().unwrap() & 4 != 0)
+                .map(|row| row[0].as_str().unwrap().to_string())
                 .collect();
-            (0..moves).filter(|i| back.contains(&format!("host-{:06}", 1_000 + 2 * i))).count()
+            (0..moves).filter(|index| terminating.contains(&terminating_machine(*index))).count()
         };
         for _ in 0..1_200 {
             w.run(25);
@@ -543,7 +547,7 @@
 /// the smallest limits, and leaves nothing behind.
 #[test]
 fn a_job_of_many_tasks_goes_on_when_the_limits_fall() {
-    let mut w = World::announced(3, 22, NEXT);
+    let mut w = World::with_announced_limits(3, 22, NEXT);
     w.cloud.capacity = 0;
     w.run_ms = 300;
     w.run(5_000);
@@ -556,15 +560,15 @@
     j["memory_gb"] = json!(0.25);
     w.accept(0, &j);
     w.run(15_000);
-    let done = |w: &World| w.store.keys.keys().filter(|k| k.starts_with("progress/")).count();
+    let done = |w: &World| w.store.records_under("progress/").count();
     assert_eq!(done(&w), 1);
     // Bits far apart: every whole chunk is as long as it can be.
     let full = "ff".repeat(2_048);
-    for c in 0..6 {
+    for segment in 0..6 {
         w.store.revision += 1;
-        let r = w.store.revision;
-        let bits = if c == 5 { full[..4_000].to_string() } else { full.clone() };
-        w.store.keys.insert(format!("progress/{}/{c}", id(1)), (json!(bits), r, None));
+        let bits = if segment == 5 { &full[..4_000] } else { &full };
+        let record = StoredRecord { value: json!(bits), version: w.store.revision, lease: None };
+        w.store.records.insert(format!("progress/{}/{segment}", id(1)), record);
     }
     for t in 0..98_000u32 {
         w.oracle.starts.entry(format!("{}/{t}", id(1))).or_insert(1);
@@ -573,7 +577,7 @@
         w.crash(n, 500);
     }
     w.run(4_000);
-    w.fall();
+    w.lower_store_limits();
     w.run(8_000);
     let leader = w.leader().unwrap();
     w.crash(leader, 1_000);
@@ -588,8 +592,8 @@
 /// user API knows them all after a restart.
 #[test]
 fn a_long_catalog_is_kept_in_parts() {
-    let mut w = World::announced(3, 23, NEXT);
-    w.fall();
+    let mut w = World::with_announced_limits(3, 23, NEXT);
+    w.lower_store_limits();
     w.cloud.more_types = 30;
     w.run(20_000);
     assert!(longest(&w, "w/catalog") <= 2_048);
@@ -631,7 +635,7 @@
     let mut w = world(24);
     w.accept(0, &stage(1, &[]));
     w.accept(0, &stage(2, &[1]));
-    let rec = |n: u32| w.store.keys[&format!("w/job/{}", id(n))].0.clone();
+    let rec = |n: u32| w.store.job(&id(n)).unwrap().clone();
     assert!(rec(1)["j"].is_object() && rec(1).get("w").is_none() && rec(1).get("p").is_none());
     assert!(rec(2).get("j").is_none() && rec(2)["p"].is_object() && rec(2)["s"] == "l");
 }
--- a/tests/recovery.rs
+++ b/tests/recovery.rs
@@ -53,10 +53,7 @@
         .filter(|task| task.state != TaskState::Exited || task.why.as_deref() == Some("done"))
         .map(|task| format!("{}/{}", task.job, task.task))
         .collect();
-    let is_open = |id: &str| {
-        let record = world.store.keys.get(&format!("w/job/{id}"));
-        record.is_some_and(|record| record.0["s"] == "l")
-    };
+    let is_open = |id: &str| world.store.job(id).is_some_and(|record| record["s"] == "l");
     let mut needed = 0;
     for (id, spec) in world.users.jobs.iter().filter(|(id, _)| is_open(id)) {
         let tasks = spec["pieces"].as_u64().unwrap();
@@ -68,8 +65,8 @@
 
 /// Whether the progress on record says that a task is done.
 fn is_recorded_done(world: &World, id: &str, task: u64) -> bool {
-    let Some(record) = world.store.keys.get(&format!("progress/{id}/0")) else { return false };
-    let digits = record.0.as_str().unwrap_or_default().as_bytes();
+    let Some(progress) = world.store.value(&format!("progress/{id}/0")) else { return false };
+    let digits = progress.as_str().unwrap_or_default().as_bytes();
     let byte = (task / 8) as usize;
     let place = byte * 2 + usize::from(task % 8 < 4);
     let digit = digits.get(place).and_then(|digit| (*digit as char).to_digit(16)).unwrap_or(0);
@@ -298,8 +295,9 @@
     assert!(world.until_done("run-000001", 120_000));
     // Idle machines are drained; the loss comes once a return is on record.
     let terminating = |world: &World| -> Vec<String> {
-        let records = world.store.keys.iter().filter(|(key, _)| key.starts_with("place/"));
-        let rows = records.flat_map(|(_, value)| value.0["m"].as_array().cloned().unwrap_or_default());
+        let records = world.store.records_under("place/");
+        let rows =
+            records.flat_map(|(_, record)| record.value["m"].as_array().cloned().unwrap_or_default());
         rows.filter(|row: &Value| row[2].as_u64().unwrap_or(0) & 4 != 0)
             .map(|row| row[0].as_str().unwrap().to_string())
             .collect()
--- a/tests/scenarios/cancellation.rs
+++ b/tests/scenarios/cancellation.rs
@@ -62,7 +62,7 @@
     w.run(20_000);
     w.store_faults.slow_writes.clear();
     w.run(20_000);
-    assert_eq!(w.store.keys["w/job/run-000001"].0["s"], "c");
+    assert_eq!(w.store.job("run-000001").unwrap()["s"], "c");
     for n in 0..3 {
         assert_eq!(w.status(n, "run-000001"), "withdrawn");
     }
--- a/tests/scenarios/failover.rs
+++ b/tests/scenarios/failover.rs
@@ -77,11 +77,14 @@
 fn a_leader_back_at_once_gives_up_its_former_lease() {
     let mut w = world(8);
     let old = w.leader().unwrap();
-    let term = w.store.keys["w/leader"].1;
+    let term = w.store.records["w/leader"].version;
     w.crash(old, 200);
     w.run(1_500);
     assert!(w.leader().is_some());
-    assert!(w.store.keys["w/leader"].1 > term, "waited for the lease of a process known to be gone");
+    assert!(
+        w.store.records["w/leader"].version > term,
+        "waited for the lease of a process known to be gone"
+    );
 }
 
 /// Invariant 7: a success is cleared from its machine only once it is on
@@ -210,9 +213,9 @@
         w.network.cuts.clear();
         w.run(12_000);
         let name = format!("n{victim}");
-        let held =
-            w.store.keys.iter().any(|(k, v)| k.starts_with("w/block/") && v.0["node"] == name.as_str());
-        assert!(held, "it does not take part again");
+        let owns_a_shard =
+            w.store.records_under("w/block/").any(|(_, record)| record.value["node"] == name.as_str());
+        assert!(owns_a_shard, "it does not take part again");
         assert_eq!(w.status(victim, "run-000001"), "running");
         w.fair();
     }
--- a/tests/scenarios/fleet.rs
+++ b/tests/scenarios/fleet.rs
@@ -61,7 +61,7 @@
         .returned
         .iter()
         .filter(|n| !before.contains(n))
-        .filter(|n| w.record_of(n).is_some_and(|(_, row)| !row[3].as_array().unwrap().is_empty()))
+        .filter(|n| w.placement_of(n).is_some_and(|(_, row)| !row[3].as_array().unwrap().is_empty()))
         .collect();
     assert!(busy.is_empty(), "returned {busy:?}");
     assert!(w.oracle.starts.values().all(|n| *n == 1));
@@ -108,7 +108,7 @@
     w.run(5_000);
     w.accept(0, &job(1, "t0", 2, 5.0));
     w.run(900_000);
-    let at = w.store.keys["fleet"].0["at"].as_u64().unwrap();
+    let at = w.store.records["fleet"].value["at"].as_u64().unwrap();
     assert!(at + 11_000 > 1_000_000_000 + w.now, "the newest window is on record");
     w.fair();
 }
--- a/tests/scenarios/random_faults.rs
+++ b/tests/scenarios/random_faults.rs
@@ -121,10 +121,10 @@
         w.run(60_000);
         for id in &ids {
             if !w.users.cancelled.contains_key(id) {
-                let s = w.store.keys.get(&format!("w/job/{id}")).map(|v| v.0["s"].clone());
+                let state = w.store.job(id).map(|record| record["s"].clone());
                 assert!(
-                    s == Some(json!("c")) || w.until_done(id, 200_000),
-                    "seed {seed}: {id} is stuck as {s:?}"
+                    state == Some(json!("c")) || w.until_done(id, 200_000),
+                    "seed {seed}: {id} is stuck as {state:?}"
                 );
             }
         }
--- a/tests/scenarios/scale.rs
+++ b/tests/scenarios/scale.rs
@@ -24,7 +24,7 @@
         w.crash(n, 3_000 + 400 * n as u64);
     }
     let left = |w: &World| {
-        let done = |id: &u32| w.store.keys[&format!("w/job/run-{id:06}")].0["s"] == "d";
+        let done = |id: &u32| w.store.job(&format!("run-{id:06}")).unwrap()["s"] == "d";
         (0..jobs).filter(|id| !done(id)).count()
     };
     let from = w.now;
--- a/tests/scenarios/store.rs
+++ b/tests/scenarios/store.rs
@@ -48,9 +48,9 @@
     w.run(8_000);
     assert_eq!(ready(&mut w, victim), 503);
     let name = format!("n{victim}");
-    let held =
-        w.store.keys.iter().any(|(k, v)| k.starts_with("w/block/") && v.0["node"] == name.as_str());
-    assert!(!held, "it keeps blocks that it can't serve");
+    let owns_a_shard =
+        w.store.records_under("w/block/").any(|(_, record)| record.value["node"] == name.as_str());
+    assert!(!owns_a_shard, "it keeps shards that it can't serve");
     w.store.refuses.clear();
     w.run(5_000);
     assert_eq!(ready(&mut w, victim), 200);
--- a/tests/scenarios/workers.rs
+++ b/tests/scenarios/workers.rs
@@ -1,6 +1,7 @@
 //! Workers are late, silent, unreachable, restarted or sick.
 
 use crate::fixtures::{busy_machine, busy_world, idle_east, world};
+use crate::support::store::StoredRecord;
 use crate::support::{World, job};
 use serde_json::{Value, json};
 
@@ -34,8 +35,8 @@
     let mut w = busy_world(45, 6);
     let (m, _) = busy_machine(&w);
     let name = w.workers[m].name.clone();
-    let (key, old_row) = w.record_of(&name).unwrap();
-    let old = w.store.keys[&key].0.clone();
+    let (key, old_row) = w.placement_of(&name).unwrap();
+    let old = w.store.records[&key].value.clone();
     w.workers[m].alive = false;
     w.run(60_000);
     let again: u32 = w.oracle.starts.values().filter(|n| **n == 2).count() as u32;
@@ -52,7 +53,7 @@
     w.cloud.is_down = true;
     w.store.revision += 1;
     let revision = w.store.revision;
-    let mut rec = w.store.keys[&key].0.clone();
+    let mut rec = w.store.records[&key].value.clone();
     // The old row counts jobs by their place in the old record.
     let jobs = rec["j"].as_array().unwrap().len();
     let old_jobs = old["j"].as_array().unwrap().clone();
@@ -61,7 +62,7 @@
     let number = |v: &Value| v.as_u64().unwrap();
     let base = number(&rec["b"]).min(number(&old["b"]));
     for r in rec["m"].as_array_mut().unwrap().iter_mut() {
-        let more = number(&w.store.keys[&key].0["b"]) - base;
+        let more = number(&w.store.records[&key].value["b"]) - base;
         for t in r[3].as_array_mut().unwrap().chunks_mut(3) {
             t[2] = json!(number(&t[2]) + more);
         }
@@ -73,7 +74,8 @@
     rec["b"] = json!(base);
     rec["m"].as_array_mut().unwrap().retain(|r| r[0] != name.as_str());
     rec["m"].as_array_mut().unwrap().push(row);
-    w.store.keys.insert(key, (rec, revision, None));
+    let record = StoredRecord { value: rec, version: revision, lease: None };
+    w.store.records.insert(key, record);
     for n in 0..3 {
         w.crash(n, 1_000);
     }
@@ -122,7 +124,7 @@
     // Its lease has ended. What was sent there in vain has been given up for
     // others, and nothing new is bound to it.
     let name = w.workers[victim].name.clone();
-    let row = w.record_of(&name).map(|(_, row)| row[3].as_array().unwrap().len());
+    let row = w.placement_of(&name).map(|(_, row)| row[3].as_array().unwrap().len());
     assert!(row.unwrap_or(0) == 0, "{row:?}");
     w.run(25_000);
     assert!(w.cloud.returned.contains(&name), "it is still there");
@@ -180,7 +182,7 @@
     assert!(w.workers.iter().all(|x| !x.alive || x.incarnation == 1), "a true worker lost its lease");
     let again = w.oracle.starts.values().filter(|n| **n > 1).count();
     assert_eq!(again, lost, "just what was lost runs again");
-    assert!(w.record_of(&name).is_none_or(|(_, row)| row[3].as_array().unwrap().is_empty()));
+    assert!(w.placement_of(&name).is_none_or(|(_, row)| row[3].as_array().unwrap().is_empty()));
     w.fair();
 }
 
@@ -223,7 +225,7 @@
     let r = w.submit(1, &job(1, "t1", 16, 60.0));
     for _ in 0..12 {
         w.run(500);
-        let row = w.record_of(&name).map(|(_, row)| row[3].as_array().unwrap().len());
+        let row = w.placement_of(&name).map(|(_, row)| row[3].as_array().unwrap().len());
         assert!(row.unwrap_or(0) == 0, "work for a machine that is gone");
     }
     assert_eq!(w.users.answers[&r].status, 201);
--- a/tests/support/cells.rs
+++ b/tests/support/cells.rs
@@ -7,18 +7,22 @@
 use serde_json::Value;
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
 use woadlever::config::Operator;
+use woadlever::core::HttpRequest;
 use woadlever::wire::workers::TaskState;
 use woadlever_cells::message::CellMessage;
 
+/// Time for which each cell runs in turn.
 const STEP_MS: u64 = 25;
+/// Time between two checks where machines are many.
 const LARGE_CHECK_GAP_MS: u64 = 1_000;
 /// How long a message between cells takes.
 const LATENCY_MS: u64 = 20;
-/// A late copy arrives up to so much later.
+/// The longest delay of a late copy of a message.
 const LATEST_COPY_MS: u64 = 90_000;
 
 /// Cells that know each other, in lockstep.
 pub struct Cells {
+    /// The cells, by number.
     pub worlds: Vec<World>,
     /// (from, to): messages on this way are lost.
     pub cut: HashSet<(usize, usize)>,
@@ -26,10 +30,11 @@
     pub held: HashMap<(usize, usize), Vec<CellMessage>>,
     /// Messages of one way (from, to), kept for later.
     pub recorded: Option<((usize, usize), Vec<CellMessage>)>,
-    /// Share of messages that are lost, and of which a late copy arrives.
+    /// Share of messages that are lost.
     pub loss: f64,
+    /// Share of messages of which a late copy arrives.
     pub late_copies: f64,
-    /// The oracle looks at all tasks so often.
+    /// Time between two checks of all tasks by the oracle.
     check_gap_ms: u64,
     /// The longest message between cells, in bytes, where machines are many.
     pub longest_message: usize,
@@ -54,8 +59,7 @@
 }
 
 impl Cells {
-    /// So many cells of three controllers each. The first is full with `machines` of its
-    /// cloud's; the others have the room that their cloud has.
+    /// `count` cells of three controllers each, with the capacity that their clouds have.
     pub fn new(count: usize, seed: u64) -> Cells {
         Cells::with_settings(count, seed, "")
     }
@@ -90,6 +94,7 @@
         }
     }
 
+    /// Simulated time in milliseconds, the same in all cells.
     pub fn now(&self) -> u64 {
         self.worlds[0].now
     }
@@ -114,7 +119,6 @@
 
     /// A user of one cell cancels a job; whether that was confirmed.
     pub fn cancel(&mut self, cell: usize, id: &str) -> bool {
-        use woadlever::core::HttpRequest;
         self.worlds[cell].users.asked_to_cancel.insert(id.into());
         for _ in 0..20 {
             let request = self.worlds[cell].ask(0, HttpRequest::Cancel(id.into()));
@@ -133,18 +137,14 @@
 
     /// What a user of a cell is told of a job.
     pub fn status(&mut self, cell: usize, id: &str) -> String {
-        use woadlever::core::HttpRequest;
         let request = self.worlds[cell].ask(0, HttpRequest::Status(id.into()));
         self.run(300);
-        self.worlds[cell].users.answers.get(&request).map_or("none".into(), |answer| {
-            let body: Value = serde_json::from_str(&answer.body).unwrap_or_default();
-            body["status"].as_str().map_or(answer.status.to_string(), str::to_string)
-        })
+        self.worlds[cell].status_answered(request)
     }
 
     /// The state of a job on record in a cell, with its forwarding and origin.
     pub fn record(&self, cell: usize, id: &str) -> Option<Value> {
-        self.worlds[cell].store.keys.get(&format!("w/job/{id}")).map(|(value, ..)| value.clone())
+        self.worlds[cell].store.job(id).cloned()
     }
 
     /// Where the record of the origin says that the job is: none if it is there.
@@ -168,6 +168,7 @@
         tasks.filter(|task| task.job == id && task.state != TaskState::Exited).count()
     }
 
+    /// Ends all processes of a cell; they start anew after `back_ms`.
     pub fn crash_cell(&mut self, cell: usize, back_ms: u64) {
         for node in 0..3 {
             self.worlds[cell].crash(node, back_ms);
@@ -175,10 +176,11 @@
     }
 
     /// Messages between the two cells are lost, both ways.
-    pub fn part(&mut self, a: usize, b: usize) {
-        self.cut.extend([(a, b), (b, a)]);
+    pub fn part(&mut self, one: usize, other: usize) {
+        self.cut.extend([(one, other), (other, one)]);
     }
 
+    /// All messages between cells arrive again.
     pub fn join(&mut self) {
         self.cut.clear();
     }
@@ -207,6 +209,7 @@
         self.queue.insert((self.now() + delay, self.sequence), (to, message));
     }
 
+    /// Lets the time pass in all cells.
     pub fn run(&mut self, ms: u64) {
         let end = self.now() + ms;
         while self.now() < end {
@@ -221,6 +224,7 @@
         }
     }
 
+    /// Lets the time pass until something holds; whether it did within the limit.
     pub fn until(&mut self, limit_ms: u64, holds: impl Fn(&Cells) -> bool) -> bool {
         let end = self.now() + limit_ms;
         while self.now() < end && !holds(self) {
@@ -229,6 +233,7 @@
         holds(self)
     }
 
+    /// The same until a cell has a job on record as done.
     pub fn until_done(&mut self, cell: usize, id: &str, limit_ms: u64) -> bool {
         self.until(limit_ms, |cells| cells.record(cell, id).is_some_and(|record| record["s"] == "d"))
     }
@@ -288,8 +293,8 @@
                     if other.is_some_and(|other| other != cell) {
                         self.broken.push(format!("{now} {}/{} runs in two cells", task.job, task.task));
                     }
-                    let at = world.users.cancelled.get(&task.job);
-                    if at.is_some_and(|at| now > at + CANCEL_MS) {
+                    let cancelled_at = world.users.cancelled.get(&task.job);
+                    if cancelled_at.is_some_and(|at| now > at + CANCEL_MS) {
                         self.broken.push(format!("{now} ran_cancelled {} in c{cell}", task.job));
                     }
                 }
@@ -302,6 +307,7 @@
         }
     }
 
+    /// Ends the test if a rule was broken, in a cell or between cells.
     pub fn fair(&self) {
         let few = &self.broken[..self.broken.len().min(5)];
         assert!(self.broken.is_empty(), "rules broken between cells: {few:?}");
--- a/tests/support/controllers.rs
+++ b/tests/support/controllers.rs
@@ -1,4 +1,4 @@
-//! The controllers: processes that start, end, stand still and go on.
+//! The controllers: processes that start, crash, are suspended and resumed.
 
 use super::settings::sized_platform;
 use super::{World, ZONES};
@@ -11,7 +11,9 @@
 
 /// A process of a node.
 pub struct Process {
+    /// What it runs.
     pub core: Core,
+    /// Tells it from the node's earlier processes.
     pub incarnation: u64,
     /// When it started; its steady clock starts with it.
     started_at: u64,
@@ -20,10 +22,11 @@
 /// A node, with its process if one runs.
 #[derive(Default)]
 pub struct Controller {
+    /// The process that runs, if any.
     pub process: Option<Process>,
     /// When the next process starts, if none runs.
     pub restart_at: u64,
-    /// What has reached it while it stands still.
+    /// What has reached it while it is suspended.
     paused: Option<Vec<Input>>,
     /// How much faster than true its steady clock runs.
     pub drift: f64,
@@ -46,24 +49,25 @@
     pub fn boot(&mut self, node: usize) {
         self.last_incarnation += 1;
         let incarnation = self.last_incarnation;
-        let mut platform = sized_platform(self.size, node, self.node_count, self.next_limits);
+        let mut platform = sized_platform(self.size, node, self.node_count, self.announced_limits);
         platform.cluster.teams.retain(|team| Some(team.name.as_str()) != self.without_team);
         let core = Core::new(Arc::new(platform), self.operator.clone(), incarnation, incarnation * 7, 1);
         self.controllers[node].process = Some(Process { core, incarnation, started_at: self.now });
     }
 
+    /// Ends the process of a node; the next one starts after `back_ms`.
     pub fn crash(&mut self, node: usize, back_ms: u64) {
         self.controllers[node].process = None;
         self.controllers[node].restart_at = self.now + back_ms;
         self.worker_requests.retain(|(asked, _), _| *asked != node);
     }
 
-    /// The process stands still while its clocks run on.
+    /// Suspends the process of a node while its clocks run on.
     pub fn freeze(&mut self, node: usize) {
         self.controllers[node].paused = Some(Vec::new());
     }
 
-    /// It goes on, with everything that came in meanwhile, all at one moment.
+    /// Resumes a suspended process, with everything that came in meanwhile at one moment.
     pub fn thaw(&mut self, node: usize) {
         for input in self.controllers[node].paused.take().unwrap_or_default() {
             if !matches!(input, Input::Tick) {
@@ -94,8 +98,8 @@
 
     /// The node that the leader's record names.
     pub fn leader(&self) -> Option<usize> {
-        let record = self.store.keys.get("w/leader")?;
-        record.0["node"].as_str()?.strip_prefix('n')?.parse().ok()
+        let record = self.store.value("w/leader")?;
+        record["node"].as_str()?.strip_prefix('n')?.parse().ok()
     }
 
     /// The node that owns a machine's shard, as the records say.
@@ -107,7 +111,7 @@
         let shards = woadlever::model::shards_of(&platform.cluster.zones, &nodes);
         let worker = &self.workers[worker];
         let shard = woadlever::model::shard_of(&shards, &worker.zone, &worker.name).unwrap();
-        let record = &self.store.keys[&format!("w/block/{}", shards[shard.place()].name)].0;
+        let record = &self.store.records[&format!("w/block/{}", shards[shard.place()].name)].value;
         record["node"].as_str().unwrap()[1..].parse().unwrap()
     }
 }
@@ -117,7 +121,7 @@
     ZONES[node % ZONES.len()]
 }
 
-/// The node that sent a frame.
+/// The node that sent a frame; none if its name isn't one of a world's.
 pub(super) fn sender_of(frame: &Frame) -> Option<usize> {
     frame.from[1..].parse().ok()
 }
--- a/tests/support/events.rs
+++ b/tests/support/events.rs
@@ -254,7 +254,7 @@
                 None => self.on_direct_commands(worker, commands),
             },
             Event::UserAnswer { request, answer } => {
-                self.hear(&answer);
+                self.check_answer(&answer);
                 self.users.answers.insert(request, answer);
             }
         }
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -13,12 +13,12 @@
 mod production;
 mod recorder;
 mod settings;
-mod store;
+pub mod store;
 mod store_faults;
 mod users;
 mod workers;
 
-pub use settings::{Next, job, platform};
+pub use settings::{AnnouncedLimits, job, platform};
 pub use store_faults::Fate;
 pub use workers::{CommandCounts, Worker, WorkerTask};
 
@@ -33,32 +33,52 @@
 use serde_json::Value;
 use settings::Size;
 use std::collections::{BTreeMap, HashMap};
-use store::Store;
+use store::{LoweredLimits, Store, StoreRates};
 use store_faults::StoreFaults;
 use users::Users;
 use woadlever::config::Operator;
 use woadlever::core::{Answer, Input};
 use woadlever_cells::message::CellMessage;
 
+/// The zones of each world; nodes and machines alternate between them.
 pub const ZONES: [&str; 2] = ["east", "west"];
+/// How long a worker's lease lasts.
 pub const LEASE_MS: u64 = 20_000;
+/// The time within which a cancelled job has to end.
 pub const CANCEL_MS: u64 = 40_000;
 /// Time between two ticks of all controllers and workers.
 const TICK_MS: u64 = 25;
+/// How long tasks run, unless a test says otherwise.
 const RUN_MS: u64 = 10_000;
 
+/// Rates of the store as the settings of large worlds say.
+const LARGE_RATES: StoreRates = StoreRates { requests: 150.0, mutations: 20.0 };
+/// The same for worlds of thousands of machines.
+const FLEET_RATES: StoreRates = StoreRates { requests: 200.0, mutations: 70.0 };
+
 /// A cluster with all that is around it.
 pub struct World {
+    /// Simulated time in milliseconds.
     pub now: u64,
+    /// The source of all that is random, seeded by the test.
     pub rng: StdRng,
+    /// Nodes that controllers run on.
     pub node_count: usize,
+    /// The nodes with their processes, by number.
     pub controllers: Vec<Controller>,
+    /// All machines that there ever were, with their workers.
     pub workers: Vec<Worker>,
+    /// The key-value store.
     pub store: Store,
+    /// What goes wrong with calls to the store.
     pub store_faults: StoreFaults,
+    /// The cloud.
     pub cloud: Cloud,
+    /// The network between all of them.
     pub network: Network,
+    /// What users asked and were answered.
     pub users: Users,
+    /// What has been started, and which rules were broken.
     pub oracle: Oracle,
     /// Commands that arrived at workers; a test may start the count anew.
     pub commands: CommandCounts,
@@ -70,7 +90,7 @@
     pub operator: Operator,
     size: Size,
     /// Limits of the store that are announced.
-    next_limits: Option<Next>,
+    announced_limits: Option<AnnouncedLimits>,
     last_incarnation: u64,
     /// Heartbeats without an answer yet: the worker and its number, by node and request.
     worker_requests: HashMap<(usize, u64), (usize, u64)>,
@@ -80,6 +100,7 @@
 }
 
 impl World {
+    /// A small world of one cell.
     pub fn new(nodes: usize, seed: u64) -> World {
         World::sized(nodes, seed, Size::Small, None, Operator::default())
     }
@@ -92,30 +113,32 @@
     /// The same for thousands of machines, with the rates of the settings enforced.
     pub fn large_cell(nodes: usize, seed: u64, operator: Operator) -> World {
         let mut world = World::sized(nodes, seed, Size::Fleet, None, operator);
-        world.store.rates = Some((200.0, 70.0));
+        world.store.rates = Some(FLEET_RATES);
         world.cloud.capacity = 0;
         world
     }
 
-    /// With limits announced that come later, by `fall`.
-    pub fn announced(nodes: usize, seed: u64, next: Next) -> World {
-        World::sized(nodes, seed, Size::Small, Some(next), Operator::default())
+    /// A small world whose settings announce lower limits of the store; they come into
+    /// force with [`World::lower_store_limits`].
+    pub fn with_announced_limits(nodes: usize, seed: u64, limits: AnnouncedLimits) -> World {
+        World::sized(nodes, seed, Size::Small, Some(limits), Operator::default())
     }
 
-    /// The announced limits come, without notice.
-    pub fn fall(&mut self) {
-        let (kb, ops, rate) = self.next_limits.expect("limits were announced");
-        self.store.fallen = Some((kb, ops));
+    /// The announced limits come into force, without notice.
+    pub fn lower_store_limits(&mut self) {
+        let AnnouncedLimits { value_kb, mutations, mutations_per_s } =
+            self.announced_limits.expect("limits were announced");
+        self.store.lowered_limits = Some(LoweredLimits { value_kb, mutations });
         if let Some(rates) = &mut self.store.rates {
-            rates.1 = rate;
+            rates.mutations = mutations_per_s;
         }
     }
 
-    /// With the rates of the settings enforced, and no machines to be had but
-    /// those that a scenario adds.
+    /// A world for hundreds of machines, with the rates of the settings enforced, and no
+    /// machines to be had but those that a scenario adds.
     pub fn large(nodes: usize, seed: u64) -> World {
         let mut world = World::sized(nodes, seed, Size::Large, None, Operator::default());
-        world.store.rates = Some((150.0, 20.0));
+        world.store.rates = Some(LARGE_RATES);
         world.cloud.capacity = 0;
         world
     }
@@ -123,12 +146,18 @@
     /// The same for thousands of machines.
     pub fn fleet(nodes: usize, seed: u64) -> World {
         let mut world = World::sized(nodes, seed, Size::Fleet, None, Operator::default());
-        world.store.rates = Some((200.0, 70.0));
+        world.store.rates = Some(FLEET_RATES);
         world.cloud.capacity = 0;
         world
     }
 
-    fn sized(nodes: usize, seed: u64, size: Size, next: Option<Next>, operator: Operator) -> World {
+    fn sized(
+        nodes: usize,
+        seed: u64,
+        size: Size,
+        announced_limits: Option<AnnouncedLimits>,
+        operator: Operator,
+    ) -> World {
         let mut world = World {
             now: 1000,
             rng: StdRng::seed_from_u64(seed),
@@ -146,7 +175,7 @@
             without_team: None,
             operator,
             size,
-            next_limits: next,
+            announced_limits,
             last_incarnation: 100,
             worker_requests: HashMap::new(),
             queue: BTreeMap::new(),
@@ -164,15 +193,12 @@
         self.step(node, Input::Cell(Box::new(message)));
     }
 
-    /// The record that lists a machine, and the machine's row in it.
-    pub fn record_of(&self, name: &str) -> Option<(String, Value)> {
-        let records = self.store.keys.iter().filter(|(key, _)| key.starts_with("place/"));
-        records
-            .filter_map(|(key, record)| {
-                let rows = record.0["m"].as_array()?;
-                Some((key.clone(), rows.iter().find(|row| row[0] == name)?.clone()))
-            })
-            .next()
+    /// The key of the placement record that lists a machine, and the machine's row in it.
+    pub fn placement_of(&self, name: &str) -> Option<(String, Value)> {
+        self.store.records_under("place/").find_map(|(key, record)| {
+            let rows = record.value["m"].as_array()?;
+            Some((key.clone(), rows.iter().find(|row| row[0] == name)?.clone()))
+        })
     }
 
     /// Lets the time pass.
--- a/tests/support/network.rs
+++ b/tests/support/network.rs
@@ -6,6 +6,7 @@
 
 /// Stands for all workers where a pair of nodes is named.
 pub const WORKERS: usize = usize::MAX;
+/// How long frames between nodes take, unless a test says otherwise.
 const FRAME_MS: u64 = 2;
 
 /// What reaches whom, and when.
@@ -22,8 +23,9 @@
     pub lag: HashMap<usize, u64>,
     /// How long frames between nodes take.
     pub frame_ms: u64,
-    /// Frames that went from node to node, and the longest of them in bytes.
+    /// Frames that went from node to node.
     pub frames: u64,
+    /// The longest of them in bytes, where machines are many.
     pub longest_frame: usize,
     /// (node, peer): links that were opened anew.
     pub reconnects: Vec<(usize, String)>,
@@ -50,7 +52,7 @@
 
 impl Network {
     /// Whether two nodes, or a node and the workers, can't reach each other.
-    pub(super) fn is_cut(&self, a: usize, b: usize) -> bool {
-        self.cuts.contains(&(a, b)) || self.cuts.contains(&(b, a))
+    pub(super) fn is_cut(&self, one: usize, other: usize) -> bool {
+        self.cuts.contains(&(one, other)) || self.cuts.contains(&(other, one))
     }
 }
--- a/tests/support/oracle.rs
+++ b/tests/support/oracle.rs
@@ -6,11 +6,15 @@
 use std::collections::{HashMap, HashSet};
 use woadlever::wire::workers::TaskState;
 
+/// No more tasks of a job are checked for having been started.
+pub(super) const CHECKED_TASKS: u64 = 200;
+
 /// What has been started, and the rules that were broken.
 #[derive(Default)]
 pub struct Oracle {
     /// Starts by task.
     pub starts: HashMap<String, u32>,
+    /// Rules that were broken, with the time and what broke them.
     pub broken: Vec<String>,
     called_done: HashSet<String>,
     /// Tasks that started after their job's cancellation was confirmed: how long
@@ -21,63 +25,74 @@
 }
 
 impl World {
-    /// The jobs that a job awaits, directly or through others.
-    pub fn before(&self, id: &str) -> Vec<String> {
-        let mut out: Vec<String> = Vec::new();
-        let mut list = vec![id.to_string()];
-        while let Some(id) = list.pop() {
-            for a in self.users.jobs.get(&id).and_then(|j| j["awaits"].as_array()).into_iter().flatten()
-            {
-                let a = a.as_str().unwrap_or_default().to_string();
-                if !out.contains(&a) {
-                    out.push(a.clone());
-                    list.push(a);
+    /// The jobs that a job depends on, directly or through others.
+    fn dependencies_of(&self, id: &str) -> Vec<String> {
+        let mut found: Vec<String> = Vec::new();
+        let mut unvisited = vec![id.to_string()];
+        while let Some(id) = unvisited.pop() {
+            let spec = self.users.jobs.get(&id);
+            let listed = spec.and_then(|spec| spec["awaits"].as_array());
+            for dependency in listed.into_iter().flatten() {
+                let dependency = dependency.as_str().unwrap_or_default().to_string();
+                if !found.contains(&dependency) {
+                    found.push(dependency.clone());
+                    unvisited.push(dependency);
                 }
             }
         }
-        out
+        found
     }
 
-    /// Holds an answer to a user against what users were told before.
-    pub(super) fn hear(&mut self, answer: &Answer) {
-        let v: Value = serde_json::from_str(&answer.body).unwrap_or_default();
-        let (Some(id), Some(status)) = (v["name_id"].as_str(), v["status"].as_str()) else { return };
-        if let Some(before) = self.users.told.get(id).filter(|b| *b != status) {
-            self.oracle.broken.push(format!("{} went_back {id}: {before}, then {status}", self.now));
+    /// Compares an answer to a user with what users were told before.
+    pub(super) fn check_answer(&mut self, answer: &Answer) {
+        let body: Value = serde_json::from_str(&answer.body).unwrap_or_default();
+        let (Some(id), Some(status)) = (body["name_id"].as_str(), body["status"].as_str()) else {
+            return;
+        };
+        if let Some(earlier) = self.users.told.get(id).filter(|earlier| *earlier != status) {
+            self.oracle.broken.push(format!("{} went_back {id}: {earlier}, then {status}", self.now));
         }
-        let mut family = self.before(id);
-        family.push(id.to_string());
         match status {
-            "queued" | "running" => {
-                let late = |a: &&String| {
-                    self.users.cancelled.get(*a).is_some_and(|at| self.now > at + CANCEL_MS)
-                };
-                if let Some(a) = family.iter().find(late) {
-                    self.oracle.broken.push(format!("{} orphaned {id}: {a} is withdrawn", self.now));
-                }
-            }
-            "withdrawn" => {
-                let key = |a: &String| format!("w/job/{a}");
-                let cancelled = |a: &String| {
-                    self.users.asked_to_cancel.contains(a)
-                        || self.store.keys.get(&key(a)).is_some_and(|v| v.0["s"] == "c" && a != id)
-                };
-                if !family.iter().any(cancelled) {
-                    self.oracle.broken.push(format!("{} went_back {id}: nobody cancelled it", self.now));
-                }
-                self.users.told.insert(id.into(), status.into());
-                if self.users.asked_to_cancel.contains(id) {
-                    self.users.cancelled.entry(id.into()).or_insert(self.now);
-                }
-            }
+            "queued" | "running" => self.check_called_unfinished(id),
+            "withdrawn" => self.check_called_cancelled(id),
             _ => {
                 self.users.told.insert(id.into(), status.into());
             }
         }
     }
 
+    /// The job and all that it depends on.
+    fn with_dependencies(&self, id: &str) -> Vec<String> {
+        let mut jobs = self.dependencies_of(id);
+        jobs.push(id.to_string());
+        jobs
+    }
+
+    /// A job is not called unfinished long after it or a dependency was cancelled.
+    fn check_called_unfinished(&mut self, id: &str) {
+        let was_cancelled_long_ago =
+            |job: &&String| self.users.cancelled.get(*job).is_some_and(|at| self.now > at + CANCEL_MS);
+        if let Some(cancelled) = self.with_dependencies(id).iter().find(was_cancelled_long_ago) {
+            self.oracle.broken.push(format!("{} orphaned {id}: {cancelled} is withdrawn", self.now));
+        }
+    }
+
+    /// A job is called cancelled only if somebody asked to cancel it or a dependency.
+    fn check_called_cancelled(&mut self, id: &str) {
+        let is_on_record = |job: &str| self.store.job(job).is_some_and(|record| record["s"] == "c");
+        let was_cancelled =
+            |job: &String| self.users.asked_to_cancel.contains(job) || is_on_record(job) && job != id;
+        if !self.with_dependencies(id).iter().any(was_cancelled) {
+            self.oracle.broken.push(format!("{} went_back {id}: nobody cancelled it", self.now));
+        }
+        self.users.told.insert(id.into(), "withdrawn".into());
+        if self.users.asked_to_cancel.contains(id) {
+            self.users.cancelled.entry(id.into()).or_insert(self.now);
+        }
+    }
+
     /// Checks the rules at the start of a task.
-    pub(super) fn started(&mut self, worker: usize, job: &str, task: u32) {
+    pub(super) fn check_start(&mut self, worker: usize, job: &str, task: u32) {
         *self.oracle.starts.entry(format!("{job}/{task}")).or_default() += 1;
         self.check_cancelled(job, task);
         self.check_runs_once(worker, job, task);
@@ -92,9 +107,9 @@
             self.oracle.broken.push(format!("{} wrong_place {job}/{task}", self.now));
         }
         // A look at all tasks of all machines for each start would take longer
-        // than the service itself; no team's limit is near here.
+        // than the service itself; no team's quota is near here.
         if self.size != Size::Fleet || self.oracle.starts.len().is_multiple_of(200) {
-            self.check_sums(&spec, job, task);
+            self.check_zones_and_quotas(&spec, job, task);
         }
     }
 
@@ -117,16 +132,16 @@
 
     fn check_dependencies(&mut self, spec: &Value, job: &str, task: u32) {
         for dependency in spec["awaits"].as_array().into_iter().flatten() {
-            let key = format!("w/job/{}", dependency.as_str().unwrap_or_default());
-            if self.store.keys.get(&key).is_none_or(|record| record.0["s"] != "d") {
+            let record = self.store.job(dependency.as_str().unwrap_or_default());
+            if record.is_none_or(|record| record["s"] != "d") {
                 let broken = format!("{} too_early {job}/{task}: {dependency} is not done", self.now);
                 self.oracle.broken.push(broken);
             }
         }
     }
 
-    /// Checks the zones of a job's tasks and what teams use in all.
-    fn check_sums(&mut self, spec: &Value, job: &str, task: u32) {
+    /// Checks the zones of a job's tasks, and what teams use against their quotas.
+    fn check_zones_and_quotas(&mut self, spec: &Value, job: &str, task: u32) {
         let mut zones: HashMap<&str, u64> = HashMap::new();
         let mut used: HashMap<&str, f64> = HashMap::new();
         for worker in self.workers.iter().filter(|worker| worker.alive) {
@@ -157,35 +172,41 @@
         }
     }
 
+    /// Checks the rules that hold at any time.
     pub(super) fn check(&mut self) {
+        self.check_cancelled_jobs_are_gone();
+        self.check_done_jobs_were_started();
+    }
+
+    fn check_cancelled_jobs_are_gone(&mut self) {
         for (job, at) in &self.users.cancelled {
+            let is_there = |task: &WorkerTask| task.job == *job && task.state != TaskState::Exited;
             if self.now > at + CANCEL_MS
-                && self.workers.iter().any(|w| {
-                    w.alive && w.tasks.iter().any(|t| t.job == *job && t.state != TaskState::Exited)
-                })
+                && self.workers.iter().any(|worker| worker.alive && worker.tasks.iter().any(is_there))
             {
                 self.oracle.broken.push(format!("{} ran_cancelled {job}", self.now));
             }
         }
-        // Starts only grow, so a job is looked at once, when it is called done.
+    }
+
+    /// Starts only grow, so a job is checked once, when it is called done.
+    fn check_done_jobs_were_started(&mut self) {
         for (id, spec) in &self.users.jobs {
-            if self.oracle.called_done.contains(id) {
+            let is_done = || self.store.job(id).is_some_and(|record| record["s"] == "d");
+            if self.oracle.called_done.contains(id) || !is_done() {
                 continue;
             }
-            let Some(v) = self.store.keys.get(&format!("w/job/{id}")) else { continue };
-            if v.0["s"] == "d" {
-                self.oracle.called_done.insert(id.clone());
-                for t in 0..spec["pieces"].as_u64().unwrap_or(0).min(200) {
-                    let task = format!("{id}/{t}");
-                    if !self.oracle.starts.contains_key(&task) && !self.oracle.elsewhere.contains(&task)
-                    {
-                        self.oracle.broken.push(format!("{} not_done {id}/{t}", self.now));
-                    }
+            self.oracle.called_done.insert(id.clone());
+            for number in 0..spec["pieces"].as_u64().unwrap_or(0).min(CHECKED_TASKS) {
+                let task = format!("{id}/{number}");
+                if !self.oracle.starts.contains_key(&task) && !self.oracle.elsewhere.contains(&task) {
+                    self.oracle.broken.push(format!("{} not_done {task}", self.now));
                 }
             }
         }
     }
 
+    /// Ends the test if a rule was broken.
     pub fn fair(&self) {
         assert!(
             self.oracle.broken.is_empty(),
@@ -193,26 +214,33 @@
             &self.oracle.broken[..self.oracle.broken.len().min(5)]
         );
     }
-    /// Tasks on machines that no record speaks of.
+
+    /// Tasks on machines that are on no placement record.
     pub fn off_record(&self) -> Vec<String> {
-        let mut listed: HashSet<(String, u64)> = HashSet::new();
-        for (_, v) in self.store.keys.iter().filter(|(k, _)| k.starts_with("place/")) {
-            let base = v.0["b"].as_u64().unwrap();
-            for m in v.0["m"].as_array().unwrap() {
-                let name = m[0].as_str().unwrap();
-                let ids = m[3].as_array().unwrap().chunks(3).map(|t| base + t[2].as_u64().unwrap());
-                listed.extend(ids.map(|id| (name.to_string(), id)));
+        let recorded = self.recorded_attempts();
+        let mut found = Vec::new();
+        for worker in self.workers.iter().filter(|worker| worker.alive) {
+            for task in worker.tasks.iter().filter(|task| task.state != TaskState::Exited) {
+                if !recorded.contains(&(worker.name.clone(), task.attempt)) {
+                    found.push(format!("{}/{} on {}", task.job, task.task, worker.name));
+                }
             }
         }
-        let mut out = Vec::new();
-        for w in self.workers.iter().filter(|w| w.alive) {
-            let live = |t: &&WorkerTask| t.state != TaskState::Exited;
-            for t in w.tasks.iter().filter(live) {
-                if !listed.contains(&(w.name.clone(), t.attempt)) {
-                    out.push(format!("{}/{} on {}", t.job, t.task, w.name));
-                }
+        found
+    }
+
+    /// Machines and attempts on placement records.
+    fn recorded_attempts(&self) -> HashSet<(String, u64)> {
+        let mut recorded = HashSet::new();
+        for (_, record) in self.store.records_under("place/") {
+            let base = record.value["b"].as_u64().unwrap();
+            for row in record.value["m"].as_array().unwrap() {
+                let machine = row[0].as_str().unwrap();
+                let attempts = row[3].as_array().unwrap().chunks(3);
+                let numbers = attempts.map(|attempt| base + attempt[2].as_u64().unwrap());
+                recorded.extend(numbers.map(|number| (machine.to_string(), number)));
             }
         }
-        out
+        recorded
     }
 }
--- a/tests/support/production.rs
+++ b/tests/support/production.rs
@@ -1,68 +1,94 @@
 //! The state in which the version in production leaves a cluster.
 
-use super::settings::{Next, Size};
-use super::{WorkerTask, World};
+use super::oracle::CHECKED_TASKS;
+use super::settings::{AnnouncedLimits, Size};
+use super::store::{Lease, StoredRecord};
+use super::{LARGE_RATES, WorkerTask, World};
 use serde_json::Value;
 use woadlever::config::Operator;
 use woadlever::wire::workers::WorkerHeartbeat;
 
+const NODES: usize = 3;
+/// Leases on record last so long from the start of the world.
+const LEASE_TTL_MS: u64 = 5_000;
+
 impl World {
     /// As the version in production left it, with all processes new: its
     /// records, and its machines in the midst of their tasks.
-    pub fn from_production(seed: u64, next: Next) -> World {
+    pub fn from_production(seed: u64, announced: AnnouncedLimits) -> World {
         let text = include_str!("../fixtures/production.json");
-        let d: Value = serde_json::from_str(text).expect("fixture");
-        let mut w = World::sized(3, seed, Size::Large, Some(next), Operator::default());
-        w.store.rates = Some((150.0, 20.0));
-        w.cloud.capacity = 0;
-        w.run_ms = 200_000;
-        w.now = d["now"].as_u64().unwrap();
-        for i in 0..3 {
-            w.boot(i);
+        let fixture: Value = serde_json::from_str(text).expect("fixture");
+        let mut world = World::sized(NODES, seed, Size::Large, Some(announced), Operator::default());
+        world.store.rates = Some(LARGE_RATES);
+        world.cloud.capacity = 0;
+        world.run_ms = 200_000;
+        world.now = fixture["now"].as_u64().unwrap();
+        for node in 0..NODES {
+            world.boot(node);
         }
-        let number = |v: &Value| v.as_u64().unwrap();
-        w.store.revision = number(&d["revision"]);
-        w.store.floor = w.store.revision;
-        for k in d["keys"].as_array().unwrap() {
-            let lease = k[1]["lease"].as_u64();
-            if let Some(l) = lease {
-                w.store.leases.insert(l, (5_000, w.now + 5_000));
-                w.store.next_lease = l;
-            }
-            let value = (k[1].clone(), number(&k[2]), lease);
-            w.store.keys.insert(k[0].as_str().unwrap().into(), value);
+        world.restore_store(&fixture);
+        for (index, worker) in fixture["workers"].as_array().unwrap().iter().enumerate() {
+            world.restore_worker(index, worker);
         }
-        for (i, x) in d["workers"].as_array().unwrap().iter().enumerate() {
-            let r: WorkerHeartbeat = serde_json::from_value(x.clone()).expect("worker");
-            w.add_worker(i, &r.zone, r.spot, 0);
-            let left = x["left_ms"].as_array().unwrap();
-            let worker = &mut w.workers[i];
-            (worker.incarnation, worker.sequence, worker.fencing_token) =
-                (r.incarnation, r.sequence, r.fencing_token);
-            for (t, left) in r.tasks.into_iter().zip(left) {
-                let (job, task) = t.task.rsplit_once('/').unwrap();
-                worker.tasks.push(WorkerTask {
-                    job: job.into(),
-                    task: task.parse().unwrap(),
-                    attempt: t.attempt,
-                    state: t.state,
-                    why: t.why,
-                    at: w.now + number(left),
-                });
-                w.oracle.starts.insert(format!("{job}/{task}"), 1);
-            }
+        for (id, spec) in fixture["jobs"].as_object().unwrap() {
+            world.restore_job(id, spec);
         }
-        for (id, j) in d["jobs"].as_object().unwrap() {
-            w.users.jobs.insert(id.clone(), j.clone());
-            let key = |k: &str| w.store.keys.get(k).map(|v| v.0.clone());
-            if key(&format!("w/job/{id}")).is_some_and(|v| v["s"] == "c") {
-                w.users.asked_to_cancel.insert(id.clone());
-            }
-            if key(&format!("progress/{id}/0")).is_some() {
-                // As many as the oracle looks at.
-                w.oracle.starts.extend((0..200).map(|t| (format!("{id}/{t}"), 1)));
+        world
+    }
+
+    /// Records and the leases they hang on.
+    fn restore_store(&mut self, fixture: &Value) {
+        self.store.revision = number(&fixture["revision"]);
+        self.store.floor = self.store.revision;
+        for entry in fixture["keys"].as_array().unwrap() {
+            let (key, value, version) = (&entry[0], &entry[1], &entry[2]);
+            let lease = value["lease"].as_u64();
+            if let Some(id) = lease {
+                let ends_at = self.now + LEASE_TTL_MS;
+                self.store.leases.insert(id, Lease { ttl_ms: LEASE_TTL_MS, ends_at });
+                self.store.last_lease = id;
             }
+            let record = StoredRecord { value: value.clone(), version: number(version), lease };
+            self.store.records.insert(key.as_str().unwrap().into(), record);
         }
-        w
     }
+
+    /// A worker that goes on with its incarnation and its tasks.
+    fn restore_worker(&mut self, index: usize, fixture: &Value) {
+        let heartbeat: WorkerHeartbeat = serde_json::from_value(fixture.clone()).expect("worker");
+        self.add_worker(index, &heartbeat.zone, heartbeat.spot, 0);
+        let left_ms = fixture["left_ms"].as_array().unwrap();
+        let worker = &mut self.workers[index];
+        worker.incarnation = heartbeat.incarnation;
+        worker.sequence = heartbeat.sequence;
+        worker.fencing_token = heartbeat.fencing_token;
+        for (listed, left_ms) in heartbeat.tasks.into_iter().zip(left_ms) {
+            let (job, task) = listed.task.rsplit_once('/').unwrap();
+            worker.tasks.push(WorkerTask {
+                job: job.into(),
+                task: task.parse().unwrap(),
+                attempt: listed.attempt,
+                state: listed.state,
+                why: listed.why,
+                at: self.now + number(left_ms),
+            });
+            self.oracle.starts.insert(format!("{job}/{task}"), 1);
+        }
+    }
+
+    /// A job, with what its records say was asked and done.
+    fn restore_job(&mut self, id: &str, spec: &Value) {
+        self.users.jobs.insert(id.into(), spec.clone());
+        if self.store.job(id).is_some_and(|record| record["s"] == "c") {
+            self.users.asked_to_cancel.insert(id.into());
+        }
+        if self.store.value(&format!("progress/{id}/0")).is_some() {
+            let tasks = (0..CHECKED_TASKS).map(|task| (format!("{id}/{task}"), 1));
+            self.oracle.starts.extend(tasks);
+        }
+    }
+}
+
+fn number(value: &Value) -> u64 {
+    value.as_u64().unwrap()
 }
--- a/tests/support/settings.rs
+++ b/tests/support/settings.rs
@@ -7,33 +7,52 @@
 /// How large a world is, and with it how rare its heartbeats are.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Size {
+    /// A few machines.
     Small,
+    /// Hundreds of machines, at a low rate of mutations.
     Large,
+    /// Thousands of machines.
     Fleet,
 }
 
+/// Limits of the store that the settings announce.
+#[derive(Debug, Clone, Copy)]
+pub struct AnnouncedLimits {
+    /// Length of a value.
+    pub value_kb: f64,
+    /// Mutations in one compare-and-swap.
+    pub mutations: usize,
+    /// Mutations a second.
+    pub mutations_per_s: f64,
+}
+
+/// The platform settings of one node of a small world.
 pub fn platform(node: usize, nodes: usize) -> Platform {
     Platform::parse("test.toml", &settings(node, nodes)).expect("settings")
 }
 
-/// Limits that the settings announce: KiB a value, changes a transaction, and
-/// changes a second.
-pub type Next = (f64, usize, f64);
-
-pub fn sized_platform(size: Size, node: usize, nodes: usize, next: Option<Next>) -> Platform {
-    let mut s = match size {
+/// The platform settings of one node of a world of any size.
+pub fn sized_platform(
+    size: Size,
+    node: usize,
+    nodes: usize,
+    announced: Option<AnnouncedLimits>,
+) -> Platform {
+    let mut text = match size {
         Size::Small => settings(node, nodes),
         Size::Large => large_settings(node, nodes),
         Size::Fleet => fleet_settings(node, nodes),
     };
-    if let Some((kb, ops, rate)) = next {
-        s += &format!("[cluster.state.next]\nvalue_kb={kb:?}\ntxn_ops={ops}\nwrite_rps={rate:?}\n");
+    if let Some(AnnouncedLimits { value_kb, mutations, mutations_per_s }) = announced {
+        text += &format!(
+            "[cluster.state.next]\nvalue_kb={value_kb:?}\ntxn_ops={mutations}\nwrite_rps={mutations_per_s:?}\n"
+        );
     }
-    Platform::parse("test.toml", &s).expect("settings")
+    Platform::parse("test.toml", &text).expect("settings")
 }
 
-/// The same for hundreds of machines: large teams, few changes a second, and
-/// rare heartbeats.
+/// The same for hundreds of machines: large teams, few mutations a second, and rare
+/// heartbeats.
 fn large_settings(node: usize, nodes: usize) -> String {
     settings(node, nodes)
         .replace("report_s=3.0", "report_s=8.0")
@@ -42,7 +61,7 @@
         .replace("rps=500.0", "rps=150.0")
 }
 
-/// The same for thousands of machines, whose work no team's limit holds back.
+/// The same for thousands of machines, whose work no team's quota limits.
 fn fleet_settings(node: usize, nodes: usize) -> String {
     settings(node, nodes)
         .replace("report_s=3.0", "report_s=8.0")
@@ -54,26 +73,28 @@
 }
 
 fn settings(node: usize, nodes: usize) -> String {
-    let mut s = format!(
+    let mut text = format!(
         "host_name=\"n{node}\"\ndomain=\"{}\"\nbind=\"127.0.0.1:1\"\ninternal_addr=\"127.0.0.1:2\"\n",
         ZONES[node % 2]
     );
-    for p in (0..nodes).filter(|p| *p != node) {
-        s += &format!(
-            "[[known]]\nhost_name=\"n{p}\"\ndomain=\"{}\"\nendpoint=\"127.0.0.1:3\"\n",
-            ZONES[p % 2]
+    for peer in (0..nodes).filter(|peer| *peer != node) {
+        text += &format!(
+            "[[known]]\nhost_name=\"n{peer}\"\ndomain=\"{}\"\nendpoint=\"127.0.0.1:3\"\n",
+            ZONES[peer % 2]
         );
     }
-    s += "[endpoints]\ncloud=\"127.0.0.1:4\"\nstate=\"127.0.0.1:5\"\n[cluster]\nzones=[\"east\",\"west\"]\n\
+    text += "[endpoints]\ncloud=\"127.0.0.1:4\"\nstate=\"127.0.0.1:5\"\n[cluster]\nzones=[\"east\",\"west\"]\n\
           [[cluster.teams]]\nname=\"t0\"\ncpus=16.0\ncpus_max=32.0\n\
           [[cluster.teams]]\nname=\"t1\"\ncpus=16.0\ncpus_max=64.0\n\
           [cluster.workers]\nreport_s=3.0\nlease_s=20.0\ncancel_s=40.0\n\
           [cluster.state]\nrps=500.0\nwrite_rps=200.0\nvalue_kb=8.0\ntxn_ops=12\n\
           [cluster.cloud]\nrps=5.0\nlist_lag_s=4.0\n\
           [cluster.limits]\nmax_connections=800\n";
-    s
+    text
 }
 
+/// The submission of a batch job of normal priority: `run-` and the number, tasks of four
+/// cores and 4 GB that may run anywhere.
 pub fn job(id: u32, team: &str, tasks: u32, run_s: f64) -> Value {
     json!({"name_id": format!("run-{id:06}"), "jobclass": "c", "crew": team, "shape": "batch",
         "urgency": "normal", "pieces": tasks, "cores": 4.0, "cards": 0.0, "memory_gb": 4.0,
--- a/tests/support/users.rs
+++ b/tests/support/users.rs
@@ -1,4 +1,4 @@
-//! What users do.
+//! What users do: submissions, questions, cancellations, and the answers to them.
 
 use super::{Answer, World};
 use serde_json::Value;
@@ -13,10 +13,12 @@
 pub struct Users {
     /// Jobs as submitted.
     pub jobs: HashMap<String, Value>,
+    /// Answers to users, by number of the request.
     pub answers: HashMap<u64, Answer>,
     next_request: u64,
     /// What users were last told of jobs that are over.
     pub(super) told: HashMap<String, String>,
+    /// Jobs that some user asked to cancel.
     pub asked_to_cancel: HashSet<String>,
     /// When the cancellation of a job was confirmed.
     pub cancelled: HashMap<String, u64>,
@@ -52,55 +54,63 @@
         request_id
     }
 
+    /// Submits a job to one node; the number of the request.
     pub fn submit(&mut self, node: usize, body: &Value) -> u64 {
         let id = body["name_id"].as_str().unwrap_or("").to_string();
         self.users.jobs.entry(id).or_insert(body.clone());
         self.ask(node, HttpRequest::Submit(body.to_string().into_bytes()))
     }
 
-    /// Submits until accepted.
+    /// Submits a job to one node until it is accepted; ends the test after a minute.
     pub fn accept(&mut self, node: usize, body: &Value) {
         for _ in 0..60 {
-            let r = self.submit(node, body);
+            let request = self.submit(node, body);
             self.run(1000);
-            if self.users.answers.get(&r).is_some_and(|a| a.status == 200 || a.status == 201) {
+            let answer = self.users.answers.get(&request);
+            if answer.is_some_and(|answer| answer.status == 200 || answer.status == 201) {
                 return;
             }
         }
         panic!("not accepted: {body}");
     }
 
+    /// What a node says of a job's state: its status, the HTTP status of an answer without
+    /// one, or "none" if there is no answer in time.
     pub fn status(&mut self, node: usize, id: &str) -> String {
-        let r = self.ask(node, HttpRequest::Status(id.into()));
+        let request = self.ask(node, HttpRequest::Status(id.into()));
         self.run(300);
-        self.users.answers.get(&r).map_or("none".into(), |a| {
-            let v: Value = serde_json::from_str(&a.body).unwrap_or_default();
-            v["status"].as_str().map_or(format!("{}", a.status), str::to_string)
-        })
+        self.status_answered(request)
     }
 
+    /// The same of a request that was made before.
+    pub fn status_answered(&self, request: u64) -> String {
+        let Some(answer) = self.users.answers.get(&request) else { return "none".into() };
+        let body: Value = serde_json::from_str(&answer.body).unwrap_or_default();
+        body["status"].as_str().map_or(answer.status.to_string(), str::to_string)
+    }
+
+    /// Lets the time pass until a job is done; false if it isn't within the limit.
     pub fn until_done(&mut self, id: &str, limit_ms: u64) -> bool {
         let end = self.now + limit_ms;
         while self.now < end {
             self.run(500);
-            if self.store.keys.get(&format!("w/job/{id}")).is_some_and(|v| v.0["s"] == "d") {
+            if self.store.job(id).is_some_and(|record| record["s"] == "d") {
                 return true;
             }
         }
         false
     }
 
+    /// A user cancels a job at one node; the HTTP status of the answer, 0 without one.
     pub fn cancel(&mut self, node: usize, id: &str) -> u16 {
         self.users.asked_to_cancel.insert(id.into());
-        let r = self.ask(node, HttpRequest::Cancel(id.into()));
+        let request = self.ask(node, HttpRequest::Cancel(id.into()));
         self.run(500);
-        let a = self.users.answers.get(&r).cloned();
-        if let Some(a) = &a
-            && a.body.contains("withdrawn")
-        {
+        let Some(answer) = self.users.answers.get(&request) else { return 0 };
+        if answer.body.contains("withdrawn") {
             self.users.cancelled.entry(id.into()).or_insert(self.now);
         }
-        a.map_or(0, |a| a.status)
+        answer.status
     }
 
     /// A heartbeat that was under way for a long time reaches a node after all.
--- a/tests/support/workers.rs
+++ b/tests/support/workers.rs
@@ -13,43 +13,77 @@
 /// A worker gives an answer up after this time.
 const TIMEOUT_MS: u64 = 4_000;
 
+/// A task that a worker knows.
 pub struct WorkerTask {
+    /// Id of its job.
     pub job: String,
+    /// Number of the task in its job.
     pub task: u32,
+    /// Number of the attempt.
     pub attempt: u64,
+    /// What it does now.
     pub state: TaskState,
+    /// Why it has exited.
     pub why: Option<String>,
+    /// When its state changes next by itself.
     pub at: u64,
 }
 
+/// A machine and the worker on it.
 pub struct Worker {
+    /// Name of the machine; also the address of its worker.
     pub name: String,
+    /// Name of the machine type.
     pub type_name: String,
+    /// Zone of the machine.
     pub zone: String,
+    /// Whether it is a spot instance.
     pub spot: bool,
+    /// When it was rented.
     pub rented: u64,
+    /// When it has booted.
     pub up_at: u64,
+    /// False once the machine is gone for good.
     pub alive: bool,
+    /// It sends no heartbeats, and nothing reaches it.
     pub cut: bool,
     /// Its heartbeats reach nobody, while direct commands reach it.
     pub mute: bool,
     /// It hangs until then: it does nothing, and what reaches it waits.
     pub hung_until: u64,
+    /// Its tasks fail as soon as they start.
     pub sick: bool,
+    /// Counts the ends of its lease, from 1.
     pub incarnation: u64,
+    /// Number of its last heartbeat in this incarnation.
     pub sequence: u64,
+    /// The newest fencing token that it has seen.
     pub fencing_token: u64,
+    /// Tasks that it lists in its heartbeats.
     pub tasks: Vec<WorkerTask>,
     /// When the last answered heartbeat was sent.
     pub(super) lease_from: u64,
-    pub(super) in_flight: Option<(u64, u64)>,
+    /// The heartbeat that waits for its answer.
+    pub(super) in_flight: Option<SentHeartbeat>,
+    /// When the next heartbeat is due.
     pub(super) next_at: u64,
+    /// When the last heartbeat was sent.
     pub(super) heartbeat_at: u64,
+    /// The node that it sends its heartbeats to.
     pub(super) node: usize,
+    /// Whether it has news since its last heartbeat.
     pub(super) changed: bool,
 }
 
+/// A heartbeat that waits for its answer.
+#[derive(Clone, Copy)]
+pub(super) struct SentHeartbeat {
+    id: u64,
+    sent_at: u64,
+}
+
 impl Worker {
+    /// The heartbeat that it would send now.
     pub fn heartbeat(&self) -> WorkerHeartbeat {
         WorkerHeartbeat {
             machine: self.name.clone(),
@@ -64,11 +98,11 @@
             tasks: self
                 .tasks
                 .iter()
-                .map(|t| HeartbeatTask {
-                    task: format!("{}/{}", t.job, t.task),
-                    attempt: t.attempt,
-                    state: t.state,
-                    why: t.why.clone(),
+                .map(|known| HeartbeatTask {
+                    task: format!("{}/{}", known.job, known.task),
+                    attempt: known.attempt,
+                    state: known.state,
+                    why: known.why.clone(),
                 })
                 .collect(),
         }
@@ -88,7 +122,7 @@
 }
 
 impl Worker {
-    /// At the end of its lease a worker drops its tasks and counts anew.
+    /// At the end of its lease a worker drops its tasks and begins a new incarnation.
     fn expire_lease(&mut self, now: u64) {
         if now > self.lease_from + LEASE_MS {
             self.tasks.clear();
@@ -121,7 +155,7 @@
 
     /// A heartbeat without an answer is given up, and the next goes to another node.
     fn give_up_heartbeat(&mut self, now: u64, nodes: usize) {
-        if self.in_flight.is_some_and(|(_, sent)| now > sent + TIMEOUT_MS) {
+        if self.in_flight.is_some_and(|heartbeat| now > heartbeat.sent_at + TIMEOUT_MS) {
             self.in_flight = None;
             self.node = (self.node + 1) % nodes;
             self.next_at = now + 1000;
@@ -136,7 +170,7 @@
     fn note_sent(&mut self, id: u64, now: u64, gap: u64) {
         self.changed = false;
         self.sequence += 1;
-        self.in_flight = Some((id, now));
+        self.in_flight = Some(SentHeartbeat { id, sent_at: now });
         self.heartbeat_at = now;
         self.next_at = now + gap;
     }
@@ -177,7 +211,9 @@
 pub struct CommandCounts {
     /// Attempts that workers were told to run, by how often.
     pub runs: HashMap<(String, u64), u32>,
+    /// Commands to stop an attempt.
     pub stops: u32,
+    /// Commands to forget an attempt that has exited.
     pub clears: u32,
 }
 
@@ -199,6 +235,7 @@
 }
 
 impl World {
+    /// Adds a machine that boots for `boot` ms; its name.
     pub fn add_worker(&mut self, number: usize, zone: &str, spot: bool, boot: u64) -> String {
         let name = format!("host-{number:06}");
         let up_at = self.now + boot;
@@ -229,14 +266,14 @@
     }
 
     /// The worker's process starts anew on the same machine.
-    pub fn restart_worker(&mut self, i: usize) {
+    pub fn restart_worker(&mut self, index: usize) {
         let now = self.now;
-        let w = &mut self.workers[i];
-        (w.incarnation, w.sequence, w.fencing_token) = (1, 0, 0);
-        w.tasks.clear();
-        w.lease_from = now;
-        w.in_flight = None;
-        w.next_at = now;
+        let worker = &mut self.workers[index];
+        (worker.incarnation, worker.sequence, worker.fencing_token) = (1, 0, 0);
+        worker.tasks.clear();
+        worker.lease_from = now;
+        worker.in_flight = None;
+        worker.next_at = now;
     }
 
     /// Lets the time pass for one worker.
@@ -260,7 +297,7 @@
             }
         }
         for (job, task) in started {
-            self.started(index, &job, task);
+            self.check_start(index, &job, task);
         }
     }
 
@@ -269,8 +306,8 @@
         let now = self.now;
         let nodes = self.node_count;
         let worker = &mut self.workers[index];
-        let Some((_, sent)) = worker.in_flight.filter(|in_flight| in_flight.0 == id) else { return };
-        if !worker.alive || worker.cut || now > sent + TIMEOUT_MS {
+        let Some(heartbeat) = worker.in_flight.filter(|heartbeat| heartbeat.id == id) else { return };
+        if !worker.alive || worker.cut || now > heartbeat.sent_at + TIMEOUT_MS {
             return;
         }
         worker.in_flight = None;
@@ -296,7 +333,7 @@
         }
         worker.changed |= response.fencing_token > worker.fencing_token;
         worker.fencing_token = response.fencing_token;
-        worker.lease_from = worker.lease_from.max(sent);
+        worker.lease_from = worker.lease_from.max(heartbeat.sent_at);
         for command in response.commands {
             self.commands.count(&command);
             worker.obey(&command, now);
@@ -304,26 +341,32 @@
     }
 
     /// A command that came straight to the worker.
-    pub(super) fn on_direct_commands(&mut self, i: usize, direct: DirectCommands) {
-        let w = &mut self.workers[i];
-        if !w.alive || w.cut {
+    pub(super) fn on_direct_commands(&mut self, index: usize, direct: DirectCommands) {
+        let worker = &mut self.workers[index];
+        if !worker.alive || worker.cut {
             return;
         }
         // The answer is a heartbeat, and counts as one.
-        w.sequence += 1;
-        if direct.fencing_token < w.fencing_token || direct.incarnation != w.incarnation {
+        worker.sequence += 1;
+        if direct.fencing_token < worker.fencing_token || direct.incarnation != worker.incarnation {
             return;
         }
-        w.fencing_token = direct.fencing_token;
-        for c in direct.commands {
-            assert_eq!(c.op, CommandAction::Stop, "a direct command may be carried out minutes late");
-            let (job, task) = c.task.rsplit_once('/').unwrap();
+        worker.fencing_token = direct.fencing_token;
+        for command in direct.commands {
+            assert_eq!(
+                command.op,
+                CommandAction::Stop,
+                "a direct command may be carried out minutes late"
+            );
+            let (job, task) = command.task.rsplit_once('/').unwrap();
             let task: u32 = task.parse().unwrap();
-            let here = |t: &&mut WorkerTask| t.job == job && t.task == task && t.attempt == c.attempt;
-            if let Some(t) = w.tasks.iter_mut().find(here).filter(|t| t.state != TaskState::Exited) {
-                t.state = TaskState::Exited;
-                t.why = Some("halted".into());
-                w.changed = true;
+            let is_it = |known: &&mut WorkerTask| {
+                known.job == job && known.task == task && known.attempt == command.attempt
+            };
+            let found = worker.tasks.iter_mut().find(is_it);
+            if let Some(stopped) = found.filter(|found| found.state != TaskState::Exited) {
+                stopped.exit("halted");
+                worker.changed = true;
             }
         }
     }
