--- a/tests/final_jobs.rs
+++ b/tests/final_jobs.rs
@@ -8,6 +8,7 @@
 
 use serde_json::{Value, json};
 use std::sync::Arc;
+use support::store::StoredRecord;
 use support::{World, job, platform};
 use woadlever::config::Operator;
 use woadlever::core::HttpRequest;
@@ -91,7 +92,7 @@
     assert_eq!(world.status(1, &id(1)), "running", "the machines' tasks went on");
     assert!(world.until_done(&id(1), 120_000));
     assert_eq!(world.oracle.starts.len(), 2);
-    world.fair();
+    world.assert_rules_kept();
 }
 
 #[test]
@@ -133,13 +134,13 @@
     assert_eq!((status, &body["status"]), (200, &json!("withdrawn")));
     let (status, body, _) = answer(&mut world, 2, HttpRequest::Cancel(id(FIRST_OLD_JOB + 2)));
     assert_eq!((status, &body["status"]), (200, &json!("done")));
-    let records = world.store.keys.clone();
+    let records = world.store.records.clone();
     world.run(20_000);
     assert!(world.oracle.starts.is_empty());
-    let unchanged = |(key, value): (&String, &(Value, u64, Option<u64>))| {
-        !key.starts_with("w/job/") || records.get(key) == Some(value)
+    let unchanged = |(key, record): (&String, &StoredRecord)| {
+        !key.starts_with("w/job/") || records.get(key) == Some(record)
     };
-    assert!(world.store.keys.iter().all(unchanged));
+    assert!(world.store.records.iter().all(unchanged));
 }
 
 #[test]
@@ -153,7 +154,7 @@
     world.accept(1, &has_cancelled_dependency);
     assert_eq!(world.status(2, &id(2)), "withdrawn");
     assert!(world.until_done(&id(1), 120_000));
-    world.fair();
+    world.assert_rules_kept();
 }
 
 /// The awaited jobs are final when the nodes start, and are read before those that
@@ -197,7 +198,7 @@
     assert!(answers.iter().any(|answer| answer.body.contains("withdrawn")));
     assert!(!answers.iter().any(|answer| answer.body.contains("queued")));
     assert!(world.until_done(&id(11), 120_000));
-    world.fair();
+    world.assert_rules_kept();
 }
 
 /// Machines that nobody reaches keep the tasks of a cancelled job, which the nodes
@@ -240,7 +241,7 @@
     world.network.frame_ms = 2;
     assert!(world.until_done(&id(2), 180_000));
     assert_eq!(running(&world, 1), 0);
-    world.fair();
+    world.assert_rules_kept();
 }
 
 #[test]
@@ -283,7 +284,7 @@
     let progress = format!("progress/{}/0", id(FIRST_OLD_JOB));
     world.store.put_record(&progress, json!("c0"));
     world.run(20_000);
-    assert!(!world.store.keys.contains_key(&progress));
+    assert!(!world.store.records.contains_key(&progress));
 }
 
 #[test]
@@ -291,7 +292,7 @@
     let mut world = World::new(3, 10);
     world.run(3_000);
     world.accept(0, &job(1, "t1", 1, 600.0));
-    let live = world.store.keys[&job_key(1)].0.clone();
+    let live = world.store.records[&job_key(1)].value.clone();
     let total = 3 * (MAX_FINAL_JOBS + FINAL_JOBS_BATCH) as u32;
     for number in 0..total {
         let key = job_key(FIRST_OLD_JOB + number);
@@ -319,7 +320,7 @@
         assert!(kept <= MAX_FINAL_JOBS + FINAL_JOBS_BATCH + 1, "{kept} jobs");
     }
     assert_eq!(world.oracle.starts.len(), 1);
-    world.fair();
+    world.assert_rules_kept();
 }
 
 fn context() -> NodeContext {
--- a/tests/recovery.rs
+++ b/tests/recovery.rs
@@ -54,10 +54,7 @@
         .filter(|task| task.state != TaskState::Exited || task.why.as_deref() == Some("done"))
         .map(|task| format!("{}/{}", task.job, task.task))
         .collect();
-    let is_open = |id: &str| {
-        let record = world.store.keys.get(&format!("w/job/{id}"));
-        record.is_some_and(|record| record.0["s"] == "l")
-    };
+    let is_open = |id: &str| world.store.job(id).is_some_and(|record| record["s"] == "l");
     let mut needed = 0;
     for (id, spec) in world.users.jobs.iter().filter(|(id, _)| is_open(id)) {
         let tasks = spec["pieces"].as_u64().unwrap();
@@ -69,8 +66,8 @@
 
 /// Whether the progress on record says that a task is done.
 fn is_recorded_done(world: &World, id: &str, task: u64) -> bool {
-    let Some(record) = world.store.keys.get(&format!("progress/{id}/0")) else { return false };
-    let digits = record.0.as_str().unwrap_or_default().as_bytes();
+    let Some(progress) = world.store.value(&format!("progress/{id}/0")) else { return false };
+    let digits = progress.as_str().unwrap_or_default().as_bytes();
     let byte = (task / 8) as usize;
     let place = byte * 2 + usize::from(task % 8 < 4);
     let digit = digits.get(place).and_then(|digit| (*digit as char).to_digit(16)).unwrap_or(0);
@@ -105,7 +102,7 @@
         let sent = world.commands.attempts();
         assert!(sent as f64 <= least as f64 * ORDER_FACTOR, "seed {seed}: {sent} runs, {least} needed");
         assert_no_task_ran_again(&world);
-        world.fair();
+        world.assert_rules_kept();
     }
 }
 
@@ -129,7 +126,7 @@
         assert!(kept.is_subset(&still), "seed {seed}: lost {:?}", kept.difference(&still));
         all_done(&mut world);
         assert_no_task_ran_again(&world);
-        world.fair();
+        world.assert_rules_kept();
     }
 }
 
@@ -171,7 +168,7 @@
     assert!((4..=8).contains(&world.commands.stops), "{} stops", world.commands.stops);
     all_done(&mut world);
     assert_eq!(world.status(0, "run-777777"), "404");
-    world.fair();
+    world.assert_rules_kept();
 }
 
 #[test]
@@ -194,7 +191,7 @@
     for (task, starts) in &world.oracle.starts {
         assert_eq!(*starts, if lost.contains(task) { 2 } else { 1 }, "{task}");
     }
-    world.fair();
+    world.assert_rules_kept();
 }
 
 #[test]
@@ -217,7 +214,7 @@
     };
     assert_eq!(elsewhere(&world), 0, "its lease has not ended");
     all_done(&mut world);
-    world.fair();
+    world.assert_rules_kept();
 }
 
 #[test]
@@ -241,7 +238,7 @@
     assert!(kept.is_subset(&running(&world)), "an old report took work for gone");
     all_done(&mut world);
     assert_no_task_ran_again(&world);
-    world.fair();
+    world.assert_rules_kept();
 }
 
 #[test]
@@ -263,7 +260,7 @@
         assert!(kept.is_subset(&still), "seed {seed}: lost {:?}", kept.difference(&still));
         all_done(&mut world);
         assert_no_task_ran_again(&world);
-        world.fair();
+        world.assert_rules_kept();
     }
 }
 
@@ -287,7 +284,7 @@
     assert_eq!(status, 200);
     world.run(support::CANCEL_MS + 5_000);
     assert!(running(&world).iter().all(|task| !task.starts_with("run-000002/")));
-    world.fair();
+    world.assert_rules_kept();
 }
 
 #[test]
@@ -299,8 +296,9 @@
     assert!(world.until_done("run-000001", 120_000));
     // Idle machines are drained; the loss comes once a return is on record.
     let terminating = |world: &World| -> Vec<String> {
-        let records = world.store.keys.iter().filter(|(key, _)| key.starts_with("place/"));
-        let rows = records.flat_map(|(_, value)| value.0["m"].as_array().cloned().unwrap_or_default());
+        let records = world.store.records_under("place/");
+        let rows =
+            records.flat_map(|(_, record)| record.value["m"].as_array().cloned().unwrap_or_default());
         rows.filter(|row: &Value| row[2].as_u64().unwrap_or(0) & 4 != 0)
             .map(|row| row[0].as_str().unwrap().to_string())
             .collect()
@@ -321,7 +319,7 @@
     }
     world.cloud.is_down = false;
     all_done(&mut world);
-    world.fair();
+    world.assert_rules_kept();
 }
 
 #[test]
@@ -337,7 +335,7 @@
     world.store_faults.slow.clear();
     all_done(&mut world);
     assert_no_task_ran_again(&world);
-    world.fair();
+    world.assert_rules_kept();
 }
 
 #[test]
@@ -352,5 +350,5 @@
             assert_eq!(world.users.answers[&request].status, 200, "run-{id:06} at n{node}");
         }
     }
-    world.fair();
+    world.assert_rules_kept();
 }
