--- a/src/core/leader/cells/record_writes.rs
+++ b/src/core/leader/cells/record_writes.rs
@@ -5,7 +5,7 @@
 use super::move_log::log_record;
 use crate::core::common::context::NodeContext;
 use crate::core::common::job_records::RecordSource;
-use crate::core::common::watch_cache::job_key;
+use crate::core::common::store_keys::job_key;
 use crate::core::leader::{Leader, LeaderCall};
 use crate::core::{StoreCallOwner, StoreRequest, StoreResponse};
 use crate::model::{JobIndex, Ms};
@@ -19,7 +19,7 @@
 
 /// What a call to the key-value store was for.
 #[derive(Debug)]
-pub enum CellCall {
+pub(crate) enum CellCall {
     /// A job of this cell begins to be forwarded.
     Forward {
         /// The job.
@@ -45,7 +45,7 @@
 
 /// A change of the record of a job that moves.
 #[derive(Debug)]
-pub struct RecordChange {
+pub(crate) struct RecordChange {
     /// The job.
     pub(super) job: JobIndex,
     /// Its new record.
--- a/src/core/leader/desired_states.rs
+++ b/src/core/leader/desired_states.rs
@@ -43,9 +43,9 @@
             assignment.attempts_sent = tasks.values().map(Vec::len).sum();
             let assignment = &self.shards[place];
             let state = DesiredState {
-                term: self.term,
+                term: self.term.number(),
                 shard: shard.number(),
-                fencing_token,
+                fencing_token: fencing_token.number(),
                 serial: assignment.serial,
                 jobs: self.desired_jobs(context, tasks),
                 waiting: waiting_tasks(context, &assignment.waiting),
@@ -86,7 +86,7 @@
             let place = attempt.shard.place();
             attempt.first_named_in.get_or_insert(self.shards[place].serial);
             if attempt.is_wanted {
-                let wanted = (attempt.task, id, attempt.may_bind);
+                let wanted = (attempt.task, id.number(), attempt.may_bind);
                 tasks[place].entry(attempt.job).or_default().push(wanted);
             }
         }
--- a/src/core/leader/reconciliation.rs
+++ b/src/core/leader/reconciliation.rs
@@ -3,30 +3,30 @@
 //!
 //! A reported state lists everything that may be in a shard. Attempts that the leader doesn't
 //! know are adopted or stopped, known ones are updated, and one that is not listed is gone once
-//! the report answers a desired state that named it.
+//! the reported state answers a desired state that named it.
 
 use super::Leader;
 use super::attempts::Attempt;
 use super::run_times::learn_run_time;
 use crate::core::common::context::NodeContext;
-use crate::model::{InstanceIndex, JobIndex, Resources, ShardIndex};
+use crate::model::{AttemptId, FencingToken, InstanceIndex, JobIndex, Resources, ShardIndex, Term};
 use crate::wire::peer::{ReportedJob, ReportedPhase, ReportedState, ReportedTask};
 use rustc_hash::FxHashSet;
 use woadlever_recovery::disposition::{AttemptDisposition, TaskStatus, is_proven_gone};
 
 /// A job of a reported state, looked up once for all its tasks.
-struct JobOfReport {
+struct ReportedJobInfo {
     job: JobIndex,
     team: Option<usize>,
     demand: Resources,
 }
 
-impl JobOfReport {
-    fn new(context: &mut NodeContext, reported: &ReportedJob) -> JobOfReport {
+impl ReportedJobInfo {
+    fn new(context: &mut NodeContext, reported: &ReportedJob) -> ReportedJobInfo {
         let teams = &context.platform.cluster.teams;
         let team = teams.iter().position(|team| team.name == reported.team);
         let demand = Resources { cpus: reported.cpus, gpus: reported.gpus, mem: reported.memory_gb };
-        JobOfReport { job: context.job_index_or_lookup(&reported.job), team, demand }
+        ReportedJobInfo { job: context.job_index_or_lookup(&reported.job), team, demand }
     }
 }
 
@@ -34,16 +34,21 @@
 struct ReportedAttempt<'a> {
     shard: ShardIndex,
     machine: InstanceIndex,
-    job: &'a JobOfReport,
+    job: &'a ReportedJobInfo,
     task: &'a ReportedTask,
 }
 
 impl Leader {
     /// Takes in a state that a shard owner reports. Ignored if it is meant for another term, or
     /// if the sender is not the owner with the present fencing token.
-    pub fn on_reported_state(&mut self, context: &mut NodeContext, from: &str, reported: ReportedState) {
+    pub(crate) fn on_reported_state(
+        &mut self,
+        context: &mut NodeContext,
+        from: &str,
+        reported: ReportedState,
+    ) {
         let shard = ShardIndex::new(reported.shard);
-        if !self.accepts_report(context, from, &reported) {
+        if !self.accepts_reported_state(context, from, &reported) {
             return;
         }
         let assignment = &mut self.shards[shard.place()];
@@ -51,31 +56,37 @@
             assignment.has_reported = true;
             self.cycle_due = true;
         }
-        let listed = self.apply_report(context, shard, &reported);
+        let listed = self.apply_reported_state(context, shard, &reported);
         self.remove_gone_attempts(shard, &listed, reported.echo);
     }
 
-    fn accepts_report(&self, context: &NodeContext, from: &str, reported: &ReportedState) -> bool {
+    fn accepts_reported_state(
+        &self,
+        context: &NodeContext,
+        from: &str,
+        reported: &ReportedState,
+    ) -> bool {
         let place = ShardIndex::new(reported.shard).place();
         let Some(assignment) = self.shards.get(place) else { return false };
         let owner = context.shards.owner(place);
         self.is_active
-            && reported.term == self.term
-            && reported.fencing_token == assignment.fencing_token
+            && Term::new(reported.term) == self.term
+            && assignment.fencing_token == Some(FencingToken::new(reported.fencing_token))
             && owner.is_some_and(|owner| owner.record.node == from)
     }
 
-    /// Takes in all machines and tasks of a report; the ids of the attempts that it lists.
-    fn apply_report(
+    /// Takes in all machines and tasks of a reported state; the ids of the attempts that it
+    /// lists.
+    fn apply_reported_state(
         &mut self,
         context: &mut NodeContext,
         shard: ShardIndex,
         reported: &ReportedState,
-    ) -> FxHashSet<u64> {
-        let mut listed: FxHashSet<u64> = FxHashSet::default();
+    ) -> FxHashSet<AttemptId> {
+        let mut listed: FxHashSet<AttemptId> = FxHashSet::default();
         let zone = context.shards[shard.place()].zone.clone();
-        let jobs: Vec<JobOfReport> =
-            reported.jobs.iter().map(|job| JobOfReport::new(context, job)).collect();
+        let jobs: Vec<ReportedJobInfo> =
+            reported.jobs.iter().map(|job| ReportedJobInfo::new(context, job)).collect();
         for reported_machine in &reported.machines {
             let type_name =
                 reported.types.get(reported_machine.machine_type as usize).map_or("", String::as_str);
@@ -86,16 +97,16 @@
             }
             for task in &reported_machine.tasks {
                 let Some(job) = jobs.get(task.job as usize) else { continue };
-                listed.insert(task.attempt);
+                listed.insert(AttemptId::new(task.attempt));
                 self.apply_reported_attempt(context, &ReportedAttempt { shard, machine, job, task });
             }
         }
         listed
     }
 
-    /// Removes the attempts of a shard that a report proves to be gone.
-    fn remove_gone_attempts(&mut self, shard: ShardIndex, listed: &FxHashSet<u64>, echo: u64) {
-        let gone: Vec<u64> = self
+    /// Removes the attempts of a shard that a reported state proves to be gone.
+    fn remove_gone_attempts(&mut self, shard: ShardIndex, listed: &FxHashSet<AttemptId>, echo: u64) {
+        let gone: Vec<AttemptId> = self
             .attempts
             .iter()
             .filter(|(_, attempt)| attempt.shard == shard)
@@ -110,7 +121,7 @@
     }
 
     fn apply_reported_attempt(&mut self, context: &NodeContext, reported: &ReportedAttempt) {
-        if !self.attempts.contains(reported.task.attempt) {
+        if !self.attempts.contains(AttemptId::new(reported.task.attempt)) {
             self.adopt_attempt(reported);
         }
         if !self.update_attempt(reported) {
@@ -121,7 +132,7 @@
             ReportedPhase::Done => self.on_attempt_done(reported),
             ReportedPhase::Failed => self.on_attempt_failed(context, reported),
             ReportedPhase::Stopped | ReportedPhase::Refused => {
-                self.stop_attempt(reported.task.attempt);
+                self.stop_attempt(AttemptId::new(reported.task.attempt));
             }
             ReportedPhase::Bound
             | ReportedPhase::Fetching
@@ -133,7 +144,7 @@
     /// Adds an attempt that the leader doesn't know. It was bound for an earlier leader and is
     /// not in the records that this one has read: gone already, or known under a newer attempt.
     fn adopt_attempt(&mut self, reported: &ReportedAttempt) {
-        let ReportedAttempt { shard, machine, job: &JobOfReport { job, team, demand }, task } =
+        let ReportedAttempt { shard, machine, job: &ReportedJobInfo { job, team, demand }, task } =
             *reported;
         let task_has_attempt = self.attempts.has_task(job, task.task);
         let live = self.jobs.get_mut(&job).filter(|live| !live.is_away());
@@ -158,14 +169,14 @@
             ran_ms: task.ran_ms,
             first_named_in: None,
         };
-        self.attempts.insert(task.attempt, attempt);
+        self.attempts.insert(AttemptId::new(task.attempt), attempt);
         self.shards[shard.place()].dirty = true;
     }
 
     /// Takes over where an attempt is and how far; whether its phase has changed.
     fn update_attempt(&mut self, reported: &ReportedAttempt) -> bool {
         let ReportedAttempt { machine, task, .. } = *reported;
-        let Some(attempt) = self.attempts.get_mut(task.attempt) else { return false };
+        let Some(attempt) = self.attempts.get_mut(AttemptId::new(task.attempt)) else { return false };
         if attempt.machine != Some(machine) || attempt.may_bind {
             self.cycle_due = true;
         }
@@ -185,7 +196,7 @@
             self.fleet.on_task_succeeded(machine);
             learn_run_time(&mut self.ratios, &live.spec, task.ran_ms);
         } else if live.progress.is_recorded(task.task) {
-            self.stop_attempt(task.attempt);
+            self.stop_attempt(AttemptId::new(task.attempt));
         }
     }
 
@@ -193,7 +204,7 @@
     /// paused; otherwise the machine is.
     fn on_attempt_failed(&mut self, context: &NodeContext, reported: &ReportedAttempt) {
         let ReportedAttempt { machine, job, task, .. } = *reported;
-        self.stop_attempt(task.attempt);
+        self.stop_attempt(AttemptId::new(task.attempt));
         let now = context.clock.now();
         let Some(live) = self.jobs.get_mut(&job.job) else { return };
         if !live.on_task_failed(now, machine) {
@@ -201,7 +212,7 @@
         }
     }
 
-    fn stop_attempt(&mut self, id: u64) {
+    fn stop_attempt(&mut self, id: AttemptId) {
         if let Some(attempt) = self.attempts.get_mut(id) {
             attempt.stop(&mut self.shards);
         }
--- a/src/core/shard_owner/binding.rs
+++ b/src/core/shard_owner/binding.rs
@@ -6,8 +6,8 @@
 use super::machine::{CachedImage, Machine, Machines};
 use super::placement_records::{self, RecordIndex};
 use crate::core::common::context::NodeContext;
-use crate::core::common::window;
-use crate::model::{JobIndex, JobSpec, MachineIndex, Ms, Resources, ShardIndex};
+use crate::core::common::placement;
+use crate::model::{AttemptId, JobIndex, JobSpec, MachineIndex, Ms, Resources, ShardIndex};
 use crate::wire::store::JobState;
 use std::sync::Arc;
 use woadlever_recovery::attempt::AttemptPhase;
@@ -29,7 +29,7 @@
 /// A task that the leader allows to bind in a shard of this node.
 pub(super) struct AdmittedTask {
     /// Id of the attempt.
-    pub(super) attempt: u64,
+    pub(super) attempt: AttemptId,
     pub(super) job: JobIndex,
     pub(super) task: u32,
     /// Expected run time.
@@ -103,7 +103,7 @@
             continue;
         }
         let Some(machine) = machines.get(candidate.index) else { continue };
-        if !window::allowed(spec, &machine.type_name, &machine.zone, machine.is_spot) {
+        if !placement::allowed(spec, &machine.type_name, &machine.zone, machine.is_spot) {
             continue;
         }
         let score = score(context, spec, machine, candidate);
@@ -118,12 +118,13 @@
 /// image and with little capacity left over come first, spot instances before others
 /// where they are allowed.
 fn score(context: &NodeContext, spec: &JobSpec, machine: &Machine, candidate: &CandidateMachine) -> f64 {
-    let capacity = &context.machine_types[candidate.machine_type].capacity;
-    let has_image = spec.image_gb <= 0.0 || machine.images.iter().any(|image| image.name == spec.image);
-    let wastes_ordinary = spec.spot && !machine.is_spot;
-    let demand = spec.demand();
-    let mut score =
-        window::fit_score(&demand, &candidate.free_capacity, capacity, wastes_ordinary, has_image);
+    let option = placement::PlacementOption {
+        free: &candidate.free_capacity,
+        capacity: &context.machine_types[candidate.machine_type].capacity,
+        wastes_on_demand: spec.spot && !machine.is_spot,
+        has_image: spec.image_gb <= 0.0 || machine.images.iter().any(|image| image.name == spec.image),
+    };
+    let mut score = option.fit_score(&spec.demand());
     score += context.machine_types.scarcity_penalty(candidate.machine_type);
     // A machine with a parked heartbeat starts the task now, not with its next heartbeat.
     if machine.parked_heartbeat.is_none() {
--- a/src/core/shard_owner/desired_state.rs
+++ b/src/core/shard_owner/desired_state.rs
@@ -3,10 +3,12 @@
 use super::attempt::Attempt;
 use super::binding::AdmittedTask;
 use super::machine::{Machine, machines_of_mut};
-use super::owned_shard::{GoneAttempt, OwnedShard, ParkedDesiredState, WaitingTaskCount};
+use super::owned_shard::{
+    DesiredVersion, GoneAttempt, OwnedShard, ParkedDesiredState, WaitingTaskCount,
+};
 use super::{ShardOwner, unavailable};
 use crate::core::common::context::NodeContext;
-use crate::model::{JobIndex, Ms, ShardIndex};
+use crate::model::{AttemptId, FencingToken, JobIndex, Ms, ShardIndex, Term};
 use crate::wire::peer::{self, Decommission, DesiredState};
 use rustc_hash::{FxHashMap, FxHashSet};
 use woadlever_recovery::attempt;
@@ -26,9 +28,9 @@
 /// The attempts that a desired state names.
 struct DesiredAttempts {
     /// By their ids.
-    wanted: FxHashMap<u64, DesiredAttempt>,
+    wanted: FxHashMap<AttemptId, DesiredAttempt>,
     /// Ids of attempts at tasks of jobs that are unknown here.
-    of_unknown_jobs: FxHashSet<u64>,
+    of_unknown_jobs: FxHashSet<AttemptId>,
 }
 
 impl DesiredAttempts {
@@ -37,12 +39,12 @@
         let mut of_unknown_jobs = FxHashSet::default();
         for desired in &message.jobs {
             let Some(job) = context.job_index(&desired.job) else {
-                of_unknown_jobs.extend(desired.tasks.iter().map(|&(_, id, _)| id));
+                of_unknown_jobs.extend(desired.tasks.iter().map(|&(_, id, _)| AttemptId::new(id)));
                 continue;
             };
             let expected_ms = (desired.expected_s * 1000.0) as Ms;
             for &(task, id, may_bind) in &desired.tasks {
-                wanted.insert(id, DesiredAttempt { job, task, may_bind, expected_ms });
+                wanted.insert(AttemptId::new(id), DesiredAttempt { job, task, may_bind, expected_ms });
             }
         }
         DesiredAttempts { wanted, of_unknown_jobs }
@@ -50,7 +52,7 @@
 
     /// The tasks to bind, by the ids of their attempts: those that may be bound and are on
     /// no machine yet.
-    fn admitted(&self, known: &FxHashSet<u64>) -> Vec<AdmittedTask> {
+    fn admitted(&self, known: &FxHashSet<AttemptId>) -> Vec<AdmittedTask> {
         let mut admitted: Vec<AdmittedTask> = self
             .wanted
             .iter()
@@ -94,7 +96,7 @@
 impl ShardOwner {
     /// Takes in a desired state, unless it is out of date, or parks it until the jobs that
     /// it names are known.
-    pub fn on_desired_state(&mut self, context: &mut NodeContext, message: DesiredState) {
+    pub(crate) fn on_desired_state(&mut self, context: &mut NodeContext, message: DesiredState) {
         let Some(Some(shard)) = self.shards.get_mut(message.shard as usize) else { return };
         if !is_current(context, shard, &message) {
             return;
@@ -130,7 +132,8 @@
     fn take_desired_state(&mut self, context: &mut NodeContext, message: DesiredState) {
         let index = ShardIndex::new(message.shard);
         let Some(shard) = &mut self.shards[index.place()] else { return };
-        if shard.fencing_token != message.fencing_token {
+        let fencing_token = FencingToken::new(message.fencing_token);
+        if shard.fencing_token != fencing_token {
             return;
         }
         let desired = DesiredAttempts::from_message(context, &message);
@@ -139,7 +142,7 @@
             self.forget_machine(context, name, index);
         }
         for entry in &message.decommission {
-            self.begin_decommission(entry, index, message.fencing_token);
+            self.begin_decommission(entry, index, fencing_token);
         }
         let known = self.apply_to_machines(context, index, &message, &desired);
         let admitted = desired.admitted(&known);
@@ -149,7 +152,12 @@
     }
 
     /// Notes that a machine is to be decommissioned, which need not be known yet.
-    fn begin_decommission(&mut self, entry: &Decommission, shard: ShardIndex, fencing_token: u64) {
+    fn begin_decommission(
+        &mut self,
+        entry: &Decommission,
+        shard: ShardIndex,
+        fencing_token: FencingToken,
+    ) {
         if self.terminated_machines.contains(&entry.machine) {
             return;
         }
@@ -170,9 +178,9 @@
         index: ShardIndex,
         message: &DesiredState,
         desired: &DesiredAttempts,
-    ) -> FxHashSet<u64> {
+    ) -> FxHashSet<AttemptId> {
         let directives = MachineDirectives::from_message(message);
-        let mut known: FxHashSet<u64> = FxHashSet::default();
+        let mut known: FxHashSet<AttemptId> = FxHashSet::default();
         let Some(shard) = &mut self.shards[index.place()] else { return known };
         for machine in machines_of_mut(&mut self.machines, index) {
             directives.apply(machine);
@@ -220,10 +228,11 @@
 /// Whether a message comes from the present leader, is meant for this owner of the shard
 /// and is newer than the last one taken in.
 fn is_current(context: &NodeContext, shard: &OwnedShard, message: &DesiredState) -> bool {
-    context.leadership.term() == Some(message.term)
-        && message.fencing_token == shard.fencing_token
+    let term = Term::new(message.term);
+    context.leadership.term() == Some(term)
+        && FencingToken::new(message.fencing_token) == shard.fencing_token
         && shard.is_loaded()
-        && (shard.desired_term != message.term || message.serial > shard.desired_serial)
+        && shard.newest_serial(term).is_none_or(|newest| message.serial > newest)
 }
 
 /// Whether all jobs that the message names are known here.
@@ -238,8 +247,8 @@
     message: &DesiredState,
     desired: &DesiredAttempts,
 ) {
-    shard.desired_term = message.term;
-    shard.desired_serial = message.serial;
+    shard.desired_version =
+        Some(DesiredVersion { term: Term::new(message.term), serial: message.serial });
     shard.has_unreported_changes = true;
     shard.rejected_attempts.retain(|id| desired.wanted.contains_key(id));
     // The leader takes what our next state message leaves out for never bound and admits
--- a/src/core/shard_owner/machine.rs
+++ b/src/core/shard_owner/machine.rs
@@ -5,12 +5,12 @@
 use super::placement_records::RecordIndex;
 use crate::core::common::context::NodeContext;
 use crate::core::common::named_table::NamedTable;
-use crate::model::{MachineIndex, Ms, Resources, ShardIndex};
+use crate::model::{FencingToken, MachineIndex, Ms, Resources, ShardIndex};
 use woadlever_recovery::attempt::AttemptPhase;
 use woadlever_recovery::worker::WorkerLiveness;
 
 /// Machines of all shards that this node owns.
-pub type Machines = NamedTable<MachineIndex, Machine>;
+pub(super) type Machines = NamedTable<MachineIndex, Machine>;
 
 /// The machines of one shard.
 pub(super) fn machines_of(machines: &Machines, shard: ShardIndex) -> impl Iterator<Item = &Machine> {
@@ -34,7 +34,7 @@
 
 /// A machine of an owned shard.
 #[derive(Debug)]
-pub struct Machine {
+pub(crate) struct Machine {
     pub(super) name: String,
     /// Address for direct commands; empty until a heartbeat has told it.
     pub(super) address: String,
@@ -44,7 +44,7 @@
     pub(super) is_spot: bool,
     pub(super) shard: ShardIndex,
     /// Fencing token of the shard when the machine became known.
-    pub(super) fencing_token: u64,
+    pub(super) fencing_token: FencingToken,
     /// What its heartbeats and our responses prove.
     pub(super) liveness: WorkerLiveness,
     pub(super) has_preemption_notice: bool,
@@ -74,12 +74,12 @@
     pub(super) peak_load: f64,
     pub(super) parked_heartbeat: Option<ParkedHeartbeat>,
     /// When direct commands were last sent to it.
-    pub(super) last_direct_command_at: Ms,
+    pub(super) last_direct_command_at: Option<Ms>,
 }
 
 impl Machine {
     /// A machine of which nothing is known but its name.
-    pub(super) fn new(name: &str, shard: ShardIndex, fencing_token: u64) -> Machine {
+    pub(super) fn new(name: &str, shard: ShardIndex, fencing_token: FencingToken) -> Machine {
         Machine {
             name: name.into(),
             address: String::new(),
@@ -103,7 +103,7 @@
             is_overloaded: false,
             peak_load: 0.0,
             parked_heartbeat: None,
-            last_direct_command_at: 0,
+            last_direct_command_at: None,
         }
     }
 
--- a/src/core/shard_owner/mod.rs
+++ b/src/core/shard_owner/mod.rs
@@ -39,7 +39,7 @@
 use crate::core::common::context::NodeContext;
 use crate::core::common::recent_names::RecentNames;
 use crate::core::{StoreCallOwner, StoreRequest, StoreResponse};
-use crate::model::{JobIndex, Ms, ShardIndex};
+use crate::model::{FencingToken, JobIndex, Ms, ShardIndex};
 use machine::Machines;
 use owned_shard::{LoadState, OwnedShard};
 use placement_records::{RecordIndex, RecordWrite, record_prefix};
@@ -57,13 +57,13 @@
 
 /// A call of the shard owner to the key-value store, to be known again by its response.
 #[derive(Debug)]
-pub enum ShardOwnerCall {
+pub(crate) enum ShardOwnerCall {
     /// Reads a page of a shard's placement records.
     Load {
         /// The shard.
         shard: ShardIndex,
         /// Fencing token under which it was sent.
-        fencing_token: u64,
+        fencing_token: FencingToken,
     },
     /// Writes a placement record.
     Write(RecordWrite),
@@ -74,12 +74,12 @@
         /// The record.
         record: RecordIndex,
         /// Fencing token under which it was sent.
-        fencing_token: u64,
+        fencing_token: FencingToken,
     },
 }
 
 /// The shards that this node owns, and their machines.
-pub struct ShardOwner {
+pub(super) struct ShardOwner {
     /// All shards by their index; none: owned by another node, or by nobody.
     shards: Vec<Option<OwnedShard>>,
     /// The machines of all owned shards.
@@ -93,11 +93,11 @@
 
 impl ShardOwner {
     /// The shard owner of a process that has just started: it owns no shard yet.
-    pub fn new(context: &NodeContext) -> ShardOwner {
+    pub(super) fn new(context: &NodeContext) -> ShardOwner {
         ShardOwner {
             shards: context.shards.iter().map(|_| None).collect(),
             machines: Machines::default(),
-            terminated_machines: RecentNames::new(context.returned_kept()),
+            terminated_machines: RecentNames::new(context.terminated_names_kept()),
             next_scan_at: 0,
             next_check_at: 0,
             next_projection_at: 0,
@@ -105,7 +105,7 @@
     }
 
     /// Does what is due by now.
-    pub fn poll(&mut self, context: &mut NodeContext) {
+    pub(super) fn poll(&mut self, context: &mut NodeContext) {
         self.follow_shard_records(context);
         for place in 0..self.shards.len() {
             self.start_due_load(context, ShardIndex::at(place));
@@ -149,7 +149,11 @@
             self.drop_machines(context, shard);
             let name = &context.shards[place].name;
             self.shards[place] = own_token.map(|fencing_token| {
-                tracing::info!(shard = name, fencing_token, "became shard owner");
+                tracing::info!(
+                    shard = name,
+                    fencing_token = fencing_token.number(),
+                    "became shard owner"
+                );
                 OwnedShard::new(shard, fencing_token, context.clock.now())
             });
             if own_token.is_none() {
@@ -187,7 +191,7 @@
     }
 
     /// Takes in the store's response to a call.
-    pub fn on_result(
+    pub(super) fn on_result(
         &mut self,
         context: &mut NodeContext,
         call: ShardOwnerCall,
@@ -217,7 +221,7 @@
 fn request_record_page(
     context: &mut NodeContext,
     shard: ShardIndex,
-    fencing_token: u64,
+    fencing_token: FencingToken,
     after: Option<String>,
 ) {
     let prefix = record_prefix(&context.shards[shard.place()].name);
--- a/src/core/shard_owner/placement_records/draft.rs
+++ b/src/core/shard_owner/placement_records/draft.rs
@@ -5,7 +5,7 @@
 use super::record::RecordIndex;
 use super::write::RecordWrite;
 use crate::core::common::context::NodeContext;
-use crate::core::common::watch_cache::job_key;
+use crate::core::common::store_keys::job_key;
 use crate::core::shard_owner::attempt::{Attempt, RecordingState};
 use crate::core::shard_owner::machine::Machine;
 use crate::core::shard_owner::name_table::place_of;
@@ -96,7 +96,11 @@
             }
             row_bytes = 0;
             let row = self.job_row(context, attempt);
-            tasks.extend([u64::from(row), u64::from(attempt.task), attempt.id - self.content.base]);
+            tasks.extend([
+                u64::from(row),
+                u64::from(attempt.task),
+                attempt.id.number() - self.content.base,
+            ]);
         }
         tasks
     }
@@ -105,7 +109,7 @@
     /// takes, if it is the machine's first.
     fn add_attempt(&mut self, context: &NodeContext, attempt: &mut Attempt, row_bytes: usize) -> bool {
         let job_bytes = if self.job_rows.contains_key(&attempt.job) { 0 } else { attempt.job_row_bytes };
-        let own_bytes = attempt_bytes(attempt.task, attempt.id - self.content.base);
+        let own_bytes = attempt_bytes(attempt.task, attempt.id.number() - self.content.base);
         let bytes = own_bytes + row_bytes + job_bytes;
         let fits = self.bytes + bytes <= max_record_bytes(context);
         if attempt.moving_to == Some(self.write.record) {
--- a/src/core/shard_owner/placement_records/layout.rs
+++ b/src/core/shard_owner/placement_records/layout.rs
@@ -45,7 +45,7 @@
 /// What a job's row takes, to the byte: an estimate would leave bound tasks waiting for
 /// capacity that is there. It is worked out once for an attempt, as it writes out three
 /// decimal numbers.
-pub fn job_row_bytes(name: &str, team: &str, demand: &Resources) -> usize {
+pub(crate) fn job_row_bytes(name: &str, team: &str, demand: &Resources) -> usize {
     let decimal_bytes = |number: f64| number.to_string().len() + DECIMAL_OVERHEAD_BYTES;
     let demand_bytes =
         decimal_bytes(demand.cpus) + decimal_bytes(demand.gpus) + decimal_bytes(demand.mem);
@@ -79,7 +79,7 @@
         let listed = |attempt: &&Attempt| attempt.record == record && attempt.may_be_recorded();
         for attempt in machine.attempts.iter().filter(listed) {
             has_row = true;
-            bytes += attempt_bytes(attempt.task, attempt.id - base);
+            bytes += attempt_bytes(attempt.task, attempt.id.number() - base);
             if jobs.insert(attempt.job) {
                 bytes += attempt.job_row_bytes;
             }
--- a/src/core/shard_owner/placement_records/reread.rs
+++ b/src/core/shard_owner/placement_records/reread.rs
@@ -7,7 +7,7 @@
 use crate::core::shard_owner::machine::{Machine, Machines, machines_of_mut};
 use crate::core::shard_owner::{OwnedShard, ShardOwnerCall};
 use crate::core::{StoreCallOwner, StoreRequest, StoreResponse};
-use crate::model::Ms;
+use crate::model::{AttemptId, Ms};
 use crate::wire::store::{KeyValue, PlacementRecord, RecordedMachine};
 use rustc_hash::FxHashMap;
 
@@ -25,7 +25,7 @@
 }
 
 /// Takes in the record as it was read back, or that the read failed.
-pub fn on_reread_result(
+pub(crate) fn on_reread_result(
     context: &mut NodeContext,
     shard: &mut OwnedShard,
     machines: &mut Machines,
@@ -61,7 +61,7 @@
     };
     shard.records[index].on_reread(context, item.version, item.value.len());
     let rows: FxHashMap<&str, &RecordedMachine> =
-        content.machines.iter().map(|row| (row.0.as_str(), row)).collect();
+        content.machines.iter().map(|row| (row.name(), row)).collect();
     let mut outdated = Vec::new();
     for machine in machines_of_mut(machines, shard.index) {
         let row = rows.get(machine.name.as_str()).copied();
@@ -93,7 +93,9 @@
     row: Option<&RecordedMachine>,
     base: u64,
 ) -> Vec<RecordIndex> {
-    let is_listed = |id: u64| row.is_some_and(|row| row.tasks(base).any(|(_, _, listed)| listed == id));
+    let is_listed = |id: AttemptId| {
+        row.is_some_and(|row| row.attempts(base).any(|listed| listed.attempt == id.number()))
+    };
     let mut left = Vec::new();
     for attempt in &mut machine.attempts {
         if attempt.record == index {
--- a/src/core/shard_owner/placement_records/schedule.rs
+++ b/src/core/shard_owner/placement_records/schedule.rs
@@ -8,7 +8,7 @@
 use crate::core::common::context::NodeContext;
 use crate::core::shard_owner::OwnedShard;
 use crate::core::shard_owner::machine::{Machine, Machines};
-use crate::model::{Ms, ShardIndex};
+use crate::model::{Ms, ShardIndex, Term};
 use rustc_hash::FxHashMap;
 
 /// Share of the store's writes that urgent ones may take, of all nodes together.
@@ -69,10 +69,10 @@
         context: &NodeContext,
         shard: &mut OwnedShard,
         machine: &mut Machine,
-        term: u64,
+        term: Term,
     ) {
         // An attempt that a former leader admitted has no standing.
-        if shard.desired_term == term {
+        if shard.follows_term(term) {
             for attempt in machine.attempts.iter().filter(|attempt| attempt.needs_recording(context)) {
                 self.add(shard.index, attempt.record, Urgency::Urgent);
             }
@@ -96,7 +96,7 @@
 /// Writes the records that something new waits for, as far as the rate of writes allows,
 /// and reads back those whose last write has an unknown outcome. Without a known leader,
 /// nothing is done.
-pub fn write_due_records(
+pub(crate) fn write_due_records(
     context: &mut NodeContext,
     shards: &mut [Option<OwnedShard>],
     machines: &mut Machines,
@@ -134,13 +134,13 @@
     context: &NodeContext,
     shards: &mut [Option<OwnedShard>],
     machines: &mut Machines,
-    term: u64,
+    term: Term,
 ) {
     let now = context.clock.now();
     for shard in shards.iter_mut().flatten().filter(|shard| shard.is_loaded()) {
         // A leader that has yet to read all records would miss an attempt that moves from
         // one that it reads later to one that it has read.
-        if shard.desired_term != term {
+        if !shard.follows_term(term) {
             continue;
         }
         for record in shard.records.indices() {
@@ -158,7 +158,7 @@
     context: &NodeContext,
     shards: &mut [Option<OwnedShard>],
     machines: &mut Machines,
-    term: u64,
+    term: Term,
 ) -> PendingChanges {
     let mut pending = PendingChanges::default();
     for machine in machines.values_mut() {
@@ -186,7 +186,7 @@
     let record = &mut shard.records[index];
     let reason = write_reason(record, urgency, may_clean_up, now)?;
     if record.is_oversized() {
-        let follows_leader = context.leadership.term() == Some(shard.desired_term);
+        let follows_leader = context.leadership.term().is_some_and(|term| shard.follows_term(term));
         if !follows_leader || must_wait_for_split(context, machines, shard.index, index) {
             return None;
         }
--- a/src/core/shard_owner/placement_records/write.rs
+++ b/src/core/shard_owner/placement_records/write.rs
@@ -5,12 +5,12 @@
 use super::record::RecordIndex;
 use super::record_key;
 use crate::core::common::context::NodeContext;
-use crate::core::common::watch_cache::{LEADER, shard_key};
+use crate::core::common::store_keys::{LEADER, shard_key};
 use crate::core::shard_owner::attempt::{Attempt, RecordingState};
 use crate::core::shard_owner::machine::{Machine, Machines, machines_of, machines_of_mut};
 use crate::core::shard_owner::{OwnedShard, ShardOwnerCall};
 use crate::core::{StoreCallOwner, StoreRequest, StoreResponse};
-use crate::model::{MachineIndex, Ms, ShardIndex};
+use crate::model::{AttemptId, FencingToken, MachineIndex, Ms, ShardIndex, Term};
 use crate::wire::encoded::Encoded;
 use crate::wire::store::{Compare, CompareAndSwap, Mutation, RecordedMachine};
 use rustc_hash::{FxHashMap, FxHashSet};
@@ -26,17 +26,17 @@
 
 /// One write of a placement record under way.
 #[derive(Debug)]
-pub struct RecordWrite {
+pub(crate) struct RecordWrite {
     /// The shard of the record.
     pub(in crate::core::shard_owner) shard: ShardIndex,
     /// The record.
     pub(super) record: RecordIndex,
     /// Fencing token under which it was sent.
-    fencing_token: u64,
+    fencing_token: FencingToken,
     /// Attempts that may be started once this write is executed.
-    pub(super) new_attempts: FxHashSet<u64>,
+    pub(super) new_attempts: FxHashSet<AttemptId>,
     /// Attempts that are copied out of oversized records.
-    pub(super) moved_attempts: FxHashSet<u64>,
+    pub(super) moved_attempts: FxHashSet<AttemptId>,
     /// What the record shows of the machines whose own state is in it.
     pub(super) machine_flags: FxHashMap<MachineIndex, u8>,
 }
@@ -60,7 +60,7 @@
     shard: &mut OwnedShard,
     machines: &mut Machines,
     record: RecordIndex,
-    term: u64,
+    term: Term,
 ) {
     let draft = draft_record(context, shard, machines, record, term);
     let value = Encoded::new(&draft.content);
@@ -84,19 +84,19 @@
     shard: &OwnedShard,
     machines: &mut Machines,
     record: RecordIndex,
-    term: u64,
+    term: Term,
 ) -> RecordDraft {
     let shard_name = &context.shards[shard.index.place()].name;
     let version = shard.records[record].version();
     let compares = vec![
-        Compare { key: LEADER.into(), version: term },
-        Compare { key: shard_key(shard_name), version: shard.fencing_token },
+        Compare { key: LEADER.into(), version: term.number() },
+        Compare { key: shard_key(shard_name), version: shard.fencing_token.number() },
         Compare { key: record_key(shard_name, record), version },
     ];
     let base = smallest_attempt(machines, shard.index, record);
     let bytes = required_bytes(machines, shard.index, record, base);
     // An attempt that a former leader admitted has no standing.
-    let takes_new = shard.desired_term == term;
+    let takes_new = shard.follows_term(term);
     let write = RecordWrite::new(shard, record);
     let mut draft = RecordDraft::new(write, compares, base, bytes, takes_new);
     for (index, machine) in machines.iter_mut().filter(|(_, machine)| machine.shard == shard.index) {
@@ -111,7 +111,7 @@
         |attempt: &&Attempt| attempt.record == record || attempt.moving_to == Some(record);
     machines_of(machines, shard)
         .flat_map(|machine| machine.attempts.iter().filter(belongs_here))
-        .map(|attempt| attempt.id)
+        .map(|attempt| attempt.id.number())
         .min()
         .unwrap_or(0)
 }
@@ -135,7 +135,7 @@
 }
 
 /// Takes in the outcome of a write. One under an earlier fencing token is ignored.
-pub fn on_write_result(
+pub(crate) fn on_write_result(
     context: &mut NodeContext,
     shard: &mut OwnedShard,
     machines: &mut Machines,
--- a/src/core/shard_owner/reported_state.rs
+++ b/src/core/shard_owner/reported_state.rs
@@ -8,7 +8,7 @@
 use super::owned_shard::OwnedShard;
 use crate::core::common::context::NodeContext;
 use crate::core::common::leadership::KnownLeader;
-use crate::model::{JobIndex, Ms};
+use crate::model::{JobIndex, Ms, Term};
 use crate::wire::peer::{
     PeerMessage, ReportedJob, ReportedMachine, ReportedPhase, ReportedState, ReportedTask,
 };
@@ -19,6 +19,8 @@
 const MIN_REPORT_GAP_MS: Ms = 60;
 /// Time between two state messages of a shard while nothing changes.
 const IDLE_REPORT_GAP_MS: Ms = 1_000;
+/// Echo of a state message that answers no desired state.
+const NO_DESIRED_STATE: u64 = 0;
 /// Silence of a machine that was never heard, as state messages have it.
 const NEVER_HEARD_MS: u64 = u64::MAX;
 
@@ -52,15 +54,14 @@
     context: &NodeContext,
     shard: &OwnedShard,
     machines: &Machines,
-    term: u64,
+    term: Term,
 ) -> ReportedState {
-    let echo = if shard.desired_term == term { shard.desired_serial } else { 0 };
     let mut builder = ReportBuilder {
         report: ReportedState {
-            term,
+            term: term.number(),
             shard: shard.index.number(),
-            fencing_token: shard.fencing_token,
-            echo,
+            fencing_token: shard.fencing_token.number(),
+            echo: shard.newest_serial(term).unwrap_or(NO_DESIRED_STATE),
             types: Vec::new(),
             jobs: Vec::new(),
             machines: Vec::new(),
@@ -106,7 +107,7 @@
         ReportedTask {
             job: self.job_row(context, attempt),
             task: attempt.task,
-            attempt: attempt.id,
+            attempt: attempt.id.number(),
             state: reported_phase(attempt.phase),
             ran_ms: attempt.run_time_ms(context.clock.now()),
         }
--- a/tests/combined_faults/late_heartbeats.rs
+++ b/tests/combined_faults/late_heartbeats.rs
@@ -1,7 +1,7 @@
 //! Old heartbeats that arrive late.
 
 use crate::fixtures::{busy, machine_of, run_without_cloud};
-use crate::support::{LEASE_MS, World, job};
+use crate::support::{LEASE_MS, Worker, World, job};
 use serde_json::json;
 
 /// Two old heartbeats reach a new shard owner, one of an earlier incarnation and one of this
@@ -17,7 +17,7 @@
     }
     world.run(8_000);
 
-    let first: Vec<_> = world.workers.iter().map(|worker| worker.heartbeat()).collect();
+    let first: Vec<_> = world.workers.iter().map(Worker::heartbeat).collect();
     for worker in &mut world.workers {
         worker.cut = true;
     }
@@ -26,7 +26,7 @@
         worker.cut = false;
     }
     world.run(9_000);
-    let second: Vec<_> = world.workers.iter().map(|worker| worker.heartbeat()).collect();
+    let second: Vec<_> = world.workers.iter().map(Worker::heartbeat).collect();
     assert!(second.iter().all(|heartbeat| heartbeat.incarnation == 2));
 
     for (number, zone) in [(1, "east"), (2, "west")] {
@@ -68,7 +68,7 @@
 fn old_heartbeats_reach_every_controller_as_a_new_leader_begins() {
     for (seed, wait) in [(571, 0), (572, 5_600), (573, 9_000)] {
         let mut world = busy(seed, 8);
-        let old: Vec<_> = world.workers.iter().map(|worker| worker.heartbeat()).collect();
+        let old: Vec<_> = world.workers.iter().map(Worker::heartbeat).collect();
 
         // What ran then ends, on some machines by a lease that ran out.
         let machine = machine_of(&world, 2);
--- a/tests/pipelines/main.rs
+++ b/tests/pipelines/main.rs
@@ -6,6 +6,7 @@
 //! the store and on 60 machines in one of its scenarios. They are not to be made anew by
 //! later code.
 
+#![allow(unreachable_pub, reason = "modules of a test program are not a library")]
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic, reason = "a test fails by panicking")]
 
 #[path = "../support/mod.rs"]
--- a/tests/recovery.rs
+++ b/tests/recovery.rs
@@ -1,6 +1,7 @@
 //! Recovery from the loss of all controllers: workers' heartbeats are reconciled with what is
 //! on record before commands are sent, and no more commands are sent than needed.
 
+#![allow(unreachable_pub, reason = "modules of a test program are not a library")]
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic, reason = "a test fails by panicking")]
 
 mod support;
--- a/tests/scenarios/workers.rs
+++ b/tests/scenarios/workers.rs
@@ -2,7 +2,7 @@
 
 use crate::fixtures::{busy_machine, busy_world, idle_east, world};
 use crate::support::store::StoredRecord;
-use crate::support::{World, job};
+use crate::support::{Worker, World, job};
 use serde_json::{Value, json};
 
 /// Invariant 3: a heartbeat from before the task started, arriving late at a new
@@ -170,7 +170,7 @@
 fn late_copies_of_heartbeats_change_nothing() {
     let mut world = busy_world(60, 8);
     let gone = world.workers.iter().position(|worker| worker.tasks.is_empty());
-    let copies: Vec<_> = world.workers.iter().map(|worker| worker.heartbeat()).collect();
+    let copies: Vec<_> = world.workers.iter().map(Worker::heartbeat).collect();
     let (machine, shard_owner) = busy_machine(&world);
 
     // A machine goes for good, and its node with it; later copies of all
--- a/tests/support/workers.rs
+++ b/tests/support/workers.rs
@@ -181,7 +181,7 @@
         let task: u32 = task.parse().unwrap();
         let is_same_task = |known: &WorkerTask| known.job == job && known.task == task;
         let is_it = |known: &WorkerTask| is_same_task(known) && known.attempt == command.attempt;
-        match (command.op, self.tasks.iter().position(is_it)) {
+        match (command.action, self.tasks.iter().position(is_it)) {
             (CommandAction::Start, None) => {
                 let is_alive = |known: &WorkerTask| known.state != TaskState::Exited;
                 let busy = self.tasks.iter().any(|known| is_same_task(known) && is_alive(known));
@@ -219,9 +219,9 @@
 
 impl CommandCounts {
     fn count(&mut self, command: &Command) {
-        match command.op {
+        match command.action {
             CommandAction::Start => {
-                *self.runs.entry((command.task.clone(), command.attempt)).or_default() += 1
+                *self.runs.entry((command.task.clone(), command.attempt)).or_default() += 1;
             }
             CommandAction::Stop => self.stops += 1,
             CommandAction::Forget => self.clears += 1,
@@ -354,7 +354,7 @@
         worker.fencing_token = direct.fencing_token;
         for command in direct.commands {
             assert_eq!(
-                command.op,
+                command.action,
                 CommandAction::Stop,
                 "a direct command may be carried out minutes late"
             );
--- a/tests/units/forecast.rs
+++ b/tests/units/forecast.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 use woadlever::config::Operator;
-use woadlever::core::common::window::{Booking, project, remaining_s};
+use woadlever::core::common::projection::{Booking, project, remaining_s};
 use woadlever::core::forecast::History;
 use woadlever::model::Resources;
 
@@ -39,7 +39,7 @@
 fn a_season_counts_once_it_was_seen_twice() {
     let mut history = History::default();
     let record = |history: &mut History, demand: f64| {
-        history.record(&BTreeMap::from([("k".to_string(), demand)]), 10)
+        history.record(&BTreeMap::from([("k".to_string(), demand)]), 10);
     };
     assert_eq!(history.expect("k", 10, 0.4), None);
 
--- a/tests/units/model.rs
+++ b/tests/units/model.rs
@@ -4,11 +4,11 @@
 
 #[test]
 fn a_task_set_survives_being_written_in_chunks() {
-    let mut tasks = TaskSet::with_room(100_000);
+    let mut tasks = TaskSet::with_capacity(100_000);
     for task in [0, 1, 63, 64, 16_383, 16_384, 70_000, 99_999] {
         assert!(tasks.insert(task) && !tasks.insert(task));
     }
-    let mut read_back = TaskSet::with_room(100_000);
+    let mut read_back = TaskSet::with_capacity(100_000);
     for segment in 0..7 {
         let text = tasks.to_hex(segment * 256, segment * 256 + 256);
         assert!(text.len() <= 4096);
