--- a/tests/cells_loopback.rs
+++ b/tests/cells_loopback.rs
@@ -25,6 +25,7 @@
 const HOST: usize = 1;
 /// The cell that goes silent.
 const SILENT: usize = 2;
+/// Machines that the cloud of each cell has.
 const CAPACITY: [usize; CELLS] = [2, 6, 6];
 const JOBS: u32 = 8;
 const TASKS: u32 = 8;
@@ -34,6 +35,7 @@
 /// Machines of each cell are counted from its number times this.
 const MACHINES_APART: u32 = 100_000;
 
+/// A cell with its outer systems.
 struct Cell {
     front: Vec<SocketAddr>,
     cluster: Cluster,
@@ -97,13 +99,14 @@
     (number / MACHINES_APART) as usize
 }
 
+/// Whether a task runs in a cell.
 fn runs_in(history: &History, cell: usize) -> bool {
     history.running().values().any(|machine| cell_of(machine) == cell)
 }
 
 #[tokio::test]
 async fn jobs_move_between_cells_whose_controllers_are_killed_and_each_runs_once() {
-    // All at once, so that no two are the same.
+    // All ports in one call, so that no two are the same.
     let all = free_ports(CELLS * NODES * 3);
     let (for_cells, for_nodes) = all.split_at(CELLS * NODES);
     let ports: Vec<Vec<SocketAddr>> = for_cells.chunks(NODES).map(<[SocketAddr]>::to_vec).collect();
@@ -130,7 +133,7 @@
     for id in 1..=JOBS {
         until_done(&client, &front, id).await;
     }
-    // Back at last, it has nothing to run any more.
+    // Once back, the cell has nothing to run any more.
     let before = history.starts().values().sum::<u32>();
     cells[SILENT].cluster.start();
     tokio::time::sleep(Duration::from_secs(5)).await;
--- a/tests/loopback.rs
+++ b/tests/loopback.rs
@@ -73,7 +73,7 @@
     assert_eq!(
         (history.ordered(), history.stopped()),
         ((JOBS * TASKS) as usize, 0),
-        "orders not needed"
+        "commands that were not needed"
     );
     assert!(cloud.machines() <= MACHINES);
     assert_eq!(state.value("w/job/run-000001").unwrap()["s"], "d");
--- a/tests/recovery.rs
+++ b/tests/recovery.rs
@@ -14,7 +14,7 @@
 
 const NODES: usize = 3;
 /// Commands sent after a restart may exceed the least that is needed by this factor.
-const ORDER_FACTOR: f64 = 1.1;
+const COMMAND_FACTOR: f64 = 1.1;
 
 /// A busy cluster: long tasks on all machines, and some that wait.
 fn busy(seed: u64) -> World {
@@ -25,10 +25,11 @@
         world.accept(id as usize % NODES, &job(id, if id == 1 { "t0" } else { "t1" }, 6, 60.0));
     }
     world.run(35_000);
-    assert!(running(&world).len() >= 20, "{} tasks run", running(&world).len());
+    assert!(running_tasks(&world).len() >= 20, "{} tasks run", running_tasks(&world).len());
     world
 }
 
+/// Ends all processes; they start anew after `back_ms`.
 fn crash_all(world: &mut World, back_ms: u64) {
     for node in 0..NODES {
         world.crash(node, back_ms);
@@ -36,7 +37,7 @@
 }
 
 /// Tasks that are on a machine and have not ended.
-fn running(world: &World) -> HashSet<String> {
+fn running_tasks(world: &World) -> HashSet<String> {
     let live = world.workers.iter().filter(|worker| worker.alive).flat_map(|worker| &worker.tasks);
     live.filter(|task| task.state != TaskState::Exited)
         .map(|task| format!("{}/{}", task.job, task.task))
@@ -45,7 +46,7 @@
 
 /// Tasks that are neither on a machine nor done, from the true state of the workers and
 /// the records: at least this number of commands to start is needed.
-fn needed(world: &World) -> usize {
+fn count_needed_starts(world: &World) -> usize {
     let on_machines: HashSet<String> = world
         .workers
         .iter()
@@ -74,7 +75,8 @@
     digit & (1 << (task % 4)) != 0
 }
 
-fn all_done(world: &mut World) {
+/// Lets the time pass until all jobs are done.
+fn run_until_all_done(world: &mut World) {
     let ids: Vec<String> = world.users.jobs.keys().cloned().collect();
     for id in ids {
         assert!(world.until_done(&id, 300_000), "{id} is not done");
@@ -92,16 +94,19 @@
         let mut world = busy(700 + seed);
         crash_all(&mut world, 3_000 + seed * 1_000);
         world.commands = CommandCounts::default();
-        let least = needed(&world);
-        let kept = running(&world);
+        let least = count_needed_starts(&world);
+        let kept = running_tasks(&world);
         world.run(20_000);
-        let still = running(&world);
+        let still = running_tasks(&world);
         assert!(kept.is_subset(&still), "seed {seed}: lost {:?}", kept.difference(&still));
         assert_eq!(world.commands.stops, 0, "seed {seed}");
 
-        all_done(&mut world);
+        run_until_all_done(&mut world);
         let sent = world.commands.attempts();
-        assert!(sent as f64 <= least as f64 * ORDER_FACTOR, "seed {seed}: {sent} runs, {least} needed");
+        assert!(
+            sent as f64 <= least as f64 * COMMAND_FACTOR,
+            "seed {seed}: {sent} runs, {least} needed"
+        );
         assert_no_task_ran_again(&world);
         world.assert_rules_kept();
     }
@@ -112,7 +117,7 @@
     for seed in 0..4 {
         let mut world = busy(720 + seed);
         world.commands = CommandCounts::default();
-        let kept = running(&world);
+        let kept = running_tasks(&world);
 
         // One by one, then all again before the last is back, and again while machines
         // are still being reconciled.
@@ -124,10 +129,10 @@
         world.run(2_200);
         crash_all(&mut world, 800);
         world.run(15_000);
-        let still = running(&world);
+        let still = running_tasks(&world);
         assert!(kept.is_subset(&still), "seed {seed}: lost {:?}", kept.difference(&still));
 
-        all_done(&mut world);
+        run_until_all_done(&mut world);
         assert_no_task_ran_again(&world);
         world.assert_rules_kept();
     }
@@ -155,7 +160,7 @@
 
     world.run_ms = 60_000;
     crash_all(&mut world, 4_000);
-    let kept = running(&world);
+    let kept = running_tasks(&world);
 
     // A job never accepted, another attempt at a task that runs elsewhere, an attempt of
     // an earlier incarnation at a known job, and one of a job that is done.
@@ -168,12 +173,12 @@
     for (worker, attempt) in [(0, 5), (1, 7), (2, 3), (3, 11)] {
         assert!(!is_there(&world, worker, attempt), "attempt {attempt} goes on");
     }
-    assert!(kept.iter().all(|task| running(&world).contains(task)), "kept work was stopped");
+    assert!(kept.iter().all(|task| running_tasks(&world).contains(task)), "kept work was stopped");
 
     // Each command may be sent again with the answer to the next heartbeat.
     assert!((4..=8).contains(&world.commands.stops), "{} stops", world.commands.stops);
 
-    all_done(&mut world);
+    run_until_all_done(&mut world);
     assert_eq!(world.status(0, "run-777777"), "404");
     world.assert_rules_kept();
 }
@@ -193,10 +198,10 @@
     assert!(!lost.is_empty());
 
     world.commands = CommandCounts::default();
-    let least = needed(&world);
-    all_done(&mut world);
+    let least = count_needed_starts(&world);
+    run_until_all_done(&mut world);
     let sent = world.commands.attempts();
-    assert!(sent as f64 <= least as f64 * ORDER_FACTOR, "{sent} runs, {least} needed");
+    assert!(sent as f64 <= least as f64 * COMMAND_FACTOR, "{sent} runs, {least} needed");
 
     for (task, starts) in &world.oracle.starts {
         assert_eq!(*starts, if lost.contains(task) { 2 } else { 1 }, "{task}");
@@ -225,7 +230,7 @@
     };
     assert_eq!(elsewhere(&world), 0, "its lease has not ended");
 
-    all_done(&mut world);
+    run_until_all_done(&mut world);
     world.assert_rules_kept();
 }
 
@@ -239,7 +244,7 @@
     old.sequence = 1;
     old.fencing_token = 0;
     crash_all(&mut world, 2_000);
-    let kept = running(&world);
+    let kept = running_tasks(&world);
     world.run(2_300);
     for step in 0..20 {
         for node in 0..NODES {
@@ -248,9 +253,9 @@
         world.run(100 + step * 20);
     }
     world.run(8_000);
-    assert!(kept.is_subset(&running(&world)), "an old report took work for gone");
+    assert!(kept.is_subset(&running_tasks(&world)), "work was given up because of an old heartbeat");
 
-    all_done(&mut world);
+    run_until_all_done(&mut world);
     assert_no_task_ran_again(&world);
     world.assert_rules_kept();
 }
@@ -261,7 +266,7 @@
         let mut world = busy(790 + seed);
         world.store.down = true;
         crash_all(&mut world, 500);
-        let kept = running(&world);
+        let kept = running_tasks(&world);
         world.run(4_000);
         world.store.down = false;
 
@@ -271,10 +276,10 @@
         world.run(3_000);
         world.store.down = false;
         world.run(12_000);
-        let still = running(&world);
+        let still = running_tasks(&world);
         assert!(kept.is_subset(&still), "seed {seed}: lost {:?}", kept.difference(&still));
 
-        all_done(&mut world);
+        run_until_all_done(&mut world);
         assert_no_task_ran_again(&world);
         world.assert_rules_kept();
     }
@@ -301,7 +306,7 @@
     assert_eq!(status, 200);
 
     world.run(support::CANCEL_MS + 5_000);
-    assert!(running(&world).iter().all(|task| !task.starts_with("run-000002/")));
+    assert!(running_tasks(&world).iter().all(|task| !task.starts_with("run-000002/")));
     world.assert_rules_kept();
 }
 
@@ -339,7 +344,7 @@
         assert!(worker.tasks.is_empty(), "{} got work", worker.name);
     }
     world.cloud.is_down = false;
-    all_done(&mut world);
+    run_until_all_done(&mut world);
     world.assert_rules_kept();
 }
 
@@ -350,11 +355,11 @@
         world.store_faults.slow.insert(node, 900);
     }
     crash_all(&mut world, 1_000);
-    let kept = running(&world);
+    let kept = running_tasks(&world);
     world.run(30_000);
-    assert!(kept.is_subset(&running(&world)), "leases ended while records were read");
+    assert!(kept.is_subset(&running_tasks(&world)), "leases ended while records were read");
     world.store_faults.slow.clear();
-    all_done(&mut world);
+    run_until_all_done(&mut world);
     assert_no_task_ran_again(&world);
     world.assert_rules_kept();
 }
--- a/tests/recovery_model.rs
+++ b/tests/recovery_model.rs
@@ -10,28 +10,29 @@
 use proptest::prelude::*;
 use proptest::test_runner::{FileFailurePersistence, RngSeed};
 use proptest_state_machine::{ReferenceStateMachine, StateMachineTest, prop_state_machine};
+use support::network::WORKERS;
 use support::{World, job};
 
 const NODES: usize = 3;
-const MOST_JOBS: u32 = 6;
+const MAX_JOBS: u32 = 6;
 const STEPS: std::ops::Range<usize> = 4..16;
 
-/// What happens to the cluster.
+/// A step of a history: what happens to the cluster.
 #[derive(Debug, Clone)]
 enum Step {
     Submit { node: usize, tasks: u32 },
     Crash { node: usize, back_ms: u64 },
     CrashAll { back_ms: [u64; NODES] },
-    StateService { is_down: bool },
+    StoreOutage { is_down: bool },
     Refuse { node: usize },
     CutWorkers { node: usize },
     Heal,
     RestartWorker { worker: usize },
-    RepeatReport { node: usize, worker: usize },
+    RepeatHeartbeat { node: usize, worker: usize },
     Wait { ms: u64 },
 }
 
-/// What the drawing of steps has to know.
+/// The state that decides which steps may be drawn.
 #[derive(Debug, Clone)]
 struct Drawn {
     jobs: u32,
@@ -51,19 +52,19 @@
             3 => (node.clone(), 1_u32..10).prop_map(|(node, tasks)| Step::Submit { node, tasks }),
             2 => (node.clone(), 50_u64..6_000).prop_map(|(node, back_ms)| Step::Crash { node, back_ms }),
             3 => prop::array::uniform3(50_u64..6_000).prop_map(|back_ms| Step::CrashAll { back_ms }),
-            2 => any::<bool>().prop_map(|is_down| Step::StateService { is_down }),
+            2 => any::<bool>().prop_map(|is_down| Step::StoreOutage { is_down }),
             1 => node.clone().prop_map(|node| Step::Refuse { node }),
             1 => node.clone().prop_map(|node| Step::CutWorkers { node }),
             2 => Just(Step::Heal),
             2 => (0_usize..12).prop_map(|worker| Step::RestartWorker { worker }),
-            2 => (node, 0_usize..12).prop_map(|(node, worker)| Step::RepeatReport { node, worker }),
+            2 => (node, 0_usize..12).prop_map(|(node, worker)| Step::RepeatHeartbeat { node, worker }),
             4 => (100_u64..9_000).prop_map(|ms| Step::Wait { ms }),
         ]
         .boxed()
     }
 
     fn preconditions(state: &Drawn, step: &Step) -> bool {
-        !matches!(step, Step::Submit { .. }) || state.jobs < MOST_JOBS
+        !matches!(step, Step::Submit { .. }) || state.jobs < MAX_JOBS
     }
 
     fn apply(mut state: Drawn, step: &Step) -> Drawn {
@@ -72,12 +73,16 @@
     }
 }
 
+/// A cluster that the steps are played on.
 struct Cluster {
     world: World,
+    /// Jobs submitted so far.
     jobs: u32,
-    accepted: Vec<u64>,
+    /// Requests of the submissions that were drawn.
+    submissions: Vec<u64>,
 }
 
+/// Ends all faults but crashes.
 fn heal(world: &mut World) {
     world.store.down = false;
     world.store.refuses.clear();
@@ -96,7 +101,7 @@
             world.accept(0, &job(id, "t1", 8, 15.0));
         }
         world.run(20_000);
-        Cluster { world, jobs: 2, accepted: Vec::new() }
+        Cluster { world, jobs: 2, submissions: Vec::new() }
     }
 
     fn apply(mut cluster: Cluster, _: &Drawn, step: Step) -> Cluster {
@@ -105,29 +110,29 @@
             Step::Submit { node, tasks } => {
                 cluster.jobs += 1;
                 let request = world.submit(node, &job(cluster.jobs, "t1", tasks, 15.0));
-                cluster.accepted.push(request);
+                cluster.submissions.push(request);
             }
             Step::Crash { node, back_ms } => world.crash(node, back_ms),
             Step::CrashAll { back_ms } => {
                 (0..NODES).for_each(|node| world.crash(node, back_ms[node]));
             }
-            Step::StateService { is_down } => world.store.down = is_down,
+            Step::StoreOutage { is_down } => world.store.down = is_down,
             Step::Refuse { node } => {
                 world.store.refuses.insert(node);
             }
             Step::CutWorkers { node } => {
-                world.network.cuts.insert((node, usize::MAX));
+                world.network.cuts.insert((node, WORKERS));
             }
             Step::Heal => heal(world),
             Step::RestartWorker { worker } if worker < world.workers.len() => {
                 world.restart_worker(worker);
             }
-            Step::RepeatReport { node, worker } if worker < world.workers.len() => {
+            Step::RepeatHeartbeat { node, worker } if worker < world.workers.len() => {
                 let heartbeat = world.workers[worker].heartbeat();
                 world.run(700);
                 world.late_heartbeat(node, heartbeat);
             }
-            Step::RestartWorker { .. } | Step::RepeatReport { .. } => {}
+            Step::RestartWorker { .. } | Step::RepeatHeartbeat { .. } => {}
             Step::Wait { ms } => world.run(ms),
         }
         world.run(300);
@@ -143,8 +148,8 @@
         heal(world);
         world.run(8_000);
         let is_accepted =
-            |request: &u64| world.users.answers.get(request).is_some_and(|a| a.status < 300);
-        let accepted: Vec<bool> = cluster.accepted.iter().map(is_accepted).collect();
+            |request: &u64| world.users.answers.get(request).is_some_and(|answer| answer.status < 300);
+        let accepted: Vec<bool> = cluster.submissions.iter().map(is_accepted).collect();
         for id in 1..=cluster.jobs {
             let must_be_done = id <= 2 || accepted[id as usize - 3];
             let name = format!("run-{id:06}");
@@ -158,7 +163,7 @@
     // Fixed seeds, so that each run draws the same; what once failed is kept in the file.
     // RECOVERY_CASES draws more of them by hand.
     #![proptest_config(ProptestConfig {
-        cases: std::env::var("RECOVERY_CASES").ok().and_then(|n| n.parse().ok()).unwrap_or(200),
+        cases: std::env::var("RECOVERY_CASES").ok().and_then(|cases| cases.parse().ok()).unwrap_or(200),
         rng_seed: RngSeed::Fixed(20_261_202),
         failure_persistence: Some(Box::new(FileFailurePersistence::Direct(
             "tests/recovery_model.regressions",
