--- a/src/core/shard_owner/binding.rs
+++ b/src/core/shard_owner/binding.rs
@@ -1,5 +1,5 @@
-//! The choice of a machine for a task that the leader admitted to a shard of this node:
-//! bin packing by best fit.
+//! Binding: chooses a machine for each task that the leader admitted to a shard of this node,
+//! by best-fit bin packing.
 
 use super::ShardOwner;
 use super::attempt::{Attempt, RecordingState};
@@ -12,34 +12,34 @@
 use std::sync::Arc;
 use woadlever_recovery::attempt::AttemptPhase;
 
-/// What a machine's score is worse by when no heartbeat of it is parked.
+/// Score penalty of a machine that has no parked heartbeat.
 const NO_PARKED_HEARTBEAT_PENALTY: f64 = 0.5;
-/// Smallest size of an image cache, in GB: a machine type that tells none keeps what is
-/// no larger than this.
+/// Minimum size of an image cache, in GB. It applies to machine types without a cache size in the
+/// catalog, which keep only images up to this size in total.
 const MIN_CACHE_GB: f64 = 0.1;
 
-/// A machine that may take tasks.
+/// A machine that accepts new tasks.
 pub(super) struct CandidateMachine {
     index: MachineIndex,
-    /// Place of its machine type in the catalog.
+    /// Index of its machine type in the catalog.
     machine_type: usize,
     free_capacity: Resources,
 }
 
-/// A task that the leader allows to bind in a shard of this node.
+/// A task that the leader has admitted to a shard of this node.
 pub(super) struct AdmittedTask {
-    /// Id of the attempt.
+    /// Id of the attempt to create.
     pub(super) attempt: AttemptId,
     pub(super) job: JobIndex,
     pub(super) task: u32,
-    /// Expected run time.
+    /// Run time that the leader expects.
     pub(super) expected_ms: Ms,
-    /// Term of the leader.
+    /// Term of the leader that admitted the task.
     pub(super) term: Term,
 }
 
 impl ShardOwner {
-    /// Machines of a shard that may take tasks now, with their free capacity.
+    /// Returns the machines of a shard that accept new tasks now, with their free capacity.
     pub(super) fn candidate_machines(
         &self,
         context: &NodeContext,
@@ -58,8 +58,8 @@
         candidates
     }
 
-    /// Binds the task to the best of the candidates and takes its demand from that one's
-    /// free capacity. False: its job must not start tasks, or no candidate may take it.
+    /// Binds the task to the best candidate and subtracts its demand from that candidate's free
+    /// capacity. Returns false if the job must not start tasks or no candidate is suitable.
     pub(super) fn bind(
         &mut self,
         context: &NodeContext,
@@ -70,7 +70,7 @@
         let Some(spec) = startable_spec(context, admitted.job) else { return false };
         let Some(shard) = &mut self.shards[shard.place()] else { return false };
         let best = best_candidate(context, &self.machines, &spec, candidates);
-        let Some(candidate) = best.map(|place| &mut candidates[place]) else { return false };
+        let Some(candidate) = best.map(|position| &mut candidates[position]) else { return false };
         candidate.free_capacity.sub(&spec.demand());
         placement_records::prepare_open_record(context, shard, &self.machines);
         let Some(machine) = self.machines.get_mut(candidate.index) else { return false };
@@ -83,15 +83,15 @@
     }
 }
 
-/// The description of a job whose tasks may start.
+/// Returns the specification of a job if its tasks may start.
 fn startable_spec(context: &NodeContext, index: JobIndex) -> Option<Arc<JobSpec>> {
     let job = context.job(index);
     let may_start = job.state == JobState::Live && !context.must_stop(index);
     job.spec.clone().filter(|_| may_start)
 }
 
-/// Best fit: of the candidates that may take a task of the job, the place of the one with
-/// the lowest score; of several the first.
+/// Returns the position of the best-fit candidate: of those that can run a task of the job, the
+/// one with the lowest score, or the first of these if several have it.
 fn best_candidate(
     context: &NodeContext,
     machines: &Machines,
@@ -100,7 +100,7 @@
 ) -> Option<usize> {
     let demand = spec.demand();
     let mut best: Option<(f64, usize)> = None;
-    for (place, candidate) in candidates.iter().enumerate() {
+    for (position, candidate) in candidates.iter().enumerate() {
         if !demand.fits_within(&candidate.free_capacity) {
             continue;
         }
@@ -110,15 +110,15 @@
         }
         let score = score(context, spec, machine, candidate);
         if best.is_none_or(|(lowest, _)| score < lowest) {
-            best = Some((score, place));
+            best = Some((score, position));
         }
     }
-    best.map(|(_, place)| place)
+    best.map(|(_, position)| position)
 }
 
-/// How badly a machine suits a task of the job: the lower the better. Machines with its
-/// image and with little capacity left over come first, spot instances before others
-/// where they are allowed.
+/// Scores a machine for a task of the job; a lower score is better. Machines that have the image
+/// cached and would be left with little free capacity are preferred, and so are spot instances
+/// where the job allows them.
 fn score(context: &NodeContext, spec: &JobSpec, machine: &Machine, candidate: &CandidateMachine) -> f64 {
     let option = placement::PlacementOption {
         free: &candidate.free_capacity,
@@ -128,14 +128,15 @@
     };
     let mut score = option.fit_score(&spec.demand());
     score += context.machine_types.scarcity_penalty(candidate.machine_type);
-    // A machine with a parked heartbeat starts the task now, not with its next heartbeat.
+    // A machine with a parked heartbeat receives the start command now rather than in the
+    // response to its next heartbeat.
     if machine.parked_heartbeat.is_none() {
         score += NO_PARKED_HEARTBEAT_PENALTY;
     }
     score
 }
 
-/// The attempt at an admitted task that is to be listed by this placement record.
+/// Creates the attempt at an admitted task, to be listed in placement record `record`.
 fn bound_attempt(
     context: &NodeContext,
     spec: &JobSpec,
@@ -168,8 +169,8 @@
     }
 }
 
-/// Puts an image in front of the cached ones, as many of which are kept as the cache
-/// holds.
+/// Adds an image as the most recently used one and evicts those that no longer fit in the
+/// estimated cache.
 fn remember_image(images: &mut Vec<CachedImage>, name: &str, size_gb: f64, cache_gb: f64) {
     if name.is_empty() {
         return;
--- a/src/core/shard_owner/desired_state.rs
+++ b/src/core/shard_owner/desired_state.rs
@@ -1,4 +1,4 @@
-//! Taking in what the leader wants in a shard of this node.
+//! Applies the desired states that the leader sends for shards of this node.
 
 use super::attempt::Attempt;
 use super::binding::AdmittedTask;
@@ -13,23 +13,23 @@
 use rustc_hash::{FxHashMap, FxHashSet};
 use woadlever_recovery::attempt;
 
-/// How long a desired state may wait for jobs that the watch has yet to bring.
+/// Maximum time that a desired state waits for jobs that the watch has not delivered yet.
 const MAX_PARKED_MS: Ms = 2_000;
 
-/// What the leader wants of one attempt.
+/// Desired state of one attempt.
 struct DesiredAttempt {
     job: JobIndex,
     task: u32,
-    /// Whether the attempt may be bound if it is not yet.
+    /// Whether the attempt may be bound if it is not bound yet.
     may_bind: bool,
     expected_ms: Ms,
 }
 
 /// The attempts that a desired state names.
 struct DesiredAttempts {
-    /// By their ids.
+    /// Attempts at tasks of known jobs, by id.
     wanted: FxHashMap<AttemptId, DesiredAttempt>,
-    /// Ids of attempts at tasks of jobs that are unknown here.
+    /// Ids of attempts at tasks of jobs that this node does not know.
     of_unknown_jobs: FxHashSet<AttemptId>,
 }
 
@@ -50,8 +50,8 @@
         DesiredAttempts { wanted, of_unknown_jobs }
     }
 
-    /// The tasks to bind, by the ids of their attempts: those that may be bound and are on
-    /// no machine yet.
+    /// Returns the tasks to bind, ordered by attempt id: those that may be bound and are not in
+    /// `known`, the attempts that machines already have.
     fn admitted(&self, known: &FxHashSet<AttemptId>, term: Term) -> Vec<AdmittedTask> {
         let mut admitted: Vec<AdmittedTask> = self
             .wanted
@@ -70,7 +70,7 @@
     }
 }
 
-/// The machines that a desired state names.
+/// Machines for which a desired state requests cordoning, decommissioning or quarantine.
 struct MachineDirectives<'a> {
     cordoned: FxHashSet<&'a str>,
     decommission: FxHashSet<&'a str>,
@@ -95,8 +95,8 @@
 }
 
 impl ShardOwner {
-    /// Takes in a desired state, unless it is out of date, or parks it until the jobs that
-    /// it names are known.
+    /// Applies a desired state unless it is stale, or parks it until the jobs that it names are
+    /// known.
     pub(crate) fn on_desired_state(&mut self, context: &mut NodeContext, message: DesiredState) {
         let Some(Some(shard)) = self.shards.get_mut(message.shard as usize) else { return };
         if !is_current(context, shard, &message) {
@@ -104,7 +104,7 @@
         }
         if knows_jobs(context, &message) {
             shard.parked_desired_state = None;
-            self.take_desired_state(context, message);
+            self.apply_desired_state(context, message);
             return;
         }
         let parked = shard.parked_desired_state.as_ref();
@@ -117,8 +117,8 @@
         }
     }
 
-    /// Takes in the parked desired state of a shard if its jobs are known by now, or don't
-    /// become known in time.
+    /// Applies the parked desired state of a shard once its jobs are known or it has been parked
+    /// for [`MAX_PARKED_MS`].
     pub(super) fn retry_parked_desired_state(&mut self, context: &mut NodeContext, index: ShardIndex) {
         let Some(shard) = &mut self.shards[index.place()] else { return };
         let now = context.clock.now();
@@ -126,13 +126,13 @@
             now > parked.since + MAX_PARKED_MS || knows_jobs(context, &parked.message)
         };
         let parked = shard.parked_desired_state.take_if(is_due);
-        // Its leader may have been succeeded while it was parked.
+        // Another leader may have been elected while the message was parked.
         if let Some(parked) = parked.filter(|parked| is_current(context, shard, &parked.message)) {
-            self.take_desired_state(context, parked.message);
+            self.apply_desired_state(context, parked.message);
         }
     }
 
-    fn take_desired_state(&mut self, context: &mut NodeContext, message: DesiredState) {
+    fn apply_desired_state(&mut self, context: &mut NodeContext, message: DesiredState) {
         let index = ShardIndex::new(message.shard);
         let Some(shard) = &mut self.shards[index.place()] else { return };
         let fencing_token = FencingToken::new(message.fencing_token);
@@ -140,7 +140,7 @@
             return;
         }
         let desired = DesiredAttempts::from_message(context, &message);
-        note_message(context, shard, &message, &desired);
+        apply_shard_state(context, shard, &message, &desired);
         for name in &message.gone {
             self.forget_machine(context, name, index);
         }
@@ -154,7 +154,7 @@
         }
     }
 
-    /// Notes that a machine is to be decommissioned, which need not be known yet.
+    /// Marks a machine for decommissioning and adds it if it is not known yet.
     fn begin_decommission(
         &mut self,
         entry: &Decommission,
@@ -173,8 +173,8 @@
         machine.is_decommissioning = true;
     }
 
-    /// Applies the message to the machines of the shard and their attempts; the ids of all
-    /// attempts that were known.
+    /// Applies the message to the machines of the shard and their attempts. Returns the ids of all
+    /// attempts that were known before.
     fn apply_to_machines(
         &mut self,
         context: &NodeContext,
@@ -188,7 +188,7 @@
         for machine in machines_of_mut(&mut self.machines, index) {
             directives.apply(machine);
             known.extend(machine.attempts.iter().map(|attempt| attempt.id));
-            note_wanted(machine, desired);
+            update_wanted(machine, desired);
             drop_unwanted(context, shard, machine);
         }
         known
@@ -208,7 +208,7 @@
         }
     }
 
-    /// Forgets a machine whose termination is confirmed, with all that was on it.
+    /// Removes a machine whose termination is confirmed, together with its attempts.
     fn forget_machine(&mut self, context: &mut NodeContext, name: &str, index: ShardIndex) {
         if !self.terminated_machines.insert(name) {
             return;
@@ -228,8 +228,8 @@
     }
 }
 
-/// Whether a message comes from the present leader, is meant for this owner of the shard
-/// and is newer than the last one taken in.
+/// Whether a message comes from the current leader, is addressed to this owner of the shard and
+/// is newer than the last one applied.
 fn is_current(context: &NodeContext, shard: &OwnedShard, message: &DesiredState) -> bool {
     let term = Term::new(message.term);
     context.leadership.term() == Some(term)
@@ -238,13 +238,13 @@
         && shard.newest_serial(term).is_none_or(|newest| message.serial > newest)
 }
 
-/// Whether all jobs that the message names are known here.
+/// Whether this node knows all jobs that the message names.
 fn knows_jobs(context: &NodeContext, message: &DesiredState) -> bool {
     message.jobs.iter().all(|desired| context.job_index(&desired.job).is_some())
 }
 
-/// Notes what a message says of the shard as a whole.
-fn note_message(
+/// Applies the parts of a message that concern the shard as a whole.
+fn apply_shard_state(
     context: &NodeContext,
     shard: &mut OwnedShard,
     message: &DesiredState,
@@ -254,9 +254,9 @@
         Some(DesiredVersion { term: Term::new(message.term), serial: message.serial });
     shard.has_unreported_changes = true;
     shard.rejected_attempts.retain(|id| desired.wanted.contains_key(id));
-    // The leader takes what our next state message leaves out for never bound and admits
-    // it elsewhere. So a task whose job is yet unknown here is rejected for good: bound
-    // with a later desired state, it would run twice.
+    // The leader treats an attempt that is missing from our next state message as never bound
+    // and admits its task elsewhere. So an attempt whose job is still unknown here is rejected
+    // permanently: if a later desired state bound it, the task would run twice.
     shard.rejected_attempts.extend(&desired.of_unknown_jobs);
     let known_job = |waiting: &peer::WaitingTasks| {
         Some(WaitingTaskCount { job: context.job_index(&waiting.job)?, count: waiting.count })
@@ -264,8 +264,8 @@
     shard.waiting_tasks = message.waiting.iter().filter_map(known_job).collect();
 }
 
-/// Notes which attempts of a machine the leader wants.
-fn note_wanted(machine: &mut Machine, desired: &DesiredAttempts) {
+/// Updates which attempts of a machine the leader wants.
+fn update_wanted(machine: &mut Machine, desired: &DesiredAttempts) {
     for attempt in &mut machine.attempts {
         let wanted = desired.wanted.get(&attempt.id);
         attempt.is_wanted = wanted.is_some();
@@ -275,9 +275,9 @@
     }
 }
 
-/// Drops attempts that are gone without a heartbeat, now that the leader does not want
-/// them: what was never sent is nowhere, whatever its record says, and what ended on a
-/// machine whose lease is over need not be forgotten there.
+/// Drops unwanted attempts that are gone without needing a heartbeat as proof. An attempt whose
+/// start command was never sent is on no machine, whatever its record says. An ended attempt on a
+/// machine whose lease has ended needs no forget command.
 fn drop_unwanted(context: &NodeContext, shard: &mut OwnedShard, machine: &mut Machine) {
     let lease_ended = machine.liveness.has_ended();
     let is_gone = |attempt: &mut Attempt| attempt::ends_when_unwanted(&attempt.state(), lease_ended);
--- a/src/core/shard_owner/direct_commands.rs
+++ b/src/core/shard_owner/direct_commands.rs
@@ -1,5 +1,5 @@
-//! Commands sent straight to workers, without a heartbeat: only ever to stop tasks of
-//! cancelled jobs.
+//! Direct commands: commands sent to workers without waiting for a heartbeat. They are used only
+//! to stop tasks of cancelled jobs.
 
 use super::ShardOwner;
 use super::attempt::Attempt;
@@ -11,15 +11,16 @@
 use rustc_hash::FxHashSet;
 use woadlever_recovery::attempt;
 
-/// Time after which direct commands are sent again, unless a heartbeat comes first.
-const RESEND_GAP_MS: Ms = 3_000;
-/// How often they are sent at most.
+/// Time after which direct commands are sent again unless a heartbeat arrives first.
+const RESEND_INTERVAL_MS: Ms = 3_000;
+/// Maximum number of times that direct commands are sent to a machine without a heartbeat.
 const MAX_SENDS: u32 = 5;
 
 impl ShardOwner {
-    /// Stops the tasks of jobs that have just been cancelled by direct command, on machines
-    /// without a parked heartbeat: a task that still waits for its image would start before
-    /// the next heartbeat, and machines whose heartbeats reach nobody would go on.
+    /// Sends direct commands that stop the tasks of newly cancelled jobs to machines without a
+    /// parked heartbeat. Without them, a task that still waits for its image would start before
+    /// the next heartbeat, and machines whose heartbeats reach no node would continue to run the
+    /// tasks.
     pub(super) fn stop_cancelled(&mut self, context: &mut NodeContext) {
         let jobs: FxHashSet<JobIndex> = context.jobs.take_newly_cancelled().into_iter().collect();
         if jobs.is_empty() {
@@ -31,16 +32,16 @@
                 send_stop_commands(context, machine);
             }
         }
-        // Parked heartbeats are answered without delay.
+        // Scans on this poll, so that machines with a parked heartbeat get their commands at once.
         self.next_scan_at = 0;
     }
 
-    /// Sends stop commands again to machines that have not been heard since.
+    /// Resends stop commands to machines that have sent no heartbeat since the last ones.
     pub(super) fn repeat_stop_commands(&mut self, context: &mut NodeContext) {
         let now = context.clock.now();
         for machine in self.machines.values_mut() {
             let may_repeat = (1..MAX_SENDS).contains(&machine.liveness.direct_commands());
-            let is_due = machine.last_direct_command_at.is_some_and(|at| now >= at + RESEND_GAP_MS);
+            let is_due = machine.last_direct_command_at.is_some_and(|at| now >= at + RESEND_INTERVAL_MS);
             if may_repeat && is_due && machine.parked_heartbeat.is_none() {
                 send_stop_commands(context, machine);
             }
@@ -48,8 +49,8 @@
     }
 }
 
-/// Sends stop commands for all tasks of cancelled jobs that may be on the machine. Never
-/// a start command, which could be carried out minutes late.
+/// Sends stop commands for all tasks of cancelled jobs that may be on the machine. Start commands
+/// are never sent directly, because a worker could execute one minutes late.
 fn send_stop_commands(context: &mut NodeContext, machine: &mut Machine) {
     let commands: Vec<Command> = machine
         .attempts
--- a/src/core/shard_owner/load_projection.rs
+++ b/src/core/shard_owner/load_projection.rs
@@ -1,5 +1,5 @@
-//! The projected load of the machines of this node's shards. The leader scales out by the
-//! shards' overloaded machines.
+//! Load projection for the machines of this node's shards. The leader scales out based on the
+//! number of overloaded machines in the shards.
 
 use super::ShardOwner;
 use super::machine::{Machine, Machines};
@@ -12,28 +12,28 @@
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
-/// A machine's load, in millionths of its capacity, beyond which it is overloaded
-/// without doubt.
-const SURELY_OVERLOADED: u64 = 3_000_000;
+/// Load in millionths of a machine's capacity above which the machine is certainly overloaded, so
+/// that further waiting tasks make no difference.
+const CERTAIN_OVERLOAD_MILLIONTHS: u64 = 3_000_000;
 
-/// Waiting tasks counted on machines, by what they take there.
+/// Total demand of the waiting tasks that are assigned to each machine for the projection.
 type WaitingDemand = FxHashMap<MachineIndex, Resources>;
 
-/// A machine with what is counted on it so far.
-struct CountedMachine<'a> {
+/// A machine and its load from its attempts and the waiting tasks assigned to it so far.
+struct ProjectedMachine<'a> {
     index: MachineIndex,
     machine: &'a Machine,
     machine_type: &'a MachineType,
     load: Resources,
 }
 
-impl CountedMachine<'_> {
-    /// Its load in millionths of its capacity.
+impl ProjectedMachine<'_> {
+    /// Load in millionths of the machine's capacity.
     fn load_millionths(&self) -> u64 {
         (self.load.dominant_share(&self.machine_type.capacity) * 1e6) as u64
     }
 
-    /// Whether tasks of the job may be there, apart from what else is.
+    /// Whether the machine could run a task of the job if it were empty.
     fn suits(&self, spec: &JobSpec) -> bool {
         placement::allowed(spec, &self.machine.type_name, &self.machine.zone, self.machine.is_spot)
             && spec.demand().fits_within(&self.machine_type.capacity)
@@ -41,10 +41,10 @@
 }
 
 impl ShardOwner {
-    /// Projects the load of all machines.
+    /// Updates the projected load of all machines.
     pub(super) fn project_load(&mut self, context: &NodeContext) {
         for shard in self.shards.iter_mut().flatten() {
-            let waiting = count_waiting_tasks(context, shard, &self.machines);
+            let waiting = assign_waiting_tasks(context, shard, &self.machines);
             let mut has_changed = false;
             for (index, machine) in
                 self.machines.iter_mut().filter(|(_, machine)| machine.shard == shard.index)
@@ -57,7 +57,7 @@
     }
 }
 
-/// Projects the load of one machine; whether it has become overloaded, or no longer is.
+/// Updates the projected load of one machine. Returns whether its overload status has changed.
 fn project_machine(context: &NodeContext, machine: &mut Machine, waiting: &Resources) -> bool {
     let Some(machine_type) = context.machine_types.index_of(&machine.type_name) else { return false };
     let capacity = &context.machine_types[machine_type].capacity;
@@ -82,68 +82,72 @@
         .collect()
 }
 
-/// Counts each waiting task once, on its best-fit machine: the one with the most capacity
-/// left when earlier ones are counted.
-fn count_waiting_tasks(context: &NodeContext, shard: &OwnedShard, machines: &Machines) -> WaitingDemand {
+/// Assigns each waiting task to one machine: the suitable one with the most free capacity after
+/// the tasks assigned before. Returns the demand added to each machine.
+fn assign_waiting_tasks(
+    context: &NodeContext,
+    shard: &OwnedShard,
+    machines: &Machines,
+) -> WaitingDemand {
     let mut demand = WaitingDemand::default();
     if shard.waiting_tasks.is_empty() {
         return demand;
     }
-    let mut counted = counted_machines(context, shard, machines);
-    // Places of the machines that the waiting tasks have not overloaded beyond doubt yet.
-    // Once there is none, more waiting tasks change nothing.
-    let mut open: Vec<usize> = (0..counted.len()).collect();
+    let mut projected = projected_machines(context, shard, machines);
+    // Positions of the machines that are not certainly overloaded yet. Once there are none,
+    // further waiting tasks change nothing.
+    let mut open: Vec<usize> = (0..projected.len()).collect();
     for waiting in &shard.waiting_tasks {
         if open.is_empty() {
             break;
         }
         let Some(spec) = context.job(waiting.job).spec.clone() else { continue };
-        count_tasks_of_job(&spec, waiting, &mut counted, &open, &mut demand);
-        open.retain(|place| counted[*place].load_millionths() <= SURELY_OVERLOADED);
+        assign_tasks_of_job(&spec, waiting, &mut projected, &open, &mut demand);
+        open.retain(|position| projected[*position].load_millionths() <= CERTAIN_OVERLOAD_MILLIONTHS);
     }
     demand
 }
 
-/// The machines of a shard that take tasks, with what their attempts take.
-fn counted_machines<'a>(
+/// Returns the machines of a shard that accept new tasks, loaded with their attempts.
+fn projected_machines<'a>(
     context: &'a NodeContext,
     shard: &OwnedShard,
     machines: &'a Machines,
-) -> Vec<CountedMachine<'a>> {
+) -> Vec<ProjectedMachine<'a>> {
     let takes_tasks = |machine: &Machine| machine.shard == shard.index && machine.takes_tasks(context);
-    let mut counted = Vec::new();
+    let mut projected = Vec::new();
     for (index, machine) in machines.iter().filter(|(_, machine)| takes_tasks(machine)) {
         if let Some(machine_type) = context.machine_types.index_of(&machine.type_name) {
             let machine_type = &context.machine_types[machine_type];
-            counted.push(CountedMachine { index, machine, machine_type, load: machine.used() });
+            projected.push(ProjectedMachine { index, machine, machine_type, load: machine.used() });
         }
     }
-    counted
+    projected
 }
 
-/// Counts the waiting tasks of one job on the open machines, the least loaded first.
-fn count_tasks_of_job(
+/// Assigns the waiting tasks of one job to the open machines, the least loaded first.
+fn assign_tasks_of_job(
     spec: &JobSpec,
     waiting: &WaitingTaskCount,
-    counted: &mut [CountedMachine<'_>],
+    projected: &mut [ProjectedMachine<'_>],
     open: &[usize],
     demand: &mut WaitingDemand,
 ) {
     let task_demand = spec.demand();
-    // By load, then by place.
+    // Ordered by load, then by position.
     let mut least_loaded: BinaryHeap<Reverse<(u64, usize)>> = open
         .iter()
-        .filter(|place| counted[**place].suits(spec))
-        .map(|place| Reverse((counted[*place].load_millionths(), *place)))
+        .filter(|position| projected[**position].suits(spec))
+        .map(|position| Reverse((projected[*position].load_millionths(), *position)))
         .collect();
     for _ in 0..waiting.count {
-        let Some(Reverse((load, place))) = least_loaded.pop() else { break };
-        if load > SURELY_OVERLOADED {
+        let Some(Reverse((load, position))) = least_loaded.pop() else { break };
+        if load > CERTAIN_OVERLOAD_MILLIONTHS {
             break;
         }
-        let machine = &mut counted[place];
+        let machine = &mut projected[position];
         machine.load.add(&task_demand);
         demand.entry(machine.index).or_default().add(&task_demand);
-        least_loaded.push(Reverse((machine.load_millionths(), place)));
+        least_loaded.push(Reverse((machine.load_millionths(), position)));
     }
 }
--- a/src/core/shard_owner/loading.rs
+++ b/src/core/shard_owner/loading.rs
@@ -1,4 +1,4 @@
-//! Reading a shard's placement records after this node became its owner.
+//! Loads a shard's placement records after this node has become its owner.
 
 use super::attempt::{Attempt, RecordingState};
 use super::machine::{Machine, machines_of};
@@ -11,13 +11,14 @@
 use crate::wire::store::{KeyValue, PlacementRecord, RecordedAttempt, RecordedJob, RecordedMachine};
 use woadlever_recovery::attempt::AttemptPhase;
 
-/// Delay before the records are read again after a failed read.
+/// Delay before the records are read again after a failed read, before jitter.
 const LOAD_RETRY_MS: Ms = 300;
-/// Numbers of placement records are smaller than this; a larger one in a key is not ours.
+/// Exclusive upper bound of placement record numbers. A key with a larger number was not written
+/// by a shard owner and is ignored.
 const MAX_RECORDS: u32 = 100_000;
 
 impl ShardOwner {
-    /// Takes in a page of placement records. After the last one the shard is loaded.
+    /// Handles the response to a page read. After the last page the shard is loaded.
     pub(super) fn on_record_page(
         &mut self,
         context: &mut NodeContext,
@@ -52,7 +53,7 @@
         reconciliation::log_recovery_phase(context, shard);
     }
 
-    /// Takes in one record: its machines with their attempts.
+    /// Adds the machines of one record and their attempts.
     fn load_record(&mut self, context: &mut NodeContext, index: ShardIndex, item: KeyValue) {
         let bytes = item.value.len();
         let decoded = item.value.decode::<PlacementRecord>();
@@ -65,7 +66,7 @@
         for row in &content.machines {
             let name = row.name();
             let new_machine = || Machine::new(name, index, shard.fencing_token);
-            // Another record may have listed it already.
+            // Another record may have listed the machine already.
             let (_, machine) = self.machines.get_or_insert_with(name, new_machine);
             if machine.fencing_token != shard.fencing_token {
                 *machine = Machine::new(name, index, shard.fencing_token);
@@ -77,14 +78,14 @@
     }
 }
 
-/// A machine's row in a placement record that was read.
+/// A machine's row in a placement record that has been read.
 struct LoadedRow<'a> {
     content: &'a PlacementRecord,
     row: &'a RecordedMachine,
     record: RecordIndex,
 }
 
-/// The number of a record in its key.
+/// Parses the record number in the key of a placement record.
 fn record_number(key: &str) -> Option<RecordIndex> {
     let (_, number) = key.rsplit_once('/')?;
     number.parse().ok().filter(|number| *number < MAX_RECORDS).map(RecordIndex::new)
@@ -106,8 +107,8 @@
     }
 }
 
-/// Takes in the attempts of a machine's row. What the machine's heartbeats have told
-/// meanwhile stays, and the record may be read a second time.
+/// Replaces the attempts that the machine has from this record by those of its row, since a record
+/// may be read a second time. What heartbeats have reported of the machine in the meantime is kept.
 fn load_attempts(
     context: &mut NodeContext,
     shard: &mut OwnedShard,
@@ -116,7 +117,7 @@
 ) {
     machine.attempts.retain(|attempt| attempt.record != loaded.record);
     for inherited in inherited_attempts(context, loaded) {
-        // Listed by two records, if a shard owner was lost while it moved the attempt.
+        // Two records list the attempt if a shard owner failed while it moved the attempt.
         let known = machine.attempts.iter_mut().find(|attempt| attempt.id == inherited.id);
         let Some(known) = known else {
             machine.attempts.push(inherited);
@@ -127,7 +128,7 @@
     }
 }
 
-/// The attempts of a machine's row; what a former owner bound.
+/// Returns the attempts of a machine's row, which a former shard owner bound.
 fn inherited_attempts(context: &mut NodeContext, loaded: &LoadedRow<'_>) -> Vec<Attempt> {
     let attempts = loaded.row.attempts(loaded.content.base);
     attempts
@@ -146,8 +147,8 @@
 ) -> Attempt {
     let demand = job.demand();
     Attempt {
-        // A job that is not in memory is final, and its tasks are to be stopped. Left out,
-        // they would pass for gone.
+        // A job that is not in memory is final, and its tasks must be stopped. If they were left
+        // out here, they would be treated as gone.
         job: context.job_index_or_lookup(job.id()),
         task: listed.task,
         id: AttemptId::new(listed.attempt),
--- a/src/core/shard_owner/machine.rs
+++ b/src/core/shard_owner/machine.rs
@@ -1,4 +1,4 @@
-//! A machine of an owned shard, with the attempts that may be on it.
+//! A machine of an owned shard and the attempts that may be on it.
 
 use super::attempt::Attempt;
 use super::parked_heartbeats::ParkedHeartbeat;
@@ -17,7 +17,7 @@
     machines.values().filter(move |machine| machine.shard == shard)
 }
 
-/// The machines of one shard, to be changed.
+/// The machines of one shard, mutably.
 pub(super) fn machines_of_mut(
     machines: &mut Machines,
     shard: ShardIndex,
@@ -25,7 +25,7 @@
     machines.values_mut().filter(move |machine| machine.shard == shard)
 }
 
-/// A container image that a machine has at hand.
+/// A container image in a machine's cache.
 #[derive(Debug)]
 pub(super) struct CachedImage {
     pub(super) name: String,
@@ -36,41 +36,41 @@
 #[derive(Debug)]
 pub(crate) struct Machine {
     pub(super) name: String,
-    /// Address for direct commands; empty until a heartbeat has told it.
+    /// Address for direct commands; empty until the first heartbeat.
     pub(super) address: String,
     /// Name of its machine type.
     pub(super) type_name: String,
     pub(super) zone: String,
     pub(super) is_spot: bool,
     pub(super) shard: ShardIndex,
-    /// Fencing token of the shard when the machine became known.
+    /// Fencing token of the shard when the machine was added.
     pub(super) fencing_token: FencingToken,
-    /// What its heartbeats and our responses prove.
+    /// State of the worker's lease and reachability, derived from its heartbeats and our responses.
     pub(super) liveness: WorkerLiveness,
     pub(super) has_preemption_notice: bool,
-    /// Gets no new tasks until it is drained, as the leader wants.
+    /// Whether the leader wants the machine drained: it gets no new tasks.
     pub(super) is_cordoned: bool,
-    /// Gets no new tasks for now, as the leader wants.
+    /// Whether the leader wants the machine to get no new tasks for now.
     pub(super) is_quarantined: bool,
-    /// Is to be made ready for its termination, as the leader wants.
+    /// Whether the leader wants the machine prepared for termination.
     pub(super) is_decommissioning: bool,
-    /// A placement record says that it is being terminated. Never taken back.
+    /// Whether a placement record marks the machine as being terminated. Never reset.
     pub(super) terminating_recorded: bool,
-    /// Its placement record says that it is cordoned.
+    /// Whether its placement record marks the machine as cordoned.
     pub(super) cordoned_recorded: bool,
-    /// The placement record whose row shows the machine's own state; none until one
-    /// lists it.
+    /// The placement record whose row holds the machine's own state; none until a record lists
+    /// the machine.
     pub(super) state_record: Option<RecordIndex>,
-    /// Capacity for its row is reserved in `state_record`.
+    /// Whether capacity for its row is reserved in `state_record`.
     pub(super) state_row_reserved: bool,
-    /// An oversized record that keeps the row with its state until `state_record` has it.
+    /// An oversized record that keeps the row with the machine's state until `state_record` has it.
     pub(super) former_state_record: Option<RecordIndex>,
     pub(super) attempts: Vec<Attempt>,
-    /// Images in its cache, the most recently used first.
+    /// Images assumed to be in its cache, the most recently used first.
     pub(super) images: Vec<CachedImage>,
-    /// Whether its projected load exceeds its capacity for too long.
+    /// Whether its projected load exceeds its capacity for longer than is tolerated.
     pub(super) is_overloaded: bool,
-    /// Largest projected share of its capacity.
+    /// Peak of its projected load, as a share of its capacity.
     pub(super) peak_load: f64,
     pub(super) parked_heartbeat: Option<ParkedHeartbeat>,
     /// When direct commands were last sent to it.
@@ -78,7 +78,7 @@
 }
 
 impl Machine {
-    /// A machine of which nothing is known but its name.
+    /// A machine of which only the name is known.
     pub(super) fn new(name: &str, shard: ShardIndex, fencing_token: FencingToken) -> Machine {
         Machine {
             name: name.into(),
@@ -107,7 +107,7 @@
         }
     }
 
-    /// What its attempts take.
+    /// Total demand of the attempts that have not ended.
     pub(super) fn used(&self) -> Resources {
         let mut used = Resources::default();
         for attempt in self.attempts.iter().filter(|attempt| !attempt.phase.has_ended()) {
@@ -116,7 +116,7 @@
         used
     }
 
-    /// Whether new tasks may be bound to it.
+    /// Whether new tasks may be bound to the machine.
     pub(super) fn takes_tasks(&self, context: &NodeContext) -> bool {
         !self.has_preemption_notice
             && !self.is_cordoned
@@ -126,17 +126,17 @@
             && self.liveness.takes_work(context.fresh_ms, context.clock.now())
     }
 
-    /// Attempts that no heartbeat has confirmed or disproved.
+    /// Number of attempts from a former shard owner that no heartbeat has confirmed or disproved.
     pub(super) fn unreconciled_attempts(&self) -> usize {
         self.attempts.iter().filter(|attempt| attempt.phase == AttemptPhase::Inherited).count()
     }
 
-    /// Whether a placement record has to list it even if no attempt is on it.
+    /// Whether a placement record has to list the machine even if it has no attempts.
     pub(super) fn has_recorded_state(&self) -> bool {
         self.is_cordoned || self.terminating_recorded
     }
 
-    /// Whether its termination may be recorded: nothing is on it any more.
+    /// Whether its termination may be recorded, because no attempt can be on it any more.
     pub(super) fn can_decommission(&self) -> bool {
         let was_never_heard = self.liveness.last_heartbeat().is_none();
         let is_empty = self.liveness.has_ended() || self.attempts.is_empty() || was_never_heard;
--- a/src/core/shard_owner/mod.rs
+++ b/src/core/shard_owner/mod.rs
@@ -1,24 +1,29 @@
-//! The shard owner: chooses the machine for each task that the leader admits to one of
-//! its shards, records the choice, and answers the workers' heartbeats.
+//! The shard owner: binds each task that the leader admits to one of its shards to a machine,
+//! records the binding and answers the workers' heartbeats.
 //!
-//! The core calls [`ShardOwner`] with worker heartbeats, desired states of the leader and
-//! responses of the key-value store, and polls it after each input. It never decides
-//! which tasks run, or in which shard; that is the leader's part.
+//! The core passes worker heartbeats, desired states from the leader and responses from the
+//! key-value store to [`ShardOwner`], and polls it after each input. The leader, not the shard
+//! owner, decides which tasks run and in which shard.
 //!
-//! Three things keep a task from running twice. An attempt is recorded before its start
-//! command goes out, with compares that any later leader or shard owner breaks by its own
-//! writes, and only while the leader that admitted it leads. Start commands go out only in responses to heartbeats. And an attempt counts as
-//! gone only once a newer heartbeat, from a worker that knows our fencing token, does not
-//! list it, or its lease has surely ended, or the cloud has confirmed the machine's
-//! termination.
+//! Three rules prevent a task from running twice:
 //!
-//! - [`binding`], [`desired_state`]: what the leader wants, and the machines chosen for it;
-//! - [`lapsed_admissions`]: what a former leader wanted;
-//! - [`worker_heartbeats`], [`parked_heartbeats`]: taking in heartbeats and answering them;
-//! - [`worker_commands`], [`direct_commands`]: what workers are told to do;
-//! - [`reconciliation`]: what heartbeats and ends of leases prove about attempts;
-//! - [`placement_records`], [`loading`]: the stored records of what may be on machines;
-//! - [`reported_state`], [`load_projection`]: what the leader is told.
+//! - An attempt is recorded before its start command is sent, and only while the leader that
+//!   admitted it is still the leader. The write has compares that fail after a write by any later
+//!   leader or shard owner.
+//! - Start commands are sent only in responses to heartbeats.
+//! - An attempt is considered gone only once a newer heartbeat, from a worker that knows our
+//!   fencing token, does not list it, or the worker's lease has certainly ended, or the cloud has
+//!   confirmed the termination of the machine.
+//!
+//! The modules:
+//!
+//! - [`binding`], [`desired_state`]: desired states from the leader, and the choice of machines;
+//! - [`lapsed_admissions`]: dropping admissions of a former leader;
+//! - [`worker_heartbeats`], [`parked_heartbeats`]: accepting and answering heartbeats;
+//! - [`worker_commands`], [`direct_commands`]: commands to workers;
+//! - [`reconciliation`]: conclusions about attempts from heartbeats and ended leases;
+//! - [`placement_records`], [`loading`]: the stored records of the attempts on machines;
+//! - [`reported_state`], [`load_projection`]: state messages to the leader.
 
 mod attempt;
 mod binding;
@@ -46,47 +51,48 @@
 use owned_shard::{LoadState, OwnedShard};
 use placement_records::{RecordIndex, RecordWrite, record_prefix};
 
-/// Shortest time between two looks at all machines for work to write or to send.
-const SCAN_GAP_MS: Ms = 20;
-/// Time between two looks for ended leases and commands to repeat.
-const CHECK_GAP_MS: Ms = 250;
-/// Time between two projections of all machines; more where there are many.
-const PROJECTION_GAP_MS: Ms = 1_000;
-/// Machines whose projection costs as much as one item of a state message.
+/// Minimum interval between scans of all machines for records to write and messages to send.
+const SCAN_INTERVAL_MS: Ms = 20;
+/// Interval between checks for ended leases, direct commands to repeat and finished
+/// reconciliations.
+const CHECK_INTERVAL_MS: Ms = 250;
+/// Interval between load projections of all machines; longer if there are many machines.
+const PROJECTION_INTERVAL_MS: Ms = 1_000;
+/// Number of machines whose load projection costs as much as one item of a state message.
 const MACHINES_PER_PROJECTION_ITEM: usize = 4;
-/// Placement records that one read asks for.
+/// Maximum number of placement records that one page read requests.
 const RECORDS_PER_PAGE: u32 = 1_000;
 
-/// A call of the shard owner to the key-value store, to be known again by its response.
+/// A call of the shard owner to the key-value store, used to match the response.
 #[derive(Debug)]
 pub(crate) enum ShardOwnerCall {
     /// Reads a page of a shard's placement records.
     Load {
         /// The shard.
         shard: ShardIndex,
-        /// Fencing token under which it was sent.
+        /// Fencing token under which the call was sent.
         fencing_token: FencingToken,
     },
     /// Writes a placement record.
     Write(RecordWrite),
-    /// Reads a placement record back after a write of unknown outcome.
+    /// Reads a placement record back after a write with an unknown outcome.
     Reread {
         /// The shard.
         shard: ShardIndex,
         /// The record.
         record: RecordIndex,
-        /// Fencing token under which it was sent.
+        /// Fencing token under which the call was sent.
         fencing_token: FencingToken,
     },
 }
 
 /// The shards that this node owns, and their machines.
 pub(super) struct ShardOwner {
-    /// All shards by their index; none: owned by another node, or by nobody.
+    /// All shards by index; none if the shard is owned by another node or has no owner.
     shards: Vec<Option<OwnedShard>>,
     /// The machines of all owned shards.
     pub(super) machines: Machines,
-    /// Machines whose termination is confirmed; a late heartbeat must not revive them.
+    /// Machines whose termination is confirmed; a late heartbeat must not add them again.
     terminated_machines: RecentNames,
     next_scan_at: Ms,
     next_check_at: Ms,
@@ -94,7 +100,7 @@
 }
 
 impl ShardOwner {
-    /// The shard owner of a process that has just started: it owns no shard yet.
+    /// Creates the shard owner of a starting process, which owns no shard yet.
     pub(super) fn new(context: &NodeContext) -> ShardOwner {
         ShardOwner {
             shards: context.shards.iter().map(|_| None).collect(),
@@ -106,9 +112,9 @@
         }
     }
 
-    /// Does what is due by now.
+    /// Performs all work that is due.
     pub(super) fn poll(&mut self, context: &mut NodeContext) {
-        self.follow_shard_records(context);
+        self.apply_shard_records(context);
         for place in 0..self.shards.len() {
             self.start_due_load(context, ShardIndex::at(place));
             self.retry_parked_desired_state(context, ShardIndex::at(place));
@@ -116,29 +122,29 @@
         self.stop_cancelled(context);
         let now = context.clock.now();
         if now >= self.next_check_at {
-            self.next_check_at = now + CHECK_GAP_MS;
+            self.next_check_at = now + CHECK_INTERVAL_MS;
             self.check_leases(context);
             self.repeat_stop_commands(context);
             self.finish_reconciliations(context);
         }
         if now >= self.next_projection_at {
             let items = self.machines.len() / MACHINES_PER_PROJECTION_ITEM;
-            self.next_projection_at = now + context.load_adjusted_gap(PROJECTION_GAP_MS, items);
+            self.next_projection_at = now + context.load_adjusted_gap(PROJECTION_INTERVAL_MS, items);
             self.project_load(context);
         }
-        // These look at every machine, so they must not follow every input: hundreds of
-        // heartbeats a second reach a node.
+        // These steps scan all machines, so they must not run after every input: a node receives
+        // hundreds of heartbeats per second.
         if now >= self.next_scan_at {
-            self.next_scan_at = now + SCAN_GAP_MS;
-            self.give_up_lapsed_admissions(context);
+            self.next_scan_at = now + SCAN_INTERVAL_MS;
+            self.drop_lapsed_admissions(context);
             placement_records::write_due_records(context, &mut self.shards, &mut self.machines);
             self.answer_due_heartbeats(context);
             self.report_to_leader(context);
         }
     }
 
-    /// Takes shards over and gives them up as the watched shard records say.
-    fn follow_shard_records(&mut self, context: &mut NodeContext) {
+    /// Acquires and releases shards according to the watched shard records.
+    fn apply_shard_records(&mut self, context: &mut NodeContext) {
         for place in 0..self.shards.len() {
             let shard = ShardIndex::at(place);
             let owner = context.shards.owner(place);
@@ -160,12 +166,12 @@
                 OwnedShard::new(shard, fencing_token, context.clock.now())
             });
             if own_token.is_none() {
-                tracing::info!(shard = name, "shard went to another owner");
+                tracing::info!(shard = name, "lost ownership of shard");
             }
         }
     }
 
-    /// Drops the machines of a shard, with an answer to their parked heartbeats.
+    /// Drops the machines of a shard and answers their parked heartbeats with status 503.
     fn drop_machines(&mut self, context: &mut NodeContext, shard: ShardIndex) {
         for index in self.machines.indices() {
             let is_dropped = self.machines.get(index).is_some_and(|machine| machine.shard == shard);
@@ -178,7 +184,7 @@
         }
     }
 
-    /// Begins to read the placement records of a shard, if that is due.
+    /// Starts reading the placement records of a shard if the read is due.
     fn start_due_load(&mut self, context: &mut NodeContext, index: ShardIndex) {
         let Some(shard) = &mut self.shards[index.place()] else { return };
         if matches!(shard.load, LoadState::Due { at } if context.clock.now() >= at) {
@@ -188,12 +194,12 @@
         }
     }
 
-    /// Jobs with an attempt on a machine of an owned shard.
+    /// Jobs that have an attempt on a machine of an owned shard; a job may occur more than once.
     pub(super) fn jobs_in_use(&self) -> impl Iterator<Item = JobIndex> {
         self.machines.values().flat_map(|machine| machine.attempts.iter().map(|attempt| attempt.job))
     }
 
-    /// Takes in the store's response to a call.
+    /// Handles the store's response to a call.
     pub(super) fn on_result(
         &mut self,
         context: &mut NodeContext,
@@ -220,7 +226,7 @@
     }
 }
 
-/// Asks the store for the placement records of a shard that come after a key.
+/// Requests the next page of a shard's placement records, after key `after` if there is one.
 fn request_record_page(
     context: &mut NodeContext,
     shard: ShardIndex,
--- a/src/core/shard_owner/parked_heartbeats.rs
+++ b/src/core/shard_owner/parked_heartbeats.rs
@@ -17,7 +17,7 @@
 /// Bounds of the time that heartbeats of machines with attempts are parked.
 const PARKED_BUSY_MS: RangeInclusive<Ms> = 500..=1_500;
 /// A machine whose load is this share of its capacity takes no further task.
-const FULL_LOAD: f64 = 0.95;
+const FULL_LOAD_SHARE: f64 = 0.95;
 
 /// A worker heartbeat whose response is held back until there is work for the machine
 /// or its time is over.
@@ -102,7 +102,7 @@
         return MAX_PARKED_IDLE_MS;
     }
     let capacity = &context.machine_types[machine_type].capacity;
-    if machine.used().dominant_share(capacity) < FULL_LOAD {
+    if machine.used().dominant_share(capacity) < FULL_LOAD_SHARE {
         let share_ms = context.platform.cluster.workers.report_s * 1000.0 * PARKED_BUSY_SHARE;
         (share_ms as Ms).clamp(*PARKED_BUSY_MS.start(), *PARKED_BUSY_MS.end())
     } else {
--- a/src/core/shard_owner/placement_records/draft.rs
+++ b/src/core/shard_owner/placement_records/draft.rs
@@ -8,7 +8,7 @@
 use crate::core::common::store_keys::job_key;
 use crate::core::shard_owner::attempt::{Attempt, RecordingState};
 use crate::core::shard_owner::machine::Machine;
-use crate::core::shard_owner::name_table::place_of;
+use crate::core::shard_owner::name_table::intern_name;
 use crate::model::{JobIndex, MachineIndex};
 use crate::wire::store::{Compare, PlacementRecord, RecordedJob, RecordedMachine};
 use rustc_hash::{FxHashMap, FxHashSet};
@@ -71,7 +71,7 @@
         if tasks.is_empty() && state_flags == 0 {
             return;
         }
-        let type_row = place_of(&mut self.content.types, &machine.type_name);
+        let type_row = intern_name(&mut self.content.types, &machine.type_name);
         self.content.machines.push(RecordedMachine(machine.name.clone(), type_row, flags, tasks));
         if shows_state {
             self.write.machine_flags.insert(index, flags);
--- a/src/core/shard_owner/placement_records/reread.rs
+++ b/src/core/shard_owner/placement_records/reread.rs
@@ -39,7 +39,7 @@
             record.on_reread_missing();
             for machine in machines_of_mut(machines, shard.index) {
                 let of_record = |attempt: &&mut Attempt| attempt.record == index;
-                machine.attempts.iter_mut().filter(of_record).for_each(Attempt::forget_sent_write);
+                machine.attempts.iter_mut().filter(of_record).for_each(Attempt::on_write_not_executed);
             }
         }
         _ => record.on_reread_failed(context.clock.now() + context.jitter(FAILED_RETRY_MS)),
@@ -104,7 +104,7 @@
             if is_listed(attempt.id) {
                 attempt.recording = RecordingState::Recorded;
             } else {
-                attempt.forget_sent_write();
+                attempt.on_write_not_executed();
             }
         } else if attempt.moving_to == Some(index) && is_listed(attempt.id) {
             left.push(attempt.record);
--- a/src/core/shard_owner/placement_records/schedule.rs
+++ b/src/core/shard_owner/placement_records/schedule.rs
@@ -17,9 +17,9 @@
 /// together.
 const CLEANUP_RATE_SHARE: f64 = 0.1;
 /// Shortest time between two writes of a record.
-const MIN_WRITE_GAP_MS: Ms = 100;
+const MIN_WRITE_INTERVAL_MS: Ms = 100;
 /// Longest time between two writes of a record.
-const MAX_WRITE_GAP_MS: Ms = 5_000;
+const MAX_WRITE_INTERVAL_MS: Ms = 5_000;
 /// The lowest rate of writes that gaps are worked out for, per second.
 const MIN_WRITE_RATE: f64 = 0.1;
 /// What is not urgent goes along with other changes, or after this time.
@@ -109,7 +109,7 @@
     split_oversized_records(context, shards, machines, term);
     let pending = collect_pending(context, shards, machines, term);
     let urgent_records = pending.urgent_records().max(1);
-    let urgent_gap_ms = write_gap_ms(context, urgent_records, URGENT_RATE_SHARE);
+    let urgent_interval_ms = write_interval_ms(context, urgent_records, URGENT_RATE_SHARE);
     for shard in shards.iter_mut().flatten().filter(|shard| shard.is_loaded()) {
         for record in shard.records.indices() {
             if shard.records[record].must_reread(now) {
@@ -121,9 +121,9 @@
             if !context.can_write(1) {
                 return;
             }
-            shard.records[record].defer_write(now + urgent_gap_ms);
+            shard.records[record].defer_write(now + urgent_interval_ms);
             if reason == WriteReason::Cleanup {
-                shard.records.defer_cleanup(now + write_gap_ms(context, 1, CLEANUP_RATE_SHARE));
+                shard.records.defer_cleanup(now + write_interval_ms(context, 1, CLEANUP_RATE_SHARE));
             }
             send_write(context, shard, machines, record, term);
         }
@@ -148,7 +148,7 @@
                 && must_wait_for_split(context, machines, shard.index, record)
             {
                 split_oversized(context, shard, machines, record);
-                shard.records[record].defer_write(now + MIN_WRITE_GAP_MS);
+                shard.records[record].defer_write(now + MIN_WRITE_INTERVAL_MS);
             }
         }
     }
@@ -216,9 +216,9 @@
 
 /// Time between two writes of one of `records` records when each node has as many, and
 /// all together take this share of the store's writes.
-fn write_gap_ms(context: &NodeContext, records: usize, rate_share: f64) -> Ms {
+fn write_interval_ms(context: &NodeContext, records: usize, rate_share: f64) -> Ms {
     let nodes = context.platform.peers.len() + 1;
     let rate = (context.platform.cluster.state.write_rps * rate_share).max(MIN_WRITE_RATE);
     let gap_ms = (records * nodes) as f64 * 1000.0 / rate;
-    gap_ms.clamp(MIN_WRITE_GAP_MS as f64, MAX_WRITE_GAP_MS as f64) as Ms
+    gap_ms.clamp(MIN_WRITE_INTERVAL_MS as f64, MAX_WRITE_INTERVAL_MS as f64) as Ms
 }
--- a/src/core/shard_owner/placement_records/write.rs
+++ b/src/core/shard_owner/placement_records/write.rs
@@ -183,7 +183,7 @@
 fn forget_new_attempts(machines: &mut Machines, write: &RecordWrite) {
     for machine in machines_of_mut(machines, write.shard) {
         let sent = |attempt: &&mut Attempt| write.new_attempts.contains(&attempt.id);
-        machine.attempts.iter_mut().filter(sent).for_each(Attempt::forget_sent_write);
+        machine.attempts.iter_mut().filter(sent).for_each(Attempt::on_write_not_executed);
     }
 }
 
--- a/src/core/shard_owner/reported_state.rs
+++ b/src/core/shard_owner/reported_state.rs
@@ -4,7 +4,7 @@
 use super::ShardOwner;
 use super::attempt::Attempt;
 use super::machine::{Machine, Machines, machines_of};
-use super::name_table::place_of;
+use super::name_table::intern_name;
 use super::owned_shard::OwnedShard;
 use crate::core::common::context::NodeContext;
 use crate::core::common::leadership::KnownLeader;
@@ -16,9 +16,9 @@
 use woadlever_recovery::attempt::AttemptPhase;
 
 /// Shortest time between two state messages of a shard; more where it is large.
-const MIN_REPORT_GAP_MS: Ms = 60;
+const MIN_REPORT_INTERVAL_MS: Ms = 60;
 /// Time between two state messages of a shard while nothing changes.
-const IDLE_REPORT_GAP_MS: Ms = 1_000;
+const IDLE_REPORT_INTERVAL_MS: Ms = 1_000;
 /// Echo of a state message that answers no desired state.
 const NO_DESIRED_STATE: u64 = 0;
 /// Silence of a machine that was never heard, as state messages have it.
@@ -45,8 +45,8 @@
 
 fn is_report_due(context: &NodeContext, shard: &OwnedShard) -> bool {
     let Some(reported_at) = shard.reported_at else { return true };
-    let min_gap = context.load_adjusted_gap(MIN_REPORT_GAP_MS, shard.reported_items);
-    let gap = if shard.has_unreported_changes { min_gap } else { IDLE_REPORT_GAP_MS.max(min_gap) };
+    let min_gap = context.load_adjusted_gap(MIN_REPORT_INTERVAL_MS, shard.reported_items);
+    let gap = if shard.has_unreported_changes { min_gap } else { IDLE_REPORT_INTERVAL_MS.max(min_gap) };
     context.clock.now() >= reported_at + gap
 }
 
@@ -84,7 +84,7 @@
 impl ReportBuilder {
     fn add_machine(&mut self, context: &NodeContext, machine: &Machine) {
         let now = context.clock.now();
-        let machine_type = place_of(&mut self.report.types, &machine.type_name);
+        let machine_type = intern_name(&mut self.report.types, &machine.type_name);
         let last_heartbeat = machine.liveness.last_heartbeat();
         let tasks =
             machine.attempts.iter().map(|attempt| self.reported_task(context, attempt)).collect();
