--- a/src/core/shard_owner/desired_state.rs
+++ b/src/core/shard_owner/desired_state.rs
@@ -222,7 +222,7 @@
         }
         if let Some(shard) = &mut self.shards[index.place()] {
             let now = context.clock.now();
-            shard.note_gone_attempts(machine.attempts.iter().map(GoneAttempt::from), now);
+            shard.reject_gone_attempts(machine.attempts.iter().map(GoneAttempt::from), now);
             shard.records.mark_outdated(machine.state_record, now);
         }
     }
--- a/src/core/shard_owner/direct_commands.rs
+++ b/src/core/shard_owner/direct_commands.rs
@@ -13,7 +13,7 @@
 
 /// Time after which direct commands are sent again unless a heartbeat arrives first.
 const RESEND_INTERVAL_MS: Ms = 3_000;
-/// Maximum number of times that direct commands are sent to a machine without a heartbeat.
+/// Number of sends without a heartbeat in between after which they are not resent any more.
 const MAX_SENDS: u32 = 5;
 
 impl ShardOwner {
--- a/src/core/shard_owner/loading.rs
+++ b/src/core/shard_owner/loading.rs
@@ -14,7 +14,7 @@
 /// Delay before the records are read again after a failed read, before jitter.
 const LOAD_RETRY_MS: Ms = 300;
 /// Exclusive upper bound of placement record numbers. A key with a larger number was not written
-/// by a shard owner and is ignored.
+/// by a shard owner; its record is skipped.
 const MAX_RECORDS: u32 = 100_000;
 
 impl ShardOwner {
--- a/src/core/shard_owner/owned_shard.rs
+++ b/src/core/shard_owner/owned_shard.rs
@@ -1,4 +1,4 @@
-//! A shard that this node owns, under one fencing token.
+//! State of a shard that this node owns under one fencing token.
 
 use super::attempt::Attempt;
 use super::placement_records::{RecordIndex, ShardRecords};
@@ -7,12 +7,12 @@
 use rustc_hash::FxHashSet;
 use woadlever_recovery::shard::ShardRecovery;
 
-/// How far the reading of a shard's placement records has come.
+/// Progress of reading a shard's placement records.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum LoadState {
     /// The read is due at this time.
     Due {
-        /// When to send it.
+        /// When to send the read.
         at: Ms,
     },
     /// Pages are being read.
@@ -21,62 +21,64 @@
     Done,
 }
 
-/// Position of a desired state among all of a shard.
+/// Version of a desired state; orders the desired states of a shard.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct DesiredVersion {
     /// Term of the leader that sent it.
     pub(super) term: Term,
-    /// Rises with each message of the term; state messages to the leader echo it.
+    /// Serial number that increases with each message of the term; state messages to the leader
+    /// echo it.
     pub(super) serial: u64,
 }
 
-/// A desired state that names jobs which the watch has yet to bring.
+/// A desired state that names jobs which the watch has not delivered yet.
 #[derive(Debug)]
 pub(super) struct ParkedDesiredState {
     pub(super) message: DesiredState,
-    /// Since when a desired state of the shard has been parked.
+    /// Time since which the shard has had a parked desired state; kept when a newer one replaces
+    /// it.
     pub(super) since: Ms,
 }
 
-/// Tasks of a job that wait for free capacity, counted on their best-fit machines.
+/// Number of tasks of a job that wait for free capacity; the load projection includes them.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct WaitingTaskCount {
     pub(super) job: JobIndex,
     pub(super) count: u32,
 }
 
-/// An attempt that is proven gone, with the placement record that lists it.
+/// An attempt that is proven gone, and the placement record that lists it.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct GoneAttempt {
     pub(super) id: AttemptId,
     pub(super) record: RecordIndex,
 }
 
-/// A shard that this node owns. A new fencing token starts it anew.
+/// A shard that this node owns. A new fencing token resets this state.
 #[derive(Debug)]
 pub(super) struct OwnedShard {
     pub(super) index: ShardIndex,
     pub(super) fencing_token: FencingToken,
     pub(super) load: LoadState,
-    /// How far what is on record has been reconciled with worker heartbeats.
+    /// Progress of reconciling the recorded attempts with worker heartbeats.
     pub(super) recovery: ShardRecovery,
-    /// The last desired state taken in.
+    /// Version of the last desired state applied.
     pub(super) desired_version: Option<DesiredVersion>,
-    /// Attempts that are never bound here, until the leader no longer names them.
+    /// Attempts that must not be bound here; kept until a desired state no longer names them.
     pub(super) rejected_attempts: FxHashSet<AttemptId>,
     pub(super) parked_desired_state: Option<ParkedDesiredState>,
     pub(super) waiting_tasks: Vec<WaitingTaskCount>,
-    /// The leader has not been told of the latest changes.
+    /// Whether there are changes that no state message has reported to the leader.
     pub(super) has_unreported_changes: bool,
     /// When the last state message was sent.
     pub(super) reported_at: Option<Ms>,
-    /// Machines and tasks in the last state message.
+    /// Number of machines and tasks in the last state message.
     pub(super) reported_items: usize,
     pub(super) records: ShardRecords,
 }
 
 impl OwnedShard {
-    /// A shard that this node has just begun to own.
+    /// Creates the state of a shard that this node has just acquired.
     pub(super) fn new(index: ShardIndex, fencing_token: FencingToken, now: Ms) -> OwnedShard {
         OwnedShard {
             index,
@@ -94,25 +96,26 @@
         }
     }
 
-    /// Whether all its placement records have been read.
+    /// Whether all placement records of the shard have been read.
     pub(super) fn is_loaded(&self) -> bool {
         self.load == LoadState::Done
     }
 
-    /// Whether the last desired state taken in is of the leader of this term.
+    /// Whether the last desired state applied came from the leader of this term.
     pub(super) fn follows_term(&self, term: Term) -> bool {
         self.newest_serial(term).is_some()
     }
 
-    /// Serial of the last desired state taken in, if it is of the leader of this term.
+    /// Serial number of the last desired state applied, if it came from the leader of this term.
     pub(super) fn newest_serial(&self, term: Term) -> Option<u64> {
         self.desired_version.filter(|version| version.term == term).map(|version| version.serial)
     }
 
-    /// Notes attempts that are proven gone. Desired states under way may still allow to
-    /// bind them, and our next state message, which leaves them out, has the leader admit
-    /// their tasks elsewhere: bound again here, they would run twice.
-    pub(super) fn note_gone_attempts(&mut self, gone: impl IntoIterator<Item = GoneAttempt>, now: Ms) {
+    /// Rejects attempts that are proven gone and marks their records as outdated. A desired state
+    /// in flight may still allow binding them, while our next state message omits them and so makes
+    /// the leader admit their tasks elsewhere. If they were bound again here, the tasks would run
+    /// twice.
+    pub(super) fn reject_gone_attempts(&mut self, gone: impl IntoIterator<Item = GoneAttempt>, now: Ms) {
         for attempt in gone {
             self.rejected_attempts.insert(attempt.id);
             self.records.mark_outdated([attempt.record], now);
--- a/src/core/shard_owner/parked_heartbeats.rs
+++ b/src/core/shard_owner/parked_heartbeats.rs
@@ -1,4 +1,5 @@
-//! Parked heartbeats: how long a response is held back, and when it goes out.
+//! Parked heartbeats: worker heartbeats whose responses are delayed until there is work for the
+//! machine.
 
 use super::attempt::Attempt;
 use super::machine::Machine;
@@ -9,30 +10,32 @@
 use crate::wire::workers::{Command, HeartbeatResponse};
 use std::ops::RangeInclusive;
 
-/// How long heartbeats of machines without attempts are parked at most.
+/// Maximum time that heartbeats of machines without attempts are parked.
 const MAX_PARKED_IDLE_MS: Ms = 2_500;
-/// Heartbeats of machines with attempts are parked for this share of the time between two
-/// heartbeats: where these are rare, a machine would seldom have one parked.
+/// Heartbeats of machines with attempts are parked for this share of the heartbeat interval. The
+/// time scales with the interval because a machine that sends heartbeats rarely would otherwise
+/// seldom have one parked.
 const PARKED_BUSY_SHARE: f64 = 0.15;
-/// Bounds of the time that heartbeats of machines with attempts are parked.
+/// Bounds of the time that heartbeats of machines with attempts are parked for.
 const PARKED_BUSY_MS: RangeInclusive<Ms> = 500..=1_500;
-/// A machine whose load is this share of its capacity takes no further task.
+/// Share of a machine's capacity from which on its heartbeats are not parked, because it has no
+/// capacity for a further task.
 const FULL_LOAD_SHARE: f64 = 0.95;
 
-/// A worker heartbeat whose response is held back until there is work for the machine
-/// or its time is over.
+/// A worker heartbeat whose response is delayed until there is work for the machine or its
+/// deadline has passed.
 #[derive(Debug)]
 pub(super) struct ParkedHeartbeat {
     pub(super) request_id: u64,
-    /// The response goes out now at the latest.
+    /// Deadline for sending the response.
     pub(super) respond_by: Ms,
     /// Commands decided when the heartbeat arrived.
     pub(super) commands: Vec<Command>,
 }
 
 impl ShardOwner {
-    /// Answers the parked heartbeat of a machine. Its commands are decided now, on what is
-    /// known now.
+    /// Answers the parked heartbeat of a machine. Commands are decided at this point, from the
+    /// current state.
     pub(super) fn answer_parked(&mut self, context: &mut NodeContext, index: MachineIndex) {
         let Some(machine) = self.machines.get_mut(index) else { return };
         let Some(parked) = machine.parked_heartbeat.take() else { return };
@@ -51,8 +54,8 @@
         context.respond_json(parked.request_id, 200, &response);
     }
 
-    /// Answers parked heartbeats at the moment that there is work for their machine, or
-    /// when their time is over.
+    /// Answers the parked heartbeats of machines that have work and those whose deadline has
+    /// passed.
     pub(super) fn answer_due_heartbeats(&mut self, context: &mut NodeContext) {
         let is_due = |machine: &Machine| {
             let Some(parked) = &machine.parked_heartbeat else { return false };
@@ -71,7 +74,7 @@
     }
 }
 
-/// Logs under which right a heartbeat is answered.
+/// Logs the fencing token and the age of the control lease under which a heartbeat is answered.
 fn log_answer(context: &NodeContext, machine: &Machine, commands: usize) {
     let answered = machine.liveness.newest();
     tracing::debug!(
@@ -85,9 +88,10 @@
     );
 }
 
-/// How long a heartbeat is parked; 0: it is answered at once. A machine without attempts
-/// gets new work the sooner; one with tasks also has their ends to tell, so its heartbeat
-/// is parked for a shorter time. The worker gives up after 4 s.
+/// Returns how long a heartbeat is parked; 0 means that it is answered at once. Parking lets a
+/// machine receive new work without waiting for its next heartbeat. A machine with tasks also has
+/// to report when they end, so its heartbeats are parked for a shorter time. The worker's request
+/// times out after 4 s.
 pub(super) fn park_ms(context: &NodeContext, machine: &Machine) -> Ms {
     if !machine.takes_tasks(context) {
         return 0;
--- a/src/core/shard_owner/placement_records/allocation.rs
+++ b/src/core/shard_owner/placement_records/allocation.rs
@@ -1,4 +1,5 @@
-//! Which placement record takes a new attempt, or the row with a machine's own state.
+//! Allocation: chooses the placement record for a new attempt, or for the row with a machine's own
+//! state, and reserves capacity there.
 
 use super::layout::{
     MAX_ATTEMPT_BYTES, RECORD_HEADER_BYTES, RECORD_SLACK_BYTES, USUAL_ROW_BYTES, machine_row_bytes,
@@ -11,16 +12,16 @@
 use crate::model::{JobIndex, ShardIndex};
 use rustc_hash::FxHashSet;
 
-/// What each record of a shard will hold once it is written anew.
+/// Contents of each record of a shard after its next write.
 struct Occupancy {
-    /// Upper bounds of the records' lengths.
+    /// Upper bound of each record's length, by record.
     bytes: Vec<usize>,
-    /// The jobs that each record names.
+    /// Pairs of a record and a job that has a row in it.
     jobs: FxHashSet<(RecordIndex, JobIndex)>,
 }
 
 impl Occupancy {
-    /// The occupancy of a shard's records; `records` is their number.
+    /// Computes the occupancy of a shard's records; `records` is their number.
     fn of_shard(
         context: &NodeContext,
         machines: &Machines,
@@ -70,9 +71,8 @@
     }
 }
 
-/// Makes sure that the record which takes new attempts has capacity for one more. What
-/// stored records list though it is gone counts as free capacity, as their next write
-/// leaves it out.
+/// Ensures that the open record, which receives new attempts, has capacity for one more. Entries of
+/// stored records that are gone count as free capacity, because the next write omits them.
 pub(crate) fn prepare_open_record(context: &NodeContext, shard: &mut OwnedShard, machines: &Machines) {
     let limit = max_record_bytes(context);
     let spare = MAX_ATTEMPT_BYTES + 2 * USUAL_ROW_BYTES;
@@ -88,7 +88,7 @@
         .indices()
         .filter(|index| !shard.records[*index].is_oversized())
         .min_by_key(occupied);
-    // One that is nearly full again at once would only add a write.
+    // Reusing a record that would soon be nearly full again would only cost an additional write.
     match emptiest.filter(|record| occupied(record) * 3 <= limit * 2) {
         Some(index) => {
             shard.records[index].set_reserved(occupied(&index), occupancy.jobs_of(index));
@@ -101,8 +101,8 @@
     }
 }
 
-/// Reserves capacity for one more attempt on this machine: in the open record, or in any
-/// other that surely has it.
+/// Reserves capacity for one more attempt on this machine, in the open record if it has enough,
+/// otherwise in any other record that certainly has it or in a new one. Returns the record.
 pub(crate) fn reserve_attempt(
     context: &NodeContext,
     shard: &mut OwnedShard,
@@ -125,9 +125,9 @@
     index
 }
 
-/// The record that shows a machine's own state, with capacity reserved there for its row:
-/// hundreds of machines may be cordoned or decommissioned at once, and a record that
-/// passed the limit would be rejected for ever, with all that it lists.
+/// Returns the record for the row with a machine's own state, after reserving capacity for the row.
+/// The reservation is needed because hundreds of machines may be cordoned or decommissioned at once,
+/// and the store would permanently reject a record that exceeds the limit, with all its contents.
 pub(super) fn assign_state_record(
     context: &NodeContext,
     shard: &mut OwnedShard,
@@ -152,7 +152,7 @@
     index
 }
 
-/// Whether the machine's present `state_record` has its row already, or capacity for it.
+/// Whether the machine's current `state_record` already has its row or capacity for it.
 fn has_state_row(shard: &OwnedShard, machine: &Machine, index: RecordIndex) -> bool {
     let record = shard.records.get(index);
     if record.is_some_and(OwnedRecord::is_oversized) {
--- a/src/core/shard_owner/placement_records/draft.rs
+++ b/src/core/shard_owner/placement_records/draft.rs
@@ -1,5 +1,5 @@
-//! A placement record while it is put together for a write: which attempts go into it,
-//! and with which compares.
+//! Drafts of placement records for a write: which attempts a record will list, and which compares
+//! the write needs.
 
 use super::layout::{attempt_bytes, machine_row_bytes, max_record_bytes};
 use super::record::RecordIndex;
@@ -13,36 +13,36 @@
 use crate::wire::store::{Compare, PlacementRecord, RecordedJob, RecordedMachine};
 use rustc_hash::{FxHashMap, FxHashSet};
 
-/// Compares that a compare-and-swap may have for each mutation.
+/// Maximum number of compares in a compare-and-swap for each mutation that the store allows.
 const COMPARES_PER_MUTATION: usize = 4;
 
 /// A placement record as it will be written.
 pub(super) struct RecordDraft {
-    /// What will be stored.
+    /// The record to store.
     pub(super) content: PlacementRecord,
-    /// Rows of the record's jobs.
+    /// Row index of each job in the record.
     pub(super) job_rows: FxHashMap<JobIndex, u32>,
-    /// What the write brings, to be noted once its outcome is known.
+    /// What the write changes, to be applied once its outcome is known.
     pub(super) write: RecordWrite,
-    /// What must hold for the write to be executed.
+    /// Preconditions of the write.
     pub(super) compares: Vec<Compare>,
-    /// Jobs with a compare of their own.
+    /// Jobs whose records the write compares.
     compared_jobs: FxHashSet<JobIndex>,
-    /// Length of the record with all that it holds in any case and what was added.
+    /// Length of the record, in bytes: its required contents and the attempts added so far.
     bytes: usize,
-    /// Whether attempts that are not recorded yet may be added.
-    takes_new: bool,
+    /// Whether unrecorded attempts may be added.
+    accepts_new_attempts: bool,
 }
 
 impl RecordDraft {
-    /// A draft without machines. `base` is the smallest id of an attempt that the record
-    /// may list, `bytes` the length of what it holds in any case.
+    /// Creates a draft without machines. `base` is the smallest id of an attempt that the record may
+    /// list, and `bytes` the length of its required contents.
     pub(super) fn new(
         write: RecordWrite,
         compares: Vec<Compare>,
         base: u64,
         bytes: usize,
-        takes_new: bool,
+        accepts_new_attempts: bool,
     ) -> RecordDraft {
         RecordDraft {
             content: PlacementRecord { base, ..PlacementRecord::default() },
@@ -51,11 +51,12 @@
             compares,
             compared_jobs: FxHashSet::default(),
             bytes,
-            takes_new,
+            accepts_new_attempts,
         }
     }
 
-    /// Adds the machine's own state and its attempts, as far as they belong here.
+    /// Adds the row of a machine with its own state and its attempts, as far as this record holds
+    /// them.
     pub(super) fn add_machine(
         &mut self,
         context: &NodeContext,
@@ -78,14 +79,14 @@
         }
     }
 
-    /// Adds the attempts of a machine that belong here; the numbers of its row.
+    /// Adds the attempts of a machine that belong in this record. Returns the numbers of its row.
     fn add_attempts(
         &mut self,
         context: &NodeContext,
         machine: &mut Machine,
         record: RecordIndex,
     ) -> Vec<u64> {
-        // Counted with the first attempt.
+        // Added to the length together with the first attempt.
         let mut row_bytes = machine_row_bytes(&machine.name);
         let mut tasks = Vec::new();
         let belongs_here =
@@ -105,23 +106,25 @@
         tasks
     }
 
-    /// Whether the attempt is part of the record. `row_bytes` is what its machine's row
-    /// takes, if it is the machine's first.
+    /// Adds the attempt if that is possible and returns whether the record lists it. `row_bytes` is
+    /// the length of its machine's row, or 0 if that has been added already.
     fn add_attempt(&mut self, context: &NodeContext, attempt: &mut Attempt, row_bytes: usize) -> bool {
         let job_bytes = if self.job_rows.contains_key(&attempt.job) { 0 } else { attempt.job_row_bytes };
         let own_bytes = attempt_bytes(attempt.task, attempt.id.number() - self.content.base);
         let bytes = own_bytes + row_bytes + job_bytes;
         let fits = self.bytes + bytes <= max_record_bytes(context);
         if attempt.moving_to == Some(self.write.record) {
-            // Recorded elsewhere, so that it needs no compare of its own.
+            // Another record lists the attempt already, so that it needs no compare of its own.
             if fits {
                 self.bytes += bytes;
                 self.write.moved_attempts.insert(attempt.id);
             }
             return fits;
         }
-        let may_add =
-            self.takes_new && attempt.moving_to.is_none() && attempt.needs_recording(context) && fits;
+        let may_add = self.accepts_new_attempts
+            && attempt.moving_to.is_none()
+            && attempt.needs_recording(context)
+            && fits;
         if may_add && self.compare_job(context, attempt.job) {
             self.bytes += bytes;
             attempt.recording = RecordingState::WriteSent;
@@ -131,8 +134,8 @@
         attempt.may_be_recorded()
     }
 
-    /// Makes the write depend on the job's record. False: there are more jobs than a
-    /// compare-and-swap may have compares, and the rest goes with the next.
+    /// Adds a compare for the job's record to the write. Returns false if the compare-and-swap has
+    /// the maximum number of compares; the attempts of further jobs wait for the next write.
     fn compare_job(&mut self, context: &NodeContext, job: JobIndex) -> bool {
         if self.compared_jobs.contains(&job) {
             return true;
@@ -157,7 +160,7 @@
     }
 }
 
-/// What a machine's row shows of the machine's own state.
+/// Returns the flags for a machine's own state in its row.
 fn state_flags(machine: &Machine) -> u8 {
     let cordoned = if machine.is_cordoned { RecordedMachine::CORDONED } else { 0 };
     let is_terminating = machine.terminating_recorded || machine.can_decommission();
--- a/src/core/shard_owner/placement_records/layout.rs
+++ b/src/core/shard_owner/placement_records/layout.rs
@@ -1,4 +1,4 @@
-//! Sizes of a placement record and of its parts, in bytes of its stored form.
+//! Lengths of a placement record and of its parts in stored form, in bytes.
 
 use crate::core::common::context::NodeContext;
 use crate::core::shard_owner::attempt::Attempt;
@@ -8,43 +8,43 @@
 
 use super::record::RecordIndex;
 
-/// Bytes kept free in a record for what the estimates leave out.
+/// Bytes kept free in a record for contents that the estimates omit.
 pub(super) const RECORD_SLACK_BYTES: usize = 200;
-/// What a record takes beside its rows: names of fields and of a few machine types.
+/// Length of a record without its rows: the names of its fields and of a few machine types.
 pub(super) const RECORD_HEADER_BYTES: usize = 100;
-/// Upper bound of what an attempt adds to its machine's row.
+/// Upper bound of the length that an attempt adds to its machine's row.
 pub(super) const MAX_ATTEMPT_BYTES: usize = 24;
-/// What a job's or a machine's row takes, names of usual length given.
+/// Length of a job's or a machine's row with names of typical length.
 pub(super) const USUAL_ROW_BYTES: usize = 100;
-/// Separators around an attempt's three numbers.
+/// Length of the separators around an attempt's three numbers.
 const ATTEMPT_SEPARATOR_BYTES: usize = 5;
-/// What a machine's row takes beside its name and attempts.
+/// Length of a machine's row without its name and attempts.
 const MACHINE_ROW_OVERHEAD_BYTES: usize = 14;
-/// Upper bound of what a job's row takes beside its name and team.
+/// Upper bound of the length of a job's row without its name and team.
 const MAX_JOB_ROW_OVERHEAD_BYTES: usize = 60;
-/// Separators and quotation marks of a job's row.
+/// Length of the separators and quotation marks of a job's row.
 const JOB_ROW_SEPARATOR_BYTES: usize = 9;
-/// What a decimal number of a job's row takes beside its digits.
+/// Additional length of a decimal number in a job's row, beyond its digits.
 const DECIMAL_OVERHEAD_BYTES: usize = 3;
 
-/// Longest value that the key-value store takes.
+/// Maximum length of a value that the key-value store accepts.
 pub(super) fn max_record_bytes(context: &NodeContext) -> usize {
     context.platform.cluster.state.value_bytes()
 }
 
-/// Upper bound of a machine's row without its attempts.
+/// Upper bound of the length of a machine's row without its attempts.
 pub(super) fn machine_row_bytes(name: &str) -> usize {
     name.len() + MACHINE_ROW_OVERHEAD_BYTES
 }
 
-/// Upper bound of a job's row, whatever its tasks take.
+/// Upper bound of the length of a job's row for any resource demand.
 pub(super) fn max_job_row_bytes(name: &str, team: &str) -> usize {
     name.len() + team.len() + MAX_JOB_ROW_OVERHEAD_BYTES
 }
 
-/// What a job's row takes, to the byte: an estimate would leave bound tasks waiting for
-/// capacity that is there. It is worked out once for an attempt, as it writes out three
-/// decimal numbers.
+/// Exact length of a job's row. With an estimate, bound tasks would wait for record capacity that is
+/// in fact available. The length is computed once per attempt, because this formats three decimal
+/// numbers.
 pub(crate) fn job_row_bytes(name: &str, team: &str, demand: &Resources) -> usize {
     let decimal_bytes = |number: f64| number.to_string().len() + DECIMAL_OVERHEAD_BYTES;
     let demand_bytes =
@@ -52,19 +52,18 @@
     name.len() + team.len() + demand_bytes + JOB_ROW_SEPARATOR_BYTES
 }
 
-/// What an attempt adds to its machine's row; `id_offset` is its id counted from the
-/// record's base.
+/// Length that an attempt adds to its machine's row. `id_offset` is its id minus the record's base.
 pub(super) fn attempt_bytes(task: u32, id_offset: u64) -> usize {
     ATTEMPT_SEPARATOR_BYTES + number_bytes(u64::from(task)) + number_bytes(id_offset)
 }
 
-/// The length of a number and the comma after it.
+/// Length of a number and the comma after it.
 fn number_bytes(number: u64) -> usize {
     number.checked_ilog10().unwrap_or(0) as usize + 2
 }
 
-/// What a record holds in any case: attempts that it lists or may list already, and
-/// machines with a state of their own.
+/// Length of a record's required contents: the attempts that it lists or may list already, and the
+/// machines whose own state it holds.
 pub(super) fn required_bytes(
     machines: &Machines,
     shard: ShardIndex,
--- a/src/core/shard_owner/placement_records/mod.rs
+++ b/src/core/shard_owner/placement_records/mod.rs
@@ -1,34 +1,33 @@
-//! Placement records: the stored records that list what may be on a shard's machines.
+//! Placement records: the stored records that list the attempts that may be on a shard's machines.
 //!
-//! The key-value store takes few writes a second, and many tasks start in each, so one
-//! record lists the attempts of many machines. All that has gathered for a record goes
-//! out in one compare-and-swap, with every compare that it rests on; while that is in
-//! flight, or its outcome unknown, the next batch gathers. A record is full when it nears
-//! the store's limit; further attempts go to the next, so that the attempts of one
-//! machine may be listed by several records. New attempts go to one record of a shard
-//! while that has capacity, since each record written costs a write. The gap between two
-//! writes of a record widens with the number of records that have something urgent, not
-//! with all there are, so that all shard owners together keep within the store's rate.
+//! The key-value store accepts few writes per second, while many tasks start per second, so one
+//! record lists the attempts of many machines. All pending changes of a record are written as a
+//! batch in one compare-and-swap, with every compare that they depend on. While that write is in
+//! flight or its outcome is unknown, the next batch accumulates. A record is full when its length
+//! approaches the store's limit. Further attempts then go to another record, so the attempts of one
+//! machine may be listed by several records. New attempts of a shard go to one open record while it
+//! has capacity, since each record that changes costs a write. The interval between two writes of a
+//! record increases with the number of records that have urgent changes, not with the number of all
+//! records, so that all shard owners together stay within the store's rate limit.
 //!
-//! A record that was read may exceed the limit for writes: the limit has fallen, or is
-//! about to, and a shard owner of an earlier version wrote the record. Such an oversized
-//! record can still be read but not be written again, so its excess is copied to other
-//! records first, and it shrinks only once the copies are durable. Each attempt is thus
-//! listed by a record at any time, and readers take an attempt that is listed twice as
-//! one.
+//! A record that has been read may exceed the limit for writes, if the limit has been lowered, or is
+//! about to be, and a shard owner of an earlier version wrote the record. Such an oversized record
+//! can still be read but not written again. Its excess is therefore copied to other records first,
+//! and it shrinks only once the copies are durable. As a result, some record lists each attempt at
+//! any time, and readers treat an attempt that is listed twice as one.
 //!
-//! - `layout`: sizes of a record and of its parts;
+//! - `layout`: lengths of a record and of its parts;
 //! - `record`: the state of one record;
 //! - `shard_records`: the list of a shard's records;
-//! - `allocation`: which record takes an attempt or a machine's own state;
+//! - `allocation`: which record lists a new attempt or a machine's own state;
 //! - `splitting`: how oversized records shrink;
-//! - `schedule`: when which record is written;
-//! - `draft`: what goes into a write;
+//! - `schedule`: when each record is written or read back;
+//! - `draft`: contents and compares of a write;
 //! - `write`: the write and its outcome;
-//! - `reread`: reading a record back after a write of unknown outcome.
+//! - `reread`: reading a record back after a write with an unknown outcome.
 //!
-//! The rest of the shard owner calls it to reserve capacity for an attempt and at each
-//! scan; it never decides what runs where.
+//! The rest of the shard owner calls this module to reserve capacity for an attempt and at each
+//! scan. The module never decides which tasks run or on which machine.
 
 mod allocation;
 mod draft;
--- a/src/core/shard_owner/placement_records/reread.rs
+++ b/src/core/shard_owner/placement_records/reread.rs
@@ -1,4 +1,4 @@
-//! Reading a placement record back after a write of unknown outcome.
+//! Reads a placement record back after a write with an unknown outcome.
 
 use super::record::RecordIndex;
 use super::record_key;
@@ -11,12 +11,12 @@
 use crate::wire::store::{KeyValue, PlacementRecord, RecordedMachine};
 use rustc_hash::FxHashMap;
 
-/// Delay before a record is read again that could not be decoded.
+/// Delay before a record that could not be decoded is read again.
 const UNREADABLE_RETRY_MS: Ms = 2_000;
-/// Delay before a record is read again after a failed read.
+/// Delay before a record is read again after a failed read, before jitter.
 const FAILED_RETRY_MS: Ms = 300;
 
-/// Reads one record back.
+/// Sends a read of one record.
 pub(super) fn send_reread(context: &mut NodeContext, shard: &mut OwnedShard, record: RecordIndex) {
     shard.records[record].on_reread_sent();
     let call = ShardOwnerCall::Reread { shard: shard.index, record, fencing_token: shard.fencing_token };
@@ -24,7 +24,7 @@
     context.send_store_request(StoreCallOwner::ShardOwner(call), StoreRequest::Get(key));
 }
 
-/// Takes in the record as it was read back, or that the read failed.
+/// Handles the response to the read of a record.
 pub(crate) fn on_reread_result(
     context: &mut NodeContext,
     shard: &mut OwnedShard,
@@ -66,17 +66,17 @@
     for machine in machines_of_mut(machines, shard.index) {
         let row = rows.get(machine.name.as_str()).copied();
         if machine.state_record == Some(index) {
-            outdated.extend(note_stored_state(machine, row));
+            outdated.extend(apply_stored_state(machine, row));
         }
-        outdated.extend(note_stored_attempts(machine, index, row, content.base));
+        outdated.extend(apply_stored_attempts(machine, index, row, content.base));
     }
     shard.records.mark_outdated(outdated, now);
     shard.has_unreported_changes = true;
 }
 
-/// Notes what the stored record shows of the machine's own state; the oversized record
-/// that had its row, if that may drop it now.
-fn note_stored_state(machine: &mut Machine, row: Option<&RecordedMachine>) -> Option<RecordIndex> {
+/// Updates the recorded state of a machine from its row in the stored record. Returns the oversized
+/// record that held the row before, if that may drop the row now.
+fn apply_stored_state(machine: &mut Machine, row: Option<&RecordedMachine>) -> Option<RecordIndex> {
     let shows = |flags: u8| row.is_some_and(|row| row.is(flags));
     machine.cordoned_recorded = shows(RecordedMachine::CORDONED);
     machine.terminating_recorded |= shows(RecordedMachine::TERMINATING);
@@ -85,9 +85,9 @@
     if may_drop_former { machine.former_state_record.take() } else { None }
 }
 
-/// Notes which of the machine's attempts the stored record lists; the records that moved
-/// attempts leave.
-fn note_stored_attempts(
+/// Updates which of the machine's attempts are recorded from its row in the stored record. Returns
+/// the records from which attempts have moved here.
+fn apply_stored_attempts(
     machine: &mut Machine,
     index: RecordIndex,
     row: Option<&RecordedMachine>,
@@ -96,20 +96,20 @@
     let is_listed = |id: AttemptId| {
         row.is_some_and(|row| row.attempts(base).any(|listed| listed.attempt == id.number()))
     };
-    let mut left = Vec::new();
+    let mut vacated_records = Vec::new();
     for attempt in &mut machine.attempts {
         if attempt.record == index {
-            // Only a write with the attempt's own compares lists it, so that what is
-            // stored here was right then.
+            // Only a write with the compares for this attempt adds it, so the stored entry met its
+            // preconditions when it was written.
             if is_listed(attempt.id) {
                 attempt.recording = RecordingState::Recorded;
             } else {
                 attempt.on_write_not_executed();
             }
         } else if attempt.moving_to == Some(index) && is_listed(attempt.id) {
-            left.push(attempt.record);
+            vacated_records.push(attempt.record);
             attempt.finish_move(index);
         }
     }
-    left
+    vacated_records
 }
--- a/src/core/shard_owner/placement_records/schedule.rs
+++ b/src/core/shard_owner/placement_records/schedule.rs
@@ -1,4 +1,4 @@
-//! When which placement record is written or read back.
+//! Schedule of placement records: when each one is written or read back.
 
 use super::allocation::assign_state_record;
 use super::record::{OwnedRecord, RecordIndex};
@@ -11,26 +11,26 @@
 use crate::model::{Ms, ShardIndex, Term};
 use rustc_hash::FxHashMap;
 
-/// Share of the store's writes that urgent ones may take, of all nodes together.
+/// Share of the store's write rate for urgent writes of all nodes together.
 const URGENT_RATE_SHARE: f64 = 0.5;
-/// Share of the store's writes that may only bring records up to date, of all nodes
-/// together.
+/// Share of the store's write rate for cleanup writes of all nodes together.
 const CLEANUP_RATE_SHARE: f64 = 0.1;
-/// Shortest time between two writes of a record.
+/// Minimum interval between two writes of a record.
 const MIN_WRITE_INTERVAL_MS: Ms = 100;
-/// Longest time between two writes of a record.
+/// Maximum interval between two writes of a record.
 const MAX_WRITE_INTERVAL_MS: Ms = 5_000;
-/// The lowest rate of writes that gaps are worked out for, per second.
+/// Lower bound of the write rate from which intervals are computed, in writes per second.
 const MIN_WRITE_RATE: f64 = 0.1;
-/// What is not urgent goes along with other changes, or after this time.
+/// Time after which changes that are not urgent are written by themselves, if no other write of the
+/// record has included them.
 const CLEANUP_DELAY_MS: Ms = 4_000;
 
-/// How soon something must go into a record.
+/// How soon a change must be written to a record.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Urgency {
-    /// It goes along with the next write, or is brought up to date in time.
+    /// The change is included in the next write, or in a cleanup write after a delay.
     Deferrable,
-    /// A task, a copy or a termination waits for it.
+    /// The start of a task, the move of an entry or a termination waits for the change.
     Urgent,
 }
 
@@ -38,11 +38,11 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum WriteReason {
     Urgent,
-    /// Only to bring it up to date.
+    /// Only to bring the record up to date.
     Cleanup,
 }
 
-/// What waits to go into the records of all shards.
+/// Highest urgency of the pending changes of each record, for all shards.
 #[derive(Debug, Default)]
 struct PendingChanges {
     urgencies: FxHashMap<(ShardIndex, RecordIndex), Urgency>,
@@ -58,12 +58,12 @@
         self.urgencies.get(&(shard, record)).copied()
     }
 
-    /// Number of records that something urgent waits for.
+    /// Number of records with urgent changes.
     fn urgent_records(&self) -> usize {
         self.urgencies.values().filter(|urgency| **urgency == Urgency::Urgent).count()
     }
 
-    /// Adds what the records must take of a machine of this shard.
+    /// Adds the pending changes of a machine of this shard.
     fn add_machine(
         &mut self,
         context: &NodeContext,
@@ -71,7 +71,7 @@
         machine: &mut Machine,
         term: Term,
     ) {
-        // An attempt that a former leader admitted has no standing.
+        // Attempts that a former leader admitted must not be recorded.
         if shard.follows_term(term) {
             for attempt in machine.attempts.iter().filter(|attempt| attempt.needs_recording(context)) {
                 self.add(shard.index, attempt.record, Urgency::Urgent);
@@ -81,7 +81,7 @@
             self.add(shard.index, target, Urgency::Urgent);
         }
         if let (Some(_), Some(record)) = (machine.former_state_record, machine.state_record) {
-            // The oversized record can't shrink before this one has the row.
+            // The oversized record can't shrink before this record has the row.
             self.add(shard.index, record, Urgency::Urgent);
         }
         if machine.can_decommission() || machine.is_cordoned != machine.cordoned_recorded {
@@ -93,9 +93,8 @@
     }
 }
 
-/// Writes the records that something new waits for, as far as the rate of writes allows,
-/// and reads back those whose last write has an unknown outcome. Without a known leader,
-/// nothing is done.
+/// Writes the records with pending changes, as far as the rate limit allows, and reads back those
+/// whose last write has an unknown outcome. Does nothing while no leader is known.
 pub(crate) fn write_due_records(
     context: &mut NodeContext,
     shards: &mut [Option<OwnedShard>],
@@ -138,8 +137,8 @@
 ) {
     let now = context.clock.now();
     for shard in shards.iter_mut().flatten().filter(|shard| shard.is_loaded()) {
-        // A leader that has yet to read all records would miss an attempt that moves from
-        // one that it reads later to one that it has read.
+        // A leader that is still reading the records would miss an attempt that moves from a record
+        // that it has not read yet to one that it has already read.
         if !shard.follows_term(term) {
             continue;
         }
@@ -170,7 +169,7 @@
     pending
 }
 
-/// Why this record is to be written now, if it is.
+/// Returns the reason for writing this record now, or none if it must not or need not be written.
 fn due_write(
     context: &NodeContext,
     shard: &mut OwnedShard,
@@ -194,8 +193,8 @@
     Some(reason)
 }
 
-/// Why a record that may be written is written now, if it is. What is not urgent marks
-/// the record as outdated.
+/// Returns the reason for writing a record that may be written, or none if it need not be written
+/// now. Changes that are not urgent mark the record as outdated.
 fn write_reason(
     record: &mut OwnedRecord,
     urgency: Option<Urgency>,
@@ -214,11 +213,11 @@
     }
 }
 
-/// Time between two writes of one of `records` records when each node has as many, and
-/// all together take this share of the store's writes.
+/// Interval between two writes of one record if each node writes `records` records and all nodes
+/// together use `rate_share` of the store's write rate.
 fn write_interval_ms(context: &NodeContext, records: usize, rate_share: f64) -> Ms {
     let nodes = context.platform.peers.len() + 1;
     let rate = (context.platform.cluster.state.write_rps * rate_share).max(MIN_WRITE_RATE);
-    let gap_ms = (records * nodes) as f64 * 1000.0 / rate;
-    gap_ms.clamp(MIN_WRITE_INTERVAL_MS as f64, MAX_WRITE_INTERVAL_MS as f64) as Ms
+    let interval_ms = (records * nodes) as f64 * 1000.0 / rate;
+    interval_ms.clamp(MIN_WRITE_INTERVAL_MS as f64, MAX_WRITE_INTERVAL_MS as f64) as Ms
 }
--- a/src/core/shard_owner/placement_records/shard_records.rs
+++ b/src/core/shard_owner/placement_records/shard_records.rs
@@ -8,9 +8,9 @@
 #[derive(Debug)]
 pub(crate) struct ShardRecords {
     records: Vec<OwnedRecord>,
-    /// The record that takes new attempts.
+    /// The record that receives new attempts.
     open: RecordIndex,
-    /// No record is written before this time only to bring it up to date.
+    /// Earliest time of the next cleanup write, which only brings a record up to date.
     next_cleanup_at: Ms,
 }
 
@@ -21,12 +21,12 @@
 }
 
 impl ShardRecords {
-    /// The record, if there is one with this number.
+    /// The record with this number, if there is one.
     pub(super) fn get(&self, index: RecordIndex) -> Option<&OwnedRecord> {
         self.records.get(index.place())
     }
 
-    /// The record, to be changed, if there is one with this number.
+    /// The record with this number, mutably, if there is one.
     pub(super) fn get_mut(&mut self, index: RecordIndex) -> Option<&mut OwnedRecord> {
         self.records.get_mut(index.place())
     }
@@ -41,7 +41,8 @@
         (0..self.records.len()).map(RecordIndex::at)
     }
 
-    /// Puts a record that was read in its place.
+    /// Inserts a record that has been read, and adds records that don't exist yet for missing lower
+    /// numbers.
     pub(crate) fn insert_loaded(&mut self, index: RecordIndex, record: OwnedRecord) {
         while self.records.len() <= index.place() {
             self.records.push(OwnedRecord::new());
@@ -49,14 +50,14 @@
         self[index] = record;
     }
 
-    /// Adds a record that does not exist yet.
+    /// Adds a record that does not exist in the store yet.
     pub(super) fn add(&mut self) -> RecordIndex {
         self.records.push(OwnedRecord::new());
         RecordIndex::at(self.records.len() - 1)
     }
 
-    /// The preferred record if it meets the condition, else the first that does, else a
-    /// new one.
+    /// Returns the preferred record if it meets the condition, otherwise the first record that does,
+    /// otherwise a new one.
     pub(super) fn find_or_add(
         &mut self,
         preferred: Option<RecordIndex>,
@@ -68,27 +69,27 @@
             .unwrap_or_else(|| self.add())
     }
 
-    /// The record that takes new attempts; it may not exist yet.
+    /// The record that receives new attempts; it may not exist yet.
     pub(super) fn open(&self) -> RecordIndex {
         self.open
     }
 
-    /// Has this record take new attempts from now on.
+    /// Makes this record the one that receives new attempts.
     pub(super) fn set_open(&mut self, index: RecordIndex) {
         self.open = index;
     }
 
-    /// Whether a record may be written now only to bring it up to date.
+    /// Whether a cleanup write, which only brings a record up to date, may be sent now.
     pub(super) fn may_clean_up(&self, now: Ms) -> bool {
         now >= self.next_cleanup_at
     }
 
-    /// Lets no record be written before this time only to bring it up to date.
+    /// Defers the next cleanup write until this time.
     pub(super) fn defer_cleanup(&mut self, until: Ms) {
         self.next_cleanup_at = until;
     }
 
-    /// Marks records whose stored form lists what is gone.
+    /// Marks records as outdated because their stored form lists entries that are gone.
     pub(crate) fn mark_outdated(&mut self, records: impl IntoIterator<Item = RecordIndex>, now: Ms) {
         for index in records {
             if let Some(record) = self.get_mut(index) {
--- a/src/core/shard_owner/placement_records/splitting.rs
+++ b/src/core/shard_owner/placement_records/splitting.rs
@@ -1,5 +1,5 @@
-//! How oversized records shrink: whole machines are copied to other records, and the
-//! oversized one is written again only once the copies are durable.
+//! Splitting of oversized records: whole machines are copied to other records, and the oversized
+//! record is written again only once the copies are durable.
 
 use super::allocation::{assign_state_record, reserve_attempt};
 use super::layout::{
@@ -13,11 +13,11 @@
 use crate::model::{JobIndex, ShardIndex};
 use rustc_hash::FxHashSet;
 
-/// What an oversized record keeps at most, in tenths of the limit: this leaves capacity
-/// for a write.
+/// Maximum length of the part that an oversized record keeps, in tenths of the limit. The rest leaves
+/// capacity for a write.
 const KEPT_TENTHS: usize = 9;
 
-/// The part of an oversized record that stays there.
+/// The part of an oversized record that is not moved to other records.
 struct KeptPart {
     bytes: usize,
     jobs: FxHashSet<JobIndex>,
@@ -25,8 +25,8 @@
 }
 
 impl KeptPart {
-    /// Whether the record keeps the machine, which then is part of it.
-    fn add_if_it_fits(&mut self, machine: &Machine, record: RecordIndex) -> bool {
+    /// Adds the machine if the record can keep it. Returns whether it was added.
+    fn try_add(&mut self, machine: &Machine, record: RecordIndex) -> bool {
         let mut bytes = machine_row_bytes(&machine.name);
         let mut new_jobs: FxHashSet<JobIndex> = FxHashSet::default();
         for attempt in machine.attempts.iter().filter(|attempt| stays_in(attempt, record)) {
@@ -44,13 +44,13 @@
     }
 }
 
-/// Whether a record lists an attempt that is not being copied to another one.
+/// Whether the attempt belongs to the record and is not being moved to another one.
 fn stays_in(attempt: &Attempt, record: RecordIndex) -> bool {
     attempt.record == record && attempt.moving_to.is_none()
 }
 
-/// Finds other records for what an oversized one holds too much of: attempts and rows of
-/// machines, in whole machines.
+/// Assigns the excess of an oversized record, attempts and state rows of whole machines, to other
+/// records.
 pub(super) fn split_oversized(
     context: &NodeContext,
     shard: &mut OwnedShard,
@@ -66,7 +66,7 @@
         let has_state_row = machine.state_record == Some(record) && machine.has_recorded_state();
         let is_listed =
             has_state_row || machine.attempts.iter().any(|attempt| stays_in(attempt, record));
-        if !is_listed || kept.add_if_it_fits(machine, record) {
+        if !is_listed || kept.try_add(machine, record) {
             continue;
         }
         if has_state_row {
@@ -76,7 +76,7 @@
     }
 }
 
-/// Reserves other records for the attempts of a machine that this record lists.
+/// Reserves capacity in other records for the attempts of a machine that this record lists.
 fn move_attempts(
     context: &NodeContext,
     shard: &mut OwnedShard,
@@ -94,8 +94,8 @@
     }
 }
 
-/// Whether an oversized record can't be written yet: it still holds too much, or what is
-/// to leave it is not durable elsewhere.
+/// Whether an oversized record can't be written yet, because its contents are still too long or the
+/// entries that move to other records are not durable there.
 pub(super) fn must_wait_for_split(
     context: &NodeContext,
     machines: &Machines,
@@ -103,10 +103,10 @@
     record: RecordIndex,
 ) -> bool {
     let is_leaving = |attempt: &Attempt| attempt.record == record && attempt.moving_to.is_some();
-    let has_leaving_part = |machine: &Machine| {
+    let has_pending_move = |machine: &Machine| {
         machine.former_state_record == Some(record) || machine.attempts.iter().any(is_leaving)
     };
-    if machines_of(machines, shard).any(has_leaving_part) {
+    if machines_of(machines, shard).any(has_pending_move) {
         return true;
     }
     let base = machines_of(machines, shard)
--- a/src/core/shard_owner/placement_records/write.rs
+++ b/src/core/shard_owner/placement_records/write.rs
@@ -1,4 +1,4 @@
-//! The write of one placement record, and what its outcome changes.
+//! Writes a placement record and handles the outcome.
 
 use super::draft::RecordDraft;
 use super::layout::{MAX_ATTEMPT_BYTES, RECORD_SLACK_BYTES, machine_row_bytes, required_bytes};
@@ -15,29 +15,29 @@
 use crate::wire::store::{Compare, CompareAndSwap, Mutation, RecordedMachine};
 use rustc_hash::{FxHashMap, FxHashSet};
 
-/// Delay before a record is written again after a write that was not executed.
+/// Delay before a record is written again after a write that was not executed, before jitter.
 const NOT_EXECUTED_RETRY_MS: Ms = 200;
-/// Delay before a record is written again, or read back, after a conflict.
+/// Delay before a record is written again, or read back, after a conflict, before jitter.
 const CONFLICT_RETRY_MS: Ms = 80;
-/// Delay before a record is read back that the store rejects as malformed.
+/// Delay before a record that the store rejects as malformed is read back.
 const REJECTED_REREAD_MS: Ms = 2_000;
-/// Delay before a record is read back after any other failure.
+/// Delay before a record is read back after any other failure, before jitter.
 const UNKNOWN_REREAD_MS: Ms = 100;
 
-/// One write of a placement record under way.
+/// A write of a placement record that is in flight.
 #[derive(Debug)]
 pub(crate) struct RecordWrite {
     /// The shard of the record.
     pub(in crate::core::shard_owner) shard: ShardIndex,
     /// The record.
     pub(super) record: RecordIndex,
-    /// Fencing token under which it was sent.
+    /// Fencing token under which the write was sent.
     fencing_token: FencingToken,
-    /// Attempts that may be started once this write is executed.
+    /// Attempts that this write adds; they may be started once it has been executed.
     pub(super) new_attempts: FxHashSet<AttemptId>,
-    /// Attempts that are copied out of oversized records.
+    /// Attempts that this write copies from oversized records.
     pub(super) moved_attempts: FxHashSet<AttemptId>,
-    /// What the record shows of the machines whose own state is in it.
+    /// Flags written for the machines whose own state this record holds.
     pub(super) machine_flags: FxHashMap<MachineIndex, u8>,
 }
 
@@ -54,7 +54,7 @@
     }
 }
 
-/// Writes one record as it is now, with the compares of all that is new in it.
+/// Writes the current contents of one record, with the compares that its new entries require.
 pub(super) fn send_write(
     context: &mut NodeContext,
     shard: &mut OwnedShard,
@@ -64,7 +64,7 @@
 ) {
     let draft = draft_record(context, shard, machines, record, term);
     let value = Encoded::new(&draft.content);
-    let waiting = waiting_bytes(context, machines, &draft.write);
+    let waiting = pending_bytes(context, machines, &draft.write);
     let reserved_bytes = value.len() + RECORD_SLACK_BYTES + waiting;
     let jobs = draft.job_rows.into_keys().collect();
     shard.records[record].on_write_sent(reserved_bytes, jobs);
@@ -93,20 +93,20 @@
         Compare { key: shard_key(shard_name), version: shard.fencing_token.number() },
         Compare { key: record_key(shard_name, record), version },
     ];
-    let base = smallest_attempt(machines, shard.index, record);
+    let base = smallest_attempt_id(machines, shard.index, record);
     let bytes = required_bytes(machines, shard.index, record, base);
-    // An attempt that a former leader admitted has no standing.
-    let takes_new = shard.follows_term(term);
+    // Attempts that a former leader admitted must not be recorded.
+    let accepts_new_attempts = shard.follows_term(term);
     let write = RecordWrite::new(shard, record);
-    let mut draft = RecordDraft::new(write, compares, base, bytes, takes_new);
+    let mut draft = RecordDraft::new(write, compares, base, bytes, accepts_new_attempts);
     for (index, machine) in machines.iter_mut().filter(|(_, machine)| machine.shard == shard.index) {
         draft.add_machine(context, index, machine);
     }
     draft
 }
 
-/// The smallest id of an attempt that is in the record or moves there; 0 for none.
-fn smallest_attempt(machines: &Machines, shard: ShardIndex, record: RecordIndex) -> u64 {
+/// Smallest id of the attempts that belong to the record or move there; 0 if there are none.
+fn smallest_attempt_id(machines: &Machines, shard: ShardIndex, record: RecordIndex) -> u64 {
     let belongs_here =
         |attempt: &&Attempt| attempt.record == record || attempt.moving_to == Some(record);
     machines_of(machines, shard)
@@ -116,9 +116,9 @@
         .unwrap_or(0)
 }
 
-/// Upper bound of what belongs in the record but had no compare or capacity in this
-/// write: it still needs its place.
-fn waiting_bytes(context: &NodeContext, machines: &Machines, write: &RecordWrite) -> usize {
+/// Upper bound of the length of entries that belong in the record but for which this write had no
+/// compare or capacity left. They still need reserved capacity.
+fn pending_bytes(context: &NodeContext, machines: &Machines, write: &RecordWrite) -> usize {
     let is_waiting = |attempt: &&Attempt| {
         let waits_for_record = attempt.record == write.record
             && attempt.needs_recording(context)
@@ -134,7 +134,8 @@
     machines_of(machines, write.shard).map(machine_bytes).sum()
 }
 
-/// Takes in the outcome of a write. One under an earlier fencing token is ignored.
+/// Handles the outcome of a write. The outcome is ignored if the write was sent under an earlier
+/// fencing token.
 pub(crate) fn on_write_result(
     context: &mut NodeContext,
     shard: &mut OwnedShard,
@@ -153,11 +154,11 @@
             on_committed(shard, machines, &write, Commit { revision, at: now });
         }
         StoreResponse::NotExecuted => {
-            forget_new_attempts(machines, &write);
+            mark_new_attempts_unrecorded(machines, &write);
             record.on_not_executed(now, now + context.jitter(NOT_EXECUTED_RETRY_MS));
         }
         StoreResponse::Conflict(keys) => {
-            forget_new_attempts(machines, &write);
+            mark_new_attempts_unrecorded(machines, &write);
             let retry_at = now + context.jitter(CONFLICT_RETRY_MS);
             let key = record_key(&context.shards[write.shard.place()].name, write.record);
             if keys.contains(&key) {
@@ -167,27 +168,31 @@
             }
         }
         StoreResponse::Malformed => {
-            // Longer than the store takes, whatever the settings say: never again as it is.
+            // The record is longer than the store accepts, although it is within the configured
+            // limit. It must not be written again unchanged.
             let key = record_key(&context.shards[write.shard.place()].name, write.record);
-            tracing::error!(key, "placement record rejected; its contents move to other records");
+            tracing::error!(
+                key,
+                "store rejected placement record; moving its contents to other records"
+            );
             record.on_rejected(now + REJECTED_REREAD_MS);
         }
         _ => record.on_outcome_unknown(now, now + context.jitter(UNKNOWN_REREAD_MS)),
     }
 }
 
-/// A write that was certainly not executed recorded nothing. If its attempts still counted
-/// as sent, they would go along with a later write that no longer compares their job and
-/// the leader who admitted them; with its response lost, reading the record back would
-/// then pass for leave to start them.
-fn forget_new_attempts(machines: &mut Machines, write: &RecordWrite) {
+/// Marks the new attempts of a write that was certainly not executed as unrecorded. If they remained
+/// in [`RecordingState::WriteSent`], a later write would include them without comparing their jobs
+/// and the leader that admitted them. If the response to that write were lost, reading the record
+/// back would then wrongly allow them to be started.
+fn mark_new_attempts_unrecorded(machines: &mut Machines, write: &RecordWrite) {
     for machine in machines_of_mut(machines, write.shard) {
         let sent = |attempt: &&mut Attempt| write.new_attempts.contains(&attempt.id);
         machine.attempts.iter_mut().filter(sent).for_each(Attempt::on_write_not_executed);
     }
 }
 
-/// A write that was executed.
+/// The commit of a write that was executed.
 #[derive(Debug, Clone, Copy)]
 struct Commit {
     revision: u64,
@@ -199,23 +204,23 @@
     let mut outdated = Vec::new();
     let mut finished_moves = 0;
     for (index, machine) in machines.iter_mut().filter(|(_, machine)| machine.shard == write.shard) {
-        note_recorded_attempts(machine, write, commit);
-        let left = finish_moves(machine, write);
-        finished_moves += left.len();
-        outdated.extend(left);
+        mark_recorded_attempts(machine, write, commit);
+        let vacated_records = finish_moves(machine, write);
+        finished_moves += vacated_records.len();
+        outdated.extend(vacated_records);
         if machine.state_record == Some(write.record) {
             let flags = write.machine_flags.get(&index).copied();
-            outdated.extend(note_recorded_state(machine, flags));
+            outdated.extend(update_recorded_state(machine, flags));
         }
     }
     if finished_moves < write.moved_attempts.len() {
-        // Some are gone meanwhile, and now listed here for nothing.
+        // Some of the moved attempts are gone in the meantime, so this record lists them needlessly.
         outdated.push(write.record);
     }
     shard.records.mark_outdated(outdated, commit.at);
 }
 
-fn note_recorded_attempts(machine: &mut Machine, write: &RecordWrite, commit: Commit) {
+fn mark_recorded_attempts(machine: &mut Machine, write: &RecordWrite, commit: Commit) {
     for attempt in &mut machine.attempts {
         if attempt.record == write.record && write.new_attempts.contains(&attempt.id) {
             attempt.recording = RecordingState::Recorded;
@@ -225,26 +230,26 @@
     }
 }
 
-/// Notes that the machine's moved attempts are listed by the written record; the records
-/// that they leave.
+/// Completes the moves of the machine's attempts to the written record. Returns the records that
+/// listed them before.
 fn finish_moves(machine: &mut Machine, write: &RecordWrite) -> Vec<RecordIndex> {
-    let mut left = Vec::new();
+    let mut vacated_records = Vec::new();
     for attempt in &mut machine.attempts {
         let has_moved = attempt.record != write.record
             && attempt.moving_to == Some(write.record)
             && write.moved_attempts.contains(&attempt.id);
         if has_moved {
-            left.push(attempt.record);
+            vacated_records.push(attempt.record);
             attempt.finish_move(write.record);
         }
     }
-    left
+    vacated_records
 }
 
-/// Notes what the written record shows of the machine's own state; the oversized record
-/// that had its row, if that may drop it now.
-fn note_recorded_state(machine: &mut Machine, flags: Option<u8>) -> Option<RecordIndex> {
-    // A write sent before the row was moved here has not brought it.
+/// Updates the recorded state of a machine from the flags of an executed write. Returns the oversized
+/// record that held the row before, if that may drop the row now.
+fn update_recorded_state(machine: &mut Machine, flags: Option<u8>) -> Option<RecordIndex> {
+    // A write that was sent before the row moved to this record does not contain it.
     let may_drop_former = flags.is_some() || !machine.has_recorded_state();
     let former = if may_drop_former { machine.former_state_record.take() } else { None };
     let flags = flags.unwrap_or(0);
--- a/src/core/shard_owner/reconciliation.rs
+++ b/src/core/shard_owner/reconciliation.rs
@@ -1,5 +1,5 @@
-//! Reconciling what is on record with worker heartbeats and with the ends of worker
-//! leases. What these prove is decided by `woadlever_recovery`.
+//! Reconciles the recorded attempts with worker heartbeats and with ended worker leases.
+//! `woadlever_recovery` decides what these prove.
 
 use super::ShardOwner;
 use super::attempt::Attempt;
@@ -13,18 +13,18 @@
 use woadlever_recovery::attempt::{self, AttemptPhase, Verdict};
 use woadlever_recovery::shard::ShardRecovery;
 
-/// Version of the fields in recovery's log lines.
+/// Version of the field set in the recovery log lines.
 const LOG_FORMAT: u32 = 2;
 
 impl ShardOwner {
-    /// Drops what was on machines whose lease has surely ended.
+    /// Drops the attempts on machines whose lease has certainly ended.
     pub(super) fn check_leases(&mut self, context: &NodeContext) {
         let timing = context.timing();
         for machine in self.machines.values_mut() {
             let Some(shard) = &mut self.shards[machine.shard.place()] else { continue };
-            // A parked heartbeat is no silence: the first one of a new machine would pass
-            // for the end of a lease that never began, and its tasks would be admitted
-            // again while it got them.
+            // A machine with a parked heartbeat is not silent. Otherwise the first heartbeat of a
+            // new machine, while parked, would be treated as the end of a lease that never began,
+            // and its tasks would be admitted again while the machine received them.
             if machine.liveness.has_ended() || machine.parked_heartbeat.is_some() || !shard.is_loaded() {
                 continue;
             }
@@ -35,7 +35,7 @@
         }
     }
 
-    /// Logs the shards whose last attempt has been reconciled.
+    /// Completes and logs the recovery of shards whose recorded attempts are all reconciled.
     pub(super) fn finish_reconciliations(&mut self, context: &NodeContext) {
         for shard in self.shards.iter_mut().flatten() {
             if !shard.recovery.is_reconciling() {
@@ -50,7 +50,7 @@
     }
 }
 
-/// Takes the machine's lease for ended, and with it all that it had.
+/// Ends the machine's lease and drops the attempts and cached images that end with it.
 fn end_lease(context: &NodeContext, shard: &mut OwnedShard, machine: &mut Machine) {
     machine.liveness.end_lease();
     machine.images.clear();
@@ -60,11 +60,11 @@
     shard.recovery.count_lease_ended(machine.unreconciled_attempts() as u32);
     let is_gone = |attempt: &mut Attempt| attempt::ends_with_lease(&attempt.state());
     let gone = machine.attempts.extract_if(.., is_gone);
-    shard.note_gone_attempts(gone.map(|attempt| GoneAttempt::from(&attempt)), context.clock.now());
+    shard.reject_gone_attempts(gone.map(|attempt| GoneAttempt::from(&attempt)), context.clock.now());
     shard.has_unreported_changes = true;
 }
 
-/// Logs a shard's phase of recovery; `woadlever-recovery-report` reads these lines.
+/// Logs the recovery phase of a shard. `woadlever-recovery-report` parses these lines.
 pub(super) fn log_recovery_phase(context: &NodeContext, shard: &OwnedShard) {
     let recovery = &shard.recovery;
     let counts = recovery.counts();
@@ -85,9 +85,9 @@
     );
 }
 
-/// Takes in what a heartbeat says of the machine's tasks, and what it proves by not
-/// listing them; the attempts that are gone. Commands for attempts that no record lists
-/// are added to `commands`.
+/// Applies a heartbeat to the machine's attempts: those that it lists, and those that it proves
+/// absent by not listing them. Returns the attempts that are gone. Commands for attempts that no
+/// record lists are added to `commands`.
 pub(super) fn reconcile_heartbeat(
     context: &NodeContext,
     machine: &mut Machine,
@@ -95,8 +95,8 @@
     recovery: &mut ShardRecovery,
     commands: &mut Vec<Command>,
 ) -> Vec<GoneAttempt> {
-    let listed = note_listed(context, machine, tasks, recovery, commands);
-    note_undelivered(machine, &listed);
+    let listed = apply_listed_tasks(context, machine, tasks, recovery, commands);
+    detect_unreachable_worker(machine, &listed);
     let (liveness, name) = (&machine.liveness, machine.name.as_str());
     let is_gone = |attempt: &mut Attempt| {
         let verdict = attempt::judge(&attempt.state(), listed.contains(&attempt.id), liveness);
@@ -113,15 +113,18 @@
     .collect()
 }
 
-/// Notes that the worker does not receive our responses if a heartbeat proves so.
-fn note_undelivered(machine: &mut Machine, listed: &FxHashSet<AttemptId>) {
+/// Marks the worker as unreachable if a heartbeat proves that it does not receive our responses.
+fn detect_unreachable_worker(machine: &mut Machine, listed: &FxHashSet<AttemptId>) {
     let is_undelivered = |attempt: &Attempt| {
         let is_listed = listed.contains(&attempt.id);
         attempt::judge(&attempt.state(), is_listed, &machine.liveness) == Verdict::Undelivered
     };
     if machine.attempts.iter().any(is_undelivered) {
         machine.liveness.note_unreachable();
-        tracing::info!(machine = machine.name, "worker does not receive responses; no new work for it");
+        tracing::info!(
+            machine = machine.name,
+            "worker does not receive responses; assigning no new tasks to it"
+        );
     }
 }
 
@@ -136,9 +139,9 @@
     );
 }
 
-/// Notes the phases of the attempts that a heartbeat lists; their ids. What no record
-/// lists is stopped or forgotten.
-fn note_listed(
+/// Updates the phases of the attempts that a heartbeat lists and returns their ids. Adds a stop or
+/// forget command for each listed attempt that no record lists.
+fn apply_listed_tasks(
     context: &NodeContext,
     machine: &mut Machine,
     tasks: &[HeartbeatTask],
@@ -157,12 +160,12 @@
         }
         listed.insert(attempt.id);
         attempt.was_listed = true;
-        note_phase(attempt, phase_of(task), context.clock.now());
+        update_phase(attempt, phase_of(task), context.clock.now());
     }
     listed
 }
 
-/// The attempt that an entry of a heartbeat names.
+/// Returns the attempt that an entry of a heartbeat refers to.
 fn find_attempt<'a>(
     context: &NodeContext,
     machine: &'a mut Machine,
@@ -190,7 +193,7 @@
     }
 }
 
-fn note_phase(attempt: &mut Attempt, phase: AttemptPhase, now: Ms) {
+fn update_phase(attempt: &mut Attempt, phase: AttemptPhase, now: Ms) {
     if phase == AttemptPhase::Running {
         attempt.started_at.get_or_insert(now);
     }
--- a/src/core/shard_owner/reported_state.rs
+++ b/src/core/shard_owner/reported_state.rs
@@ -1,5 +1,5 @@
-//! State messages to the leader: all that may be on the machines of a shard, with their
-//! projected load.
+//! State messages to the leader: the machines of a shard, the attempts that may be on them and
+//! their projected load.
 
 use super::ShardOwner;
 use super::attempt::Attempt;
@@ -15,17 +15,17 @@
 use rustc_hash::FxHashMap;
 use woadlever_recovery::attempt::AttemptPhase;
 
-/// Shortest time between two state messages of a shard; more where it is large.
+/// Minimum interval between state messages of a shard; longer if the shard is large.
 const MIN_REPORT_INTERVAL_MS: Ms = 60;
-/// Time between two state messages of a shard while nothing changes.
+/// Interval between state messages of a shard while nothing changes.
 const IDLE_REPORT_INTERVAL_MS: Ms = 1_000;
-/// Echo of a state message that answers no desired state.
+/// Value of `echo` in a state message sent before any desired state of the term was applied.
 const NO_DESIRED_STATE: u64 = 0;
-/// Silence of a machine that was never heard, as state messages have it.
+/// Value of `silent_ms` for a machine that has never sent a heartbeat.
 const NEVER_HEARD_MS: u64 = u64::MAX;
 
 impl ShardOwner {
-    /// Sends the state messages that are due to the leader, if there is one.
+    /// Sends the state messages that are due to the leader, if a leader is known.
     pub(super) fn report_to_leader(&mut self, context: &mut NodeContext) {
         let Some(KnownLeader { record: leader, term }) = context.leadership.current().cloned() else {
             return;
@@ -45,9 +45,13 @@
 
 fn is_report_due(context: &NodeContext, shard: &OwnedShard) -> bool {
     let Some(reported_at) = shard.reported_at else { return true };
-    let min_gap = context.load_adjusted_gap(MIN_REPORT_INTERVAL_MS, shard.reported_items);
-    let gap = if shard.has_unreported_changes { min_gap } else { IDLE_REPORT_INTERVAL_MS.max(min_gap) };
-    context.clock.now() >= reported_at + gap
+    let min_interval = context.load_adjusted_gap(MIN_REPORT_INTERVAL_MS, shard.reported_items);
+    let interval = if shard.has_unreported_changes {
+        min_interval
+    } else {
+        IDLE_REPORT_INTERVAL_MS.max(min_interval)
+    };
+    context.clock.now() >= reported_at + interval
 }
 
 fn reported_state(
@@ -74,10 +78,10 @@
     builder.report
 }
 
-/// A state message while it is put together.
+/// Builds a state message.
 struct ReportBuilder {
     report: ReportedState,
-    /// Places of jobs in the message.
+    /// Row index of each job in the message.
     job_rows: FxHashMap<JobIndex, u32>,
 }
 
--- a/src/core/shard_owner/worker_commands.rs
+++ b/src/core/shard_owner/worker_commands.rs
@@ -1,5 +1,5 @@
-//! The commands that a machine gets in the response to its heartbeat. Which action is
-//! allowed for an attempt is decided by `woadlever_recovery`.
+//! Commands sent to a worker in the response to its heartbeat. `woadlever_recovery` decides which
+//! action is allowed for an attempt.
 
 use super::attempt::Attempt;
 use super::machine::Machine;
@@ -10,7 +10,7 @@
 use woadlever_recovery::attempt::{self, ActionConditions, AttemptPhase, JobEligibility, WorkerAction};
 use woadlever_recovery::worker::HeartbeatVersion;
 
-/// Whether a parked heartbeat is to be answered at once for this attempt.
+/// Whether this attempt needs a command for which a parked heartbeat must be answered at once.
 pub(super) fn has_command(context: &NodeContext, attempt: &Attempt) -> bool {
     let must_stop = || context.must_stop(attempt.job);
     match attempt.phase {
@@ -20,7 +20,7 @@
     }
 }
 
-/// Adds what the worker shall do now with each attempt.
+/// Adds the command that the worker should execute now for each attempt that needs one.
 pub(super) fn add_commands(context: &NodeContext, machine: &mut Machine, commands: &mut Vec<Command>) {
     let starts_allowed = !machine.terminating_recorded;
     for attempt in &mut machine.attempts {
@@ -76,7 +76,7 @@
     Command { action, task: attempt.task_name(context), attempt: attempt.id.number(), grace_s }
 }
 
-/// The command for an attempt that a heartbeat lists and no record does.
+/// Returns the command for an attempt that a heartbeat lists but no record does.
 pub(super) fn command_for_unrecorded(task: &HeartbeatTask) -> Command {
     let action = attempt::action_for_unrecorded(task.state == TaskState::Exited);
     let (action, grace_s) = match action {
@@ -86,7 +86,7 @@
     Command { action, task: task.task.clone(), attempt: task.attempt, grace_s }
 }
 
-/// The heartbeat whose answer carries commands.
+/// The heartbeat whose response carries commands.
 #[derive(Debug, Clone, Copy)]
 struct AnsweredHeartbeat<'a> {
     machine: &'a str,
@@ -94,7 +94,7 @@
     version: HeartbeatVersion,
 }
 
-/// Logs why a command was allowed.
+/// Logs the state on which a start or stop command is based.
 fn log_command(
     context: &NodeContext,
     answered: AnsweredHeartbeat<'_>,
@@ -108,7 +108,8 @@
     }
 }
 
-/// Logs a start, how long it took to record the attempt, and then until its machine was heard.
+/// Logs a start command, with the time that recording the attempt took (`record_ms`) and the time
+/// from then until the command could be sent in a heartbeat response (`wait_ms`).
 fn log_start(context: &NodeContext, answered: AnsweredHeartbeat<'_>, attempt: &Attempt) {
     let bound_at = attempt.bound_at.unwrap_or(0);
     let recorded_at = attempt.recorded_at.unwrap_or(0);
--- a/src/core/shard_owner/worker_heartbeats.rs
+++ b/src/core/shard_owner/worker_heartbeats.rs
@@ -1,4 +1,4 @@
-//! Taking in worker heartbeats: which are accepted, and what they say.
+//! Worker heartbeats: checks, accepts or refuses them and applies their contents.
 
 use super::machine::Machine;
 use super::parked_heartbeats::{ParkedHeartbeat, park_ms};
@@ -9,28 +9,29 @@
 use crate::wire::workers::{Command, Redirect, WorkerHeartbeat};
 use woadlever_recovery::worker::{self, HeartbeatHeader, HeartbeatVersion, Rejection};
 
-/// What this node is to a shard whose machine sends a heartbeat.
+/// This node's ownership of the shard whose machine has sent a heartbeat.
 #[derive(Debug, Clone, Copy)]
 struct Ownership {
     shard: ShardIndex,
     fencing_token: FencingToken,
-    /// Whether the shard's placement records have been read.
+    /// Whether all placement records of the shard have been read.
     is_loaded: bool,
 }
 
-/// Why a heartbeat is not taken in.
+/// Reason for which a heartbeat is not accepted.
 enum Refusal {
     /// The machine names a zone that is not configured.
     UnknownZone,
-    /// It may be served here later, or by another node; the reason that the worker is told.
+    /// This node cannot accept it now. This node or another one may accept a later attempt; the
+    /// text is the reason sent to the worker.
     Unavailable(&'static str),
-    /// Another node owns the machine's shard, or nobody does yet.
+    /// Another node owns the machine's shard, or it has no owner yet.
     NotOwner(ShardIndex),
 }
 
 impl ShardOwner {
-    /// Takes in a worker's heartbeat. It is answered at once, or parked until there is work
-    /// for the machine.
+    /// Handles a worker's heartbeat. It is answered at once or parked until there is work for the
+    /// machine.
     pub(crate) fn on_worker_heartbeat(
         &mut self,
         context: &mut NodeContext,
@@ -45,7 +46,7 @@
         if let Err(rejection) = accept_heartbeat(context, machine, &heartbeat, ownership) {
             return refuse(context, request_id, Refusal::from(rejection));
         }
-        // The worker has given the earlier heartbeat up.
+        // The worker has abandoned the earlier heartbeat.
         let superseded = machine.parked_heartbeat.take();
         let commands = self.reconcile(context, index, &heartbeat, ownership);
         let Some(machine) = self.machines.get_mut(index) else { return };
@@ -61,8 +62,7 @@
         }
     }
 
-    /// Whether a heartbeat may be taken in here, as far as its machine's history does not
-    /// matter.
+    /// Performs the checks of a heartbeat that don't depend on earlier heartbeats of its machine.
     fn check_heartbeat(
         &self,
         context: &NodeContext,
@@ -85,8 +85,8 @@
         Ok(Ownership { shard, fencing_token: owned.fencing_token, is_loaded: owned.is_loaded() })
     }
 
-    /// The machine that sends a heartbeat; a new one if what is known of it dates from an
-    /// earlier fencing token.
+    /// Returns the machine that sent a heartbeat. State from another fencing token or shard is reset,
+    /// apart from the parked heartbeat.
     fn machine_of(
         &mut self,
         heartbeat: &WorkerHeartbeat,
@@ -103,9 +103,9 @@
         (index, machine)
     }
 
-    /// Reconciles the machine's attempts with the heartbeat; the commands that follow from
-    /// it alone. Before the shard's records have been read there are none: the heartbeat
-    /// is answered all the same, so that the worker's lease goes on.
+    /// Reconciles the machine's attempts with the heartbeat and returns the commands for attempts
+    /// that no record lists. Before the shard's records have been read there are no commands, but
+    /// the heartbeat is still answered, which renews the worker's lease.
     fn reconcile(
         &mut self,
         context: &NodeContext,
@@ -120,7 +120,7 @@
         if ownership.is_loaded {
             let recovery = &mut shard.recovery;
             let gone = reconcile_heartbeat(context, machine, &heartbeat.tasks, recovery, &mut commands);
-            shard.note_gone_attempts(gone, context.clock.now());
+            shard.reject_gone_attempts(gone, context.clock.now());
         }
         commands
     }
@@ -131,7 +131,7 @@
     HeartbeatHeader { version, fencing_token: heartbeat.fencing_token }
 }
 
-/// Takes in what a heartbeat says of the machine itself, unless it proves nothing new.
+/// Updates the machine's own state from a heartbeat, unless the heartbeat is rejected as stale.
 fn accept_heartbeat(
     context: &NodeContext,
     machine: &mut Machine,
@@ -157,7 +157,8 @@
 impl From<Rejection> for Refusal {
     fn from(rejection: Rejection) -> Refusal {
         Refusal::Unavailable(match rejection {
-            // The watch will tell who owns the shard. Never guess.
+            // The new owner is not known until the watch reports it, so the worker is not
+            // redirected to a guessed one.
             Rejection::NewerOwner => unavailable::NEWER_OWNER,
             Rejection::NotNewer => unavailable::NEWER_HEARTBEAT,
         })
