--- a/src/core/common/clock.rs
+++ b/src/core/common/clock.rs
@@ -1,8 +1,8 @@
-//! The times of the input that is being handled.
+//! Monotonic and wall-clock time of the input that is being handled.
 
 use crate::model::Ms;
 
-/// Steady time and time of day, as the driver last told them.
+/// Monotonic time and wall-clock time that the driver passed with the latest input.
 #[derive(Debug, Clone, Copy)]
 pub struct Clock {
     now: Ms,
@@ -11,29 +11,29 @@
 }
 
 impl Clock {
-    /// The clock of a process that starts at this steady time.
+    /// Creates the clock of a process that starts at this monotonic time.
     pub fn new(now: Ms) -> Clock {
         Clock { now, wall: 0, started: now }
     }
 
-    /// Moves on to the times of the next input. Steady time that steps back is ignored:
-    /// it must not make ages negative.
+    /// Advances to the times of the next input. A monotonic time that steps back is ignored,
+    /// so that ages never become negative.
     pub fn advance(&mut self, now: Ms, wall: Ms) {
         self.now = self.now.max(now);
         self.wall = wall;
     }
 
-    /// Steady time.
+    /// Current monotonic time.
     pub fn now(&self) -> Ms {
         self.now
     }
 
-    /// Time of day, in milliseconds since the epoch.
+    /// Current wall-clock time, in milliseconds since the Unix epoch.
     pub fn wall(&self) -> Ms {
         self.wall
     }
 
-    /// Steady time at which this process started.
+    /// Monotonic time at which this process started.
     pub fn started(&self) -> Ms {
         self.started
     }
--- a/src/core/common/context/jobs.rs
+++ b/src/core/common/context/jobs.rs
@@ -1,4 +1,4 @@
-//! What the records of jobs allow.
+//! Access to jobs and their records, and the checks that depend on them.
 
 use super::NodeContext;
 use crate::core::common::job_records::RecordSource;
@@ -9,23 +9,24 @@
 use woadlever_cells::record::Origin;
 
 impl NodeContext {
-    /// The job with this index; one that has been dropped looks cancelled.
+    /// Returns the job with this index. A job that has been dropped from memory appears as
+    /// cancelled.
     pub fn job(&self, index: JobIndex) -> &Job {
         self.jobs.get(index)
     }
 
-    /// The job's index, if its record has been read and is kept.
+    /// Returns the job's index if its record has been read and is in memory.
     pub fn job_index(&self, id: &str) -> Option<JobIndex> {
         self.jobs.index_of(id)
     }
 
-    /// The index of a job that a record or a frame names. If it is not in memory,
-    /// its own record is read by itself.
+    /// Returns the index of a job that a record or a frame refers to. If the job is not in
+    /// memory, its record is queued for a separate read.
     pub(crate) fn job_index_or_lookup(&mut self, id: &str) -> JobIndex {
         self.jobs.index_or_lookup(id, self.clock.now())
     }
 
-    /// Takes in a job's record; whether it may be relied on (see
+    /// Applies a job's record and returns whether it may be relied on (see
     /// `JobTable::apply_record`).
     pub fn apply_job_record(
         &mut self,
@@ -37,8 +38,8 @@
         self.jobs.apply_record(id, record, version, source, self.clock.now())
     }
 
-    /// Whether no task of the job may be told to run or to go on: its cancellation is
-    /// confirmed, as far as is known here, or it belongs to another cell, whose lease has
+    /// Whether no task of the job may be started or kept running: this node knows that the
+    /// job's cancellation is confirmed, or the job belongs to another cell whose lease has
     /// ended.
     pub fn must_stop(&self, index: JobIndex) -> bool {
         let job = self.job(index);
@@ -47,13 +48,14 @@
         is_cancelled || job.origin().is_some_and(is_paused)
     }
 
-    /// Drops the oldest final jobs if there are too many. `in_use` adds the jobs that a
-    /// role refers to.
+    /// Drops the oldest final jobs from memory if there are too many. `in_use` adds the jobs
+    /// that a role still refers to.
     pub fn drop_final_jobs(&mut self, in_use: impl FnOnce(&mut FxHashSet<JobIndex>)) {
         self.jobs.drop_final_jobs(self.clock.now(), in_use);
     }
 
-    /// Final jobs give their description up after a while, and their task counts at once.
+    /// Drops the specs of jobs that became final some time ago, and the task counts of all
+    /// final jobs.
     pub fn drop_final_specs(&mut self) {
         self.jobs.drop_old_specs(self.clock.now());
         let jobs = &self.jobs;
@@ -62,7 +64,7 @@
         self.task_counts.retain(is_live);
     }
 
-    /// Finds the machine types that live work depends on, if it is time to.
+    /// Updates the set of machine types that live jobs depend on, if the update is due.
     pub fn update_scarce_types(&mut self) {
         if !self.machine_types.is_scarcity_due(self.clock.now()) {
             return;
--- a/src/core/common/context/mod.rs
+++ b/src/core/common/context/mod.rs
@@ -1,11 +1,11 @@
-//! What all roles of a node use, as parts: settings, clock, peers, calls to the store, the
-//! control lease, who leads, shards, jobs, machine types and what goes out.
+//! State shared by all roles of a node: settings, clock, peers, calls to the store, the control
+//! lease, the current leader, shards, jobs, machine types and the outbox.
 //!
-//! Each part keeps its own state; what concerns several of them at once is here:
+//! Each component keeps its own state. Operations that involve several components are here:
 //!
-//! - `requests`: answers to requests, calls and messages;
-//! - `other_nodes`: what goes to the other nodes, and what is learnt from them;
-//! - `jobs`: what the records of jobs allow.
+//! - `requests`: responses to requests, calls to the store and the cloud, and messages;
+//! - `other_nodes`: heartbeats and frames exchanged with the other nodes;
+//! - `jobs`: access to jobs and their records.
 
 mod jobs;
 mod other_nodes;
@@ -29,25 +29,26 @@
 use std::sync::Arc;
 use woadlever_recovery::worker::Timing;
 
-/// Machines and tasks in state messages that a whole core is taken to handle in a
-/// millisecond beside all else; it sets how rare large state messages are.
+/// Machines and tasks in state messages that one full core is assumed to process per
+/// millisecond alongside its other work. Determines how far apart large state messages are.
 const ITEMS_PER_MS: f64 = 50.0;
-/// The least share of a core that the gaps between state messages allow for.
-const MIN_CPU: f64 = 0.01;
-/// Instances that one call to the cloud terminates.
+/// Lower bound, in cores, on the CPU limit assumed for the interval between state messages.
+const MIN_CPU_CORES: f64 = 0.01;
+/// Maximum number of instances that one call to the cloud terminates.
 pub const MAX_TERMINATIONS: usize = 100;
-/// Names of terminated machines that are kept at the least: the cloud's list shows them for
-/// seconds, and late heartbeats for minutes.
+/// Minimum number of names of terminated machines to keep. Terminated machines stay in the
+/// cloud's list for seconds, and late heartbeats of them arrive for minutes.
 const MIN_TERMINATED_NAMES: usize = 4_096;
-/// Of machines terminated at the highest rate that the cloud takes, the names of this many
-/// times the lag of its list are kept.
-const TERMINATED_NAMES_LAGS: f64 = 4.0;
-/// Longest delay that a long silence of the store adds to a retry.
+/// Number of list lags of the cloud for which the names of terminated machines are kept, if
+/// machines are terminated at the highest rate that the cloud allows.
+const TERMINATED_NAMES_LAG_FACTOR: f64 = 4.0;
+/// Maximum delay added to a retry when the store has not answered for a long time.
 const MAX_RETRY_EXTENSION_MS: Ms = 1_500;
-/// Time for the change to another node, beyond the longest time between two heartbeats.
+/// Time allowed for a worker to fail over to another node, on top of the longest interval
+/// between two of its heartbeats.
 const FAILOVER_ALLOWANCE_MS: Ms = 5_250;
 
-/// State that all roles of a node use.
+/// State shared by all roles of a node.
 pub struct NodeContext {
     /// The platform's settings.
     pub platform: Arc<Platform>,
@@ -55,21 +56,21 @@
     pub operator: Operator,
     /// Name of this node.
     pub node: String,
-    /// Number of this process; later processes of the node have larger ones.
+    /// Incarnation number of this process; later processes of the same node have larger numbers.
     pub incarnation: u64,
-    /// A machine silent for longer gets no new tasks.
+    /// Time without a heartbeat after which a machine gets no new tasks.
     pub fresh_ms: Ms,
-    /// Times of the input being handled.
+    /// Monotonic and wall-clock time of the input being handled.
     pub clock: Clock,
     /// The other nodes.
     pub peers: Peers,
     /// Calls to the store.
     pub store: StoreCalls,
-    /// The right to answer workers without a fresh read.
+    /// Lease that permits answering workers without a fresh read of the store.
     pub control_lease: ControlLease,
-    /// Who leads.
+    /// The current leader.
     pub leadership: Leadership,
-    /// All shards of machines with their owners.
+    /// All machine shards with their owners.
     pub shards: ShardMap,
     /// Jobs in memory.
     pub jobs: JobTable,
@@ -77,19 +78,20 @@
     pub cell_leases: CellLeases,
     /// Machine types of the catalog.
     pub machine_types: MachineTypes,
-    /// How many tasks of each job are done and run, as the leader last told.
+    /// Numbers of done and running tasks of each job, as last reported by the leader.
     pub task_counts: TaskCounts,
-    /// What the present input gives rise to.
+    /// Outputs produced while handling the current input.
     pub outbox: Outbox,
-    /// All records have been read at least once.
+    /// Whether all watched records have been read at least once.
     pub is_synced: bool,
-    /// Cancellations that this node has just confirmed, for the others.
+    /// Ids of jobs whose cancellation this node has just confirmed, to be announced to the other
+    /// nodes.
     pub cancellations_to_announce: Vec<String>,
     rng: StdRng,
 }
 
 impl NodeContext {
-    /// The state of a process that has just started.
+    /// Creates the state of a process that has just started.
     pub fn new(
         platform: Arc<Platform>,
         operator: Operator,
@@ -125,21 +127,23 @@
         }
     }
 
-    /// How many names of terminated machines are kept. One that is heard after that is
-    /// treated as any that the cloud does not list: it gets no work.
+    /// Number of names of terminated machines to keep. A machine that sends a heartbeat after
+    /// its name was dropped is treated like any machine that the cloud does not list: it gets
+    /// no work.
     pub fn terminated_names_kept(&self) -> usize {
         let cloud = &self.platform.cluster.cloud;
-        let at_most = cloud.rps * MAX_TERMINATIONS as f64 * cloud.list_lag_s * TERMINATED_NAMES_LAGS;
+        let at_most =
+            cloud.rps * MAX_TERMINATIONS as f64 * cloud.list_lag_s * TERMINATED_NAMES_LAG_FACTOR;
         (at_most as usize).max(MIN_TERMINATED_NAMES)
     }
 
-    /// Times that verdicts on workers rest on.
+    /// Lease durations from which the state of workers is judged.
     pub fn timing(&self) -> Timing {
         let lease_ms = (self.platform.cluster.workers.lease_s * 1000.0) as Ms;
         Timing { lease_ms, control_lease_ms: self.control_lease.duration() }
     }
 
-    /// The term that we lead in, if the watched record names this process.
+    /// Returns the current term if the watched leader record names this process.
     pub fn own_term(&self) -> Option<Term> {
         let leader = self.leadership.current()?;
         self.is_self(&leader.record.node, leader.record.incarnation).then_some(leader.term)
@@ -150,29 +154,29 @@
         node == self.node && incarnation == self.incarnation
     }
 
-    /// Whether our knowledge of shards and cancellations is fresh enough to
-    /// answer workers on it.
+    /// Whether this node's view of shards and cancellations is fresh enough to answer workers
+    /// from it.
     pub fn has_control_lease(&self) -> bool {
         self.control_lease.is_valid(self.clock.now())
     }
 
-    /// The gap between two state messages or scheduling cycles: the more there is in one, the
-    /// rarer it gets, so that what it costs stays a part of the processor's
-    /// share whatever the fleet's size.
+    /// Returns the interval between two state messages or scheduling cycles. It grows with the
+    /// number of items in one, so that their cost stays a fixed part of the CPU limit whatever
+    /// the size of the fleet.
     pub fn load_adjusted_gap(&self, base: Ms, size: usize) -> Ms {
-        let cpu = self.platform.cluster.limits.cpu.clamp(MIN_CPU, 1.0);
+        let cpu = self.platform.cluster.limits.cpu.clamp(MIN_CPU_CORES, 1.0);
         base + (size as f64 / (ITEMS_PER_MS * cpu)) as Ms
     }
 
-    /// A delay of `base` give or take a quarter, so that nodes don't retry
-    /// in step.
+    /// Returns `base` with a random jitter of up to a quarter in either direction, so that nodes
+    /// don't retry in lockstep.
     pub fn jitter(&mut self, base: Ms) -> Ms {
         let spread = base / 4;
         base - spread + self.rng.random_range(0..=2 * spread)
     }
 
-    /// When to try again what the store did not take: the later, the
-    /// longer it has not answered.
+    /// Returns the jittered delay before a failed store request is retried. The delay grows with
+    /// the time for which the store has not answered.
     pub fn retry_ms(&mut self, base: Ms) -> Ms {
         let extension = (self.store_silence_ms() / 8).min(MAX_RETRY_EXTENSION_MS);
         self.jitter(base + extension)
--- a/src/core/common/context/other_nodes.rs
+++ b/src/core/common/context/other_nodes.rs
@@ -1,17 +1,17 @@
-//! What goes to the other nodes, and what is learnt from them.
+//! Heartbeats and frames exchanged with the other nodes, and this node's readiness.
 
 use super::NodeContext;
 use crate::core::common::task_counts::TaskCount;
 use crate::model::Ms;
 use crate::wire::peer::{Frame, PeerHeartbeat, PeerMessage};
 
-/// Cancellations that one heartbeat tells of.
+/// Maximum number of cancellations in one heartbeat.
 const CANCELLATIONS_PER_HEARTBEAT: usize = 500;
-/// A node that the store answered within this time is ready in any case.
+/// A node that has had an answer from the store within this time is ready in any case.
 const READY_SILENCE_MS: Ms = 4_000;
 
 impl NodeContext {
-    /// Sends the heartbeat that is due.
+    /// Sends a heartbeat to the other nodes if one is due.
     pub fn send_heartbeat(&mut self) {
         let now = self.clock.now();
         if !self.peers.take_heartbeat_due(now) {
@@ -23,9 +23,9 @@
         self.task_counts.learn(task_counts);
     }
 
-    /// Tells the other nodes at once of cancellations confirmed here: one that
-    /// the store refuses would start and keep the jobs' tasks for as long
-    /// as its control lease lasts. A lost word does no harm, as the records count.
+    /// Announces cancellations confirmed here to the other nodes at once. A node that the store
+    /// rejects would otherwise start and keep the jobs' tasks until its control lease ends. A
+    /// lost announcement does no harm, since the records are authoritative.
     pub fn announce_cancellations(&mut self) {
         let cancelled = std::mem::take(&mut self.cancellations_to_announce);
         for jobs in cancelled.chunks(CANCELLATIONS_PER_HEARTBEAT) {
@@ -43,7 +43,8 @@
         }
     }
 
-    /// Notes a sign of life of another node, and what it tells.
+    /// Processes a frame of another node: records that the node is alive, and applies the
+    /// contents of a heartbeat.
     pub fn on_peer_frame(&mut self, frame: &Frame) {
         let now = self.clock.now();
         if !self.peers.on_frame(frame, now, &mut self.outbox) {
@@ -58,9 +59,9 @@
         }
     }
 
-    /// Ready, unless the store refuses this node alone: then a peer
-    /// that is served says so. In an outage for all, being taken out by the
-    /// load balancer would last longer than most outages.
+    /// Whether the node is ready for requests. It is not ready only if the store rejects this
+    /// node alone, which is so if a peer reports that the store serves it. In an outage for all
+    /// nodes it stays ready: removal from the load balancer would last longer than most outages.
     pub fn is_ready(&self) -> bool {
         self.store_silence_ms() < READY_SILENCE_MS || !self.peers.any_is_served(self.clock.now())
     }
--- a/src/core/common/context/requests.rs
+++ b/src/core/common/context/requests.rs
@@ -1,4 +1,4 @@
-//! Answers to requests, calls to the store and the cloud, and messages.
+//! Responses to requests, calls to the store and the cloud, and messages to nodes and cells.
 
 use super::NodeContext;
 use crate::core::common::store_calls::PendingCall;
@@ -9,36 +9,37 @@
 use woadlever_cells::message::CellMessage;
 
 impl NodeContext {
-    /// Answers a request.
+    /// Responds to a request.
     pub fn respond(&mut self, request_id: u64, status: u16, body: String, retry_after_s: Option<u32>) {
         self.outbox.push(Output::Answer { request_id, answer: Answer { status, body, retry_after_s } });
     }
 
-    /// Answers a request with a JSON body.
+    /// Responds to a request with a JSON body.
     pub fn respond_json<T: serde::Serialize>(&mut self, request_id: u64, status: u16, body: &T) {
         let body = serde_json::to_string(body).unwrap_or_else(|_| "{}".into());
         self.respond(request_id, status, body, None);
     }
 
-    /// Refuses a request for good.
+    /// Rejects a request permanently, with an error body.
     pub fn refuse(&mut self, request_id: u64, status: u16, why: &str, field: Option<&'static str>) {
         self.respond_json(request_id, status, &ErrorBody { error: why.into(), field });
     }
 
-    /// Answers that the request can't be served now and may be repeated in a second.
+    /// Responds with status 503: the request can't be served now and may be retried after one
+    /// second.
     pub fn respond_unavailable(&mut self, request_id: u64, why: &str) {
         tracing::debug!(request_id, why, "request answered with 503");
         let body = serde_json::to_string(&ErrorBody { error: why.into(), field: None });
         self.respond(request_id, 503, body.unwrap_or_default(), Some(1));
     }
 
-    /// Makes a call to the store; its response goes to the owner.
+    /// Starts a call to the store; its response is dispatched to `owner`.
     pub(crate) fn send_store_request(&mut self, owner: StoreCallOwner, request: StoreRequest) {
         let call = self.store.start(owner, &request, self.clock.now());
         self.outbox.push(Output::Store { call, request });
     }
 
-    /// Takes the call that a response of the store belongs to.
+    /// Removes and returns the pending call that a response of the store belongs to.
     pub(crate) fn finish_store_call(
         &mut self,
         call: u64,
@@ -47,14 +48,14 @@
         self.store.finish(call, response, self.clock.now())
     }
 
-    /// Makes a call to the cloud; the result is its number.
+    /// Starts a call to the cloud and returns its number.
     pub fn send_cloud_request(&mut self, request: CloudRequest) -> u64 {
         let call = self.store.next_number();
         self.outbox.push(Output::Cloud { call, request });
         call
     }
 
-    /// Whether so many mutations may be written now.
+    /// Whether this number of mutations may be written now under the write rate limit.
     pub fn can_write(&mut self, mutations: usize) -> bool {
         self.store.can_write(self.clock.now(), mutations)
     }
@@ -69,7 +70,7 @@
         self.outbox.push(Output::SendCell { cell: cell.into(), message: Box::new(message) });
     }
 
-    /// Sends a message to a node, which may be this one.
+    /// Sends a message to a node, which may be this node itself.
     pub fn send(&mut self, to: &str, message: PeerMessage) {
         let frame = Frame { from: self.node.clone(), incarnation: self.incarnation, message };
         if to == self.node {
--- a/src/core/common/control_lease.rs
+++ b/src/core/common/control_lease.rs
@@ -1,22 +1,22 @@
-//! The control lease: the right to answer workers without a fresh read of the store.
+//! The control lease, which permits answering workers without a fresh read of the store.
 //!
-//! It is renewed by each read or watch of the records that is answered, and counts from
-//! the moment at which that call was *sent*: what the answer tells was current then. No
-//! worker is answered on knowledge that is older than the lease.
+//! Each answered read or watch of the records renews the lease, as of the time at which that
+//! call was *sent*: the data in the answer was current at that time. No worker is answered from
+//! data that is older than the lease.
 
 use crate::model::Ms;
 
-/// How long this node may act on what it knows.
+/// How long this node may act on the records that it has read.
 #[derive(Debug)]
 pub struct ControlLease {
     renewed_at: Option<Ms>,
     duration: Ms,
-    /// Since when it has been valid without a break.
+    /// Time since when the lease has been valid without interruption.
     valid_since: Ms,
 }
 
 impl ControlLease {
-    /// A lease that has never been renewed.
+    /// Creates a lease that has never been renewed.
     pub fn new(duration: Ms, now: Ms) -> ControlLease {
         ControlLease { renewed_at: None, duration, valid_since: now }
     }
@@ -26,17 +26,18 @@
         self.renewed_at = self.renewed_at.max(Some(sent_at));
     }
 
-    /// When the newest call that renewed it was sent.
+    /// Time at which the latest call that renewed the lease was sent.
     pub fn renewed_at(&self) -> Option<Ms> {
         self.renewed_at
     }
 
-    /// Time since the newest call that renewed it was sent; none if it never was renewed.
+    /// Time since the latest call that renewed the lease was sent; `None` if it was never
+    /// renewed.
     pub fn age_ms(&self, now: Ms) -> Option<Ms> {
         self.renewed_at.map(|at| now.saturating_sub(at))
     }
 
-    /// How long one renewal lasts.
+    /// Duration of one renewal.
     pub fn duration(&self) -> Ms {
         self.duration
     }
@@ -46,15 +47,15 @@
         self.renewed_at.is_some_and(|at| now < at + self.duration)
     }
 
-    /// Follows whether the lease is valid. While it is not, no worker is answered, so
-    /// the silence of workers counts only from when they can be heard again.
+    /// Updates `valid_since`. No worker is answered while the lease is not valid, so the silence
+    /// of workers counts only from the time at which the lease became valid again.
     pub fn track(&mut self, now: Ms) {
         if !self.is_valid(now) {
             self.valid_since = now;
         }
     }
 
-    /// Since when workers have been answered without a break.
+    /// Time since when the lease has been valid, and workers answered, without interruption.
     pub fn valid_since(&self) -> Ms {
         self.valid_since
     }
--- a/src/core/common/dependencies.rs
+++ b/src/core/common/dependencies.rs
@@ -1,27 +1,28 @@
-//! The dependency graph of jobs: kept on every node beside the watched jobs, and updated
-//! along its edges with each record, never by a look at all jobs.
+//! The dependency graph of jobs. Every node keeps it alongside the watched jobs and updates it
+//! incrementally along its edges with each record, never by a scan of all jobs.
 
 use super::job_table::JobTable;
 use crate::model::{JobIndex, Ms};
 use crate::wire::store::JobState;
 
-/// A job's place in the dependency graph.
+/// The edges and the state of one job in the dependency graph.
 #[derive(Debug, Default)]
 pub struct DependencyLinks {
-    /// Jobs that have to be done before it.
+    /// Jobs that have to be done before this one can start.
     pub dependencies: Vec<JobIndex>,
-    /// Live jobs that depend on it.
+    /// Live jobs that depend on this one.
     pub dependents: Vec<JobIndex>,
-    /// Dependencies that are not on record as done.
+    /// Number of dependencies that are not recorded as done.
     pub unfinished_dependencies: u32,
-    /// One before it is cancelled, directly or through others, and so will it be.
+    /// Whether a direct or transitive dependency is cancelled, so that this job will be
+    /// cancelled too.
     pub has_cancelled_dependency: bool,
-    /// Time of day at which it was done, as its record says.
+    /// Wall-clock time at which the job was done, from its record.
     pub done_at_ms: u64,
 }
 
 impl JobTable {
-    /// Links a live job, seen for the first time, to its dependencies.
+    /// Links a live job whose record is applied for the first time to its dependencies.
     pub(crate) fn link_dependencies(&mut self, index: JobIndex, dependencies: &[String], now: Ms) {
         let mut has_cancelled_dependency = false;
         for id in dependencies {
@@ -42,7 +43,7 @@
         }
     }
 
-    /// Passes a job's end on to those that depend on it.
+    /// Propagates a job's final state to the jobs that depend on it.
     pub(crate) fn propagate_end(&mut self, index: JobIndex) {
         let Some(job) = self.get_mut(index) else { return };
         if job.state == JobState::Live {
@@ -80,9 +81,9 @@
         }
     }
 
-    /// Time of day since when the job could have been started: its acceptance, or the end
-    /// of its last dependency. All from records, so that every leader counts from the same
-    /// moment.
+    /// Wall-clock time from which the job could have been started: its acceptance, or the end of
+    /// its last dependency if that is later. It derives from records alone, so that every leader
+    /// gets the same value.
     pub fn ready_at_ms(&self, index: JobIndex) -> u64 {
         let job = self.get(index);
         let accepted_at = job.spec.as_ref().map_or(0, |spec| spec.accepted_at_ms);
--- a/src/core/common/election.rs
+++ b/src/core/common/election.rs
@@ -1,8 +1,9 @@
-//! Election: the leader is whoever's record hangs on a live lease.
+//! Leader election: the leader is the process named in the leader record, which is attached to
+//! a live lease of the store.
 //!
-//! The record is written once per election, so its version is the term, and
-//! every write of a leader is conditional on that version. Time decides only
-//! how soon a lost leader is replaced, never who may write.
+//! The record is written once per election, so its version is the term, and every write of a
+//! leader is conditional on that version. Timing only affects how soon a failed leader is
+//! replaced, never who may write.
 
 use super::context::NodeContext;
 use super::store_keys::LEADER;
@@ -11,51 +12,52 @@
 use crate::wire::encoded::Encoded;
 use crate::wire::store::{Compare, CompareAndSwap, LeaderRecord, Mutation};
 
-/// The lease is renewed so often within its time to live.
+/// Number of times that the lease is renewed within its time to live.
 const RENEWALS_PER_LEASE: f64 = 3.5;
-/// A short pause before a vacancy is filled, which differs by node, spares collisions.
-const VACANCY_PAUSE_MS: Ms = 60;
+/// Delay before a node claims vacant leadership. It is jittered per node to avoid conflicting
+/// claims.
+const CLAIM_DELAY_MS: Ms = 60;
 const RETRY_MS: Ms = 300;
-/// Delay before a renewal is repeated, or a new lease opened.
+/// Delay before a failed renewal is retried, or a new lease is opened.
 const RENEWAL_RETRY_MS: Ms = 200;
 
 /// A call of the election to the store.
 #[derive(Debug)]
 pub(crate) enum ElectionCall {
-    /// A lease for our record is opened.
+    /// Opens a lease for this process's leader record.
     OpenLease,
-    /// Our record is written, hanging on this lease.
+    /// Writes this process's leader record, attached to this lease.
     Claim {
         /// Number of the lease.
         lease: u64,
     },
-    /// The lease of our record is renewed.
+    /// Renews the lease of this process's leader record.
     RenewLease,
-    /// The lease of a former process of this node is ended.
+    /// Ends the lease of an earlier process of this node.
     EndLease,
 }
 
-/// This node's part in the election.
+/// State of this node as a candidate or leader.
 #[derive(Debug, Default)]
 pub(crate) struct Election {
-    /// A lease that was opened here.
+    /// Lease that this process has opened.
     lease: Option<u64>,
     in_flight: bool,
     renew_at: Ms,
     retry_at: Ms,
-    /// Term of a former process of this node whose lease was ended.
+    /// Term of an earlier process of this node whose lease was ended.
     ended_term: Option<Term>,
     vacant_since: Option<Ms>,
 }
 
-/// Who leads, as this node sees it.
-enum Leading {
-    /// This process, on this lease.
+/// The current leader as this node sees it.
+enum CurrentLeader {
+    /// This process leads under this lease.
     ThisProcess {
         lease: u64,
     },
-    /// A former process of this node.
-    FormerSelf {
+    /// The record names an earlier process of this node.
+    EarlierProcess {
         lease: u64,
         term: Term,
     },
@@ -63,56 +65,56 @@
     Nobody,
 }
 
-impl Leading {
-    fn of(context: &NodeContext) -> Leading {
-        let Some(leader) = context.leadership.current() else { return Leading::Nobody };
+impl CurrentLeader {
+    fn of(context: &NodeContext) -> CurrentLeader {
+        let Some(leader) = context.leadership.current() else { return CurrentLeader::Nobody };
         let record = &leader.record;
         if context.is_self(&record.node, record.incarnation) {
-            Leading::ThisProcess { lease: record.lease }
+            CurrentLeader::ThisProcess { lease: record.lease }
         } else if record.node == context.node {
-            Leading::FormerSelf { lease: record.lease, term: leader.term }
+            CurrentLeader::EarlierProcess { lease: record.lease, term: leader.term }
         } else {
-            Leading::Other
+            CurrentLeader::Other
         }
     }
 }
 
 impl Election {
-    /// Renews our lease, or runs for leader if nobody leads.
+    /// Renews this process's lease if it leads, or claims leadership if nobody leads.
     pub(crate) fn poll(&mut self, context: &mut NodeContext) {
         if !context.is_synced || self.in_flight || context.clock.now() < self.retry_at {
             return;
         }
-        match Leading::of(context) {
-            Leading::ThisProcess { lease } => {
+        match CurrentLeader::of(context) {
+            CurrentLeader::ThisProcess { lease } => {
                 self.vacant_since = None;
                 if context.clock.now() >= self.renew_at {
                     self.send(context, ElectionCall::RenewLease, StoreRequest::RenewLease(lease));
                 }
             }
-            // One process runs per address: a record of a former incarnation
-            // of ours is nobody's, and waiting for its lease helps no one.
-            Leading::FormerSelf { lease, term } if self.ended_term != Some(term) => {
+            // Only one process runs per address, so the process that a record of an earlier
+            // incarnation names no longer runs. Waiting for its lease to expire gains nothing.
+            CurrentLeader::EarlierProcess { lease, term } if self.ended_term != Some(term) => {
                 self.ended_term = Some(term);
-                tracing::info!(lease, "ending the lease of this node's former process");
+                tracing::info!(lease, "ending the lease of an earlier process of this node");
                 self.send(context, ElectionCall::EndLease, StoreRequest::EndLease(lease));
             }
-            Leading::FormerSelf { .. } | Leading::Other => self.vacant_since = None,
-            Leading::Nobody => self.run_for_leader(context),
+            CurrentLeader::EarlierProcess { .. } | CurrentLeader::Other => self.vacant_since = None,
+            CurrentLeader::Nobody => self.claim_leadership(context),
         }
     }
 
-    fn run_for_leader(&mut self, context: &mut NodeContext) {
+    fn claim_leadership(&mut self, context: &mut NodeContext) {
         let now = context.clock.now();
         if self.vacant_since.is_none() {
             self.vacant_since = Some(now);
-            self.retry_at = now + context.jitter(VACANCY_PAUSE_MS);
+            self.retry_at = now + context.jitter(CLAIM_DELAY_MS);
             return;
         }
         match self.lease {
             Some(lease) => {
-                let claim = StoreRequest::CompareAndSwap(claim(context, lease));
-                self.send(context, ElectionCall::Claim { lease }, claim);
+                let request = StoreRequest::CompareAndSwap(leader_claim(context, lease));
+                self.send(context, ElectionCall::Claim { lease }, request);
             }
             None => {
                 let ttl_ms = (context.operator.leader_ttl_s * 1000.0) as u64;
@@ -126,7 +128,7 @@
         context.send_store_request(StoreCallOwner::Election(call), request);
     }
 
-    /// Takes in the response to a call.
+    /// Handles the response to a call of the election.
     pub(crate) fn on_result(
         &mut self,
         context: &mut NodeContext,
@@ -150,11 +152,11 @@
 
     fn on_claimed(&mut self, context: &mut NodeContext, lease: u64, response: &StoreResponse) {
         match response {
-            // The watch tells the outcome; until then there's nothing to do.
+            // The outcome arrives through the watch; until then there is nothing to do.
             StoreResponse::Committed { .. } | StoreResponse::Conflict(_) => {
                 self.retry_at = context.clock.now() + context.jitter(RETRY_MS);
             }
-            // The lease has ended. A new one is needed.
+            // The lease has ended, so a new one is needed.
             StoreResponse::Malformed | StoreResponse::LeaseNotFound => {
                 if self.lease == Some(lease) {
                     self.lease = None;
@@ -166,8 +168,8 @@
 
     fn on_renewed(&mut self, context: &mut NodeContext, response: &StoreResponse) {
         match response {
-            // Our record is gone or going; the watch will say so. Lead
-            // no further on it.
+            // The leader record of this process has been or is about to be deleted, which the
+            // watch will show. Stop leading on it now.
             StoreResponse::LeaseNotFound => {
                 self.lease = None;
                 if context.own_term().is_some() {
@@ -199,8 +201,8 @@
     (context.operator.leader_ttl_s * 1000.0 / RENEWALS_PER_LEASE) as Ms
 }
 
-/// Writes our record if there is none.
-fn claim(context: &NodeContext, lease: u64) -> CompareAndSwap {
+/// Returns the write of this process's leader record, conditional on there being no record.
+fn leader_claim(context: &NodeContext, lease: u64) -> CompareAndSwap {
     let record = LeaderRecord { node: context.node.clone(), incarnation: context.incarnation, lease };
     CompareAndSwap {
         compares: vec![Compare { key: LEADER.into(), version: 0 }],
--- a/src/core/common/feasibility.rs
+++ b/src/core/common/feasibility.rs
@@ -1,16 +1,16 @@
-//! Whether a job could run in this cluster at all.
+//! Checks whether a job could ever run in this cluster.
 
 use super::context::NodeContext;
 use crate::model::{JobSpec, MachineType};
 use thiserror::Error;
 
-/// Why a job could never run; users are told.
+/// Why a job could never run. The text is returned to users.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub(crate) enum Infeasible {
-    /// No such team.
+    /// The team does not exist.
     #[error("unknown team {0}")]
     UnknownTeam(String),
-    /// One task alone passes the team's limit.
+    /// A single task exceeds the team's limit.
     #[error("a task needs more than the team's limit")]
     AboveTeamLimit,
     /// No machine type that the job allows can hold a task.
@@ -18,7 +18,7 @@
     FitsNoMachineType,
 }
 
-/// Whether the job could ever run; if not, why.
+/// Checks whether the job could ever run; the error says why it could not.
 pub(crate) fn can_run(context: &NodeContext, spec: &JobSpec) -> Result<(), Infeasible> {
     let team = context.platform.cluster.teams.iter().find(|team| team.name == spec.team);
     let team = team.ok_or_else(|| Infeasible::UnknownTeam(spec.team.clone()))?;
--- a/src/core/common/job_records.rs
+++ b/src/core/common/job_records.rs
@@ -1,5 +1,5 @@
-//! How the records of jobs, which arrive from reads and from the watch in any order, change
-//! the jobs in memory.
+//! Applies the records of jobs, which arrive from reads and from the watch in any order, to the
+//! jobs in memory.
 
 use super::job_table::{CellLink, JobTable};
 use crate::model::{JobIndex, Ms};
@@ -8,29 +8,29 @@
 use rustc_hash::FxHashSet;
 use std::sync::Arc;
 
-/// How long a final job keeps its description.
-const SPEC_KEPT_MS: Ms = 180_000;
-/// Final jobs are not dropped more often than this: it looks at every attempt.
-const DROP_GAP_MS: Ms = 1_000;
+/// How long a final job keeps its spec in memory.
+const SPEC_RETENTION_MS: Ms = 180_000;
+/// Minimum interval between two drops of final jobs, since each drop scans every attempt.
+const DROP_INTERVAL_MS: Ms = 1_000;
 
-/// Where a job's record comes from. That decides what it can say of a job that is
-/// not in memory.
+/// Where a job's record comes from. This determines what the record implies if the job is not
+/// in memory.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RecordSource {
-    /// A page of a full read; the first page had this revision.
+    /// A page of a full read.
     Page {
-        /// Revision of the first page.
+        /// Revision of the first page of that read.
         first_revision: u64,
     },
-    /// An event of the watch.
+    /// A watch event.
     Watch,
-    /// A read or a write of this record alone.
+    /// A read or write of this single record.
     Single,
 }
 
 impl JobTable {
-    /// Takes in a job's record. Older ones are ignored: reads and watch events
-    /// cross each other. The result is whether the record may be relied on.
+    /// Applies a job's record and returns whether the record may be relied on. Records older than
+    /// the known version are ignored, since reads and watch events may arrive out of order.
     pub(crate) fn apply_record(
         &mut self,
         id: &str,
@@ -41,8 +41,8 @@
     ) -> bool {
         if self.index_of(id).is_none() {
             match source {
-                // Nothing in memory refers to it. The watch goes on from the first
-                // page, so no older record of it will come.
+                // Nothing in memory refers to the job. The watch continues from the first page,
+                // so no older record of the job will arrive.
                 RecordSource::Page { first_revision }
                     if record.state != JobState::Live
                         && version <= first_revision
@@ -50,9 +50,9 @@
                 {
                     return true;
                 }
-                // All live jobs up to the watched revision are in memory. So this
-                // one has become final since it was read, and has been dropped or
-                // was never kept: taken for live, its tasks would run again.
+                // All jobs that are live as of the watched revision are in memory. This job has
+                // therefore become final since the record was read, and was dropped or never
+                // kept. If it were treated as live, its tasks would run again.
                 RecordSource::Single
                     if record.state == JobState::Live
                         && self.watched_revision().is_none_or(|watched| version <= watched) =>
@@ -70,7 +70,7 @@
         let is_new = !self.has_index(id);
         let index = self.index_or_lookup(id, now);
         let Some(job) = self.get_mut(index) else { return };
-        let is_offered_again = job.is_tombstone_before(&record);
+        let is_offered_again = job.is_tombstone_older_than(&record);
         let is_first = !job.is_read() || is_offered_again;
         job.cancellation_noticed &= !is_offered_again;
         if version <= job.version || !is_first && job.state != JobState::Live {
@@ -85,7 +85,8 @@
         if is_first {
             job.tasks = record.tasks;
         }
-        // A final state that was written here may leave it out; whose job it is never changes.
+        // A final record written by this cell may omit the origin, but the cell that a job belongs
+        // to never changes.
         if job.origin().is_none() || record.origin.is_some() {
             job.cell = CellLink::of(&record);
         }
@@ -100,7 +101,7 @@
         if is_first {
             self.link_dependencies(index, &dependencies, now);
         }
-        // Nobody can have a task of a final job that was not known before.
+        // No machine can have a task of a job that was already final when it became known.
         if is_new && is_final {
             return;
         }
@@ -111,7 +112,7 @@
         self.mark_changed(index);
     }
 
-    /// Notes another node's word that the cancellation of a job is confirmed.
+    /// Records that another node has announced the confirmed cancellation of a job.
     pub(crate) fn note_cancellation(&mut self, id: &str, now: Ms) {
         if !valid_id(id) {
             return;
@@ -125,17 +126,17 @@
         }
     }
 
-    /// Final jobs give their description up after a while; by then nothing
-    /// of them is left on any machine.
+    /// Drops the specs of jobs that became final some time ago. By then nothing of them is left
+    /// on any machine.
     pub(crate) fn drop_old_specs(&mut self, now: Ms) {
-        self.drop_specs(now.saturating_sub(SPEC_KEPT_MS));
+        self.drop_specs(now.saturating_sub(SPEC_RETENTION_MS));
     }
 
-    /// Drops the oldest final jobs if there are too many. `in_use` adds the jobs
-    /// that a role refers to.
+    /// Drops the oldest final jobs from memory if there are too many. `in_use` adds the jobs that
+    /// a role still refers to.
     pub(crate) fn drop_final_jobs(&mut self, now: Ms, in_use: impl FnOnce(&mut FxHashSet<JobIndex>)) {
         let Some(watched_revision) = self.watched_revision() else { return };
-        if !self.is_over_limit() || !self.take_drop_due(now, DROP_GAP_MS) {
+        if !self.is_over_limit() || !self.take_drop_due(now, DROP_INTERVAL_MS) {
             return;
         }
         let mut indices: FxHashSet<JobIndex> = FxHashSet::default();
--- a/src/core/common/job_table.rs
+++ b/src/core/common/job_table.rs
@@ -1,13 +1,12 @@
 //! The jobs that a node keeps in memory.
 //!
-//! All live jobs are here. Of the jobs in a final state only the most recent are:
-//! a final record never changes, so it is read from the store when
-//! somebody asks for it. Memory therefore follows from the number of live jobs
-//! and from [`MAX_FINAL_JOBS`], not from how many jobs there ever were.
+//! The table holds all live jobs, and of the jobs in a final state only the most recent ones. A
+//! final record never changes, so it is read from the store when it is requested. Memory is
+//! therefore bounded by the number of live jobs and [`MAX_FINAL_JOBS`], not by the number of jobs
+//! ever submitted.
 //!
-//! An index is never used for a second job. Whoever kept the index of a job that
-//! has been dropped since finds a cancelled job without a description, for which
-//! nothing is ever started.
+//! An index is never reused for another job. A lookup with the index of a job that has since been
+//! dropped returns a cancelled job without a spec, for which nothing is ever started.
 
 use super::dependencies::DependencyLinks;
 use crate::model::{JobIndex, JobSpec, Ms};
@@ -17,47 +16,47 @@
 use std::sync::Arc;
 use woadlever_cells::record::{Forwarding, Origin};
 
-/// Jobs in a final state that are kept in memory.
+/// Number of jobs in a final state that are kept in memory.
 pub const MAX_FINAL_JOBS: usize = 2_048;
-/// Final jobs are dropped so many at a time, since finding out which of them are
-/// still in use looks at every attempt.
+/// Number of final jobs dropped at a time. They are dropped in batches, since finding out which
+/// of them are still in use scans every attempt.
 pub const FINAL_JOBS_BATCH: usize = 256;
 
 /// A job as this node knows it from its record.
 #[derive(Debug)]
 pub struct Job {
-    /// The state that its record tells.
+    /// State according to the record.
     pub state: JobState,
-    /// The description; dropped some time after the job became final.
+    /// Job spec; dropped some time after the job became final.
     pub spec: Option<Arc<JobSpec>>,
-    /// Version of the record; 0 if none has been read yet, although another
-    /// record refers to the job.
+    /// Version of the record; 0 if another record refers to the job and its own record has not
+    /// been read yet.
     pub version: u64,
     /// Number of tasks.
     pub tasks: u32,
-    /// When the present state was learned.
+    /// Time at which this node learned the current state.
     pub state_since: Ms,
-    /// Its place in the dependency graph.
+    /// Edges and state in the dependency graph.
     pub links: DependencyLinks,
-    /// Another node has confirmed the cancellation, but the record that says so
-    /// has not been seen here yet. The job takes no task any more; users are
-    /// answered by the record alone.
+    /// Whether another node has confirmed the cancellation while its record has not arrived here
+    /// yet. No task of the job is started or kept running any more; answers to users are based
+    /// on the record alone.
     pub cancellation_noticed: bool,
-    /// Another cell that it concerns. Few jobs have one, so that it is kept apart.
+    /// Relation to another cell. It is boxed because few jobs have one.
     pub cell: Option<Box<CellLink>>,
 }
 
-/// What another cell has to do with a job.
+/// Relation of a job to another cell.
 #[derive(Debug)]
 pub enum CellLink {
-    /// It has been forwarded there.
+    /// The job has been forwarded to another cell.
     Forwarded(Forwarding),
-    /// It belongs there.
+    /// The job belongs to another cell.
     Hosted(Origin),
 }
 
 impl CellLink {
-    /// What a job's record says.
+    /// Returns the relation that a job's record states, if any.
     pub(crate) fn of(record: &JobRecord) -> Option<Box<CellLink>> {
         let hosted = record.origin.clone().map(CellLink::Hosted);
         let link = hosted.or_else(|| record.forwarding.clone().map(CellLink::Forwarded));
@@ -79,7 +78,7 @@
         }
     }
 
-    /// Where it has been forwarded to.
+    /// The forwarding of the job to another cell, if any.
     pub fn forwarding(&self) -> Option<&Forwarding> {
         match self.cell.as_deref() {
             Some(CellLink::Forwarded(forwarding)) => Some(forwarding),
@@ -87,7 +86,7 @@
         }
     }
 
-    /// The cell that it belongs to, if not to this one.
+    /// The origin cell of the job, if the job does not belong to this cell.
     pub fn origin(&self) -> Option<&Origin> {
         match self.cell.as_deref() {
             Some(CellLink::Hosted(origin)) => Some(origin),
@@ -95,20 +94,20 @@
         }
     }
 
-    /// Whether it was cancelled here, and the record says that its cell has offered it
-    /// again since: the one final state that another can follow.
-    pub(crate) fn is_tombstone_before(&self, record: &JobRecord) -> bool {
+    /// Whether the job was cancelled here and its cell has offered it again since, according to
+    /// `record`. This is the only final state that another state can follow.
+    pub(crate) fn is_tombstone_older_than(&self, record: &JobRecord) -> bool {
         let is_newer = |old: &Origin, new: &Origin| old.cell == new.cell && old.epoch < new.epoch;
         self.state == JobState::Cancelled
             && self.origin().zip(record.origin.as_ref()).is_some_and(|(old, new)| is_newer(old, new))
     }
 
-    /// Whether only another cell may run it.
+    /// Whether only another cell may run the job.
     pub fn is_away(&self) -> bool {
         self.forwarding().is_some_and(Forwarding::is_away)
     }
 
-    /// Whether its record has been read.
+    /// Whether the job's record has been read.
     pub fn is_read(&self) -> bool {
         self.version > 0
     }
@@ -120,25 +119,26 @@
     job: Job,
 }
 
-/// Jobs by id and by index.
+/// Jobs indexed by id and by index.
 #[derive(Debug)]
 pub struct JobTable {
-    /// Ids are chosen by users, so this map keeps the hasher that resists collisions.
+    /// Uses the default, collision-resistant hasher because users choose the ids.
     indices: HashMap<Arc<str>, JobIndex>,
     entries: FxHashMap<JobIndex, Entry>,
     next_index: u32,
-    /// Jobs in a final state, the one that has been so for longest first.
+    /// Jobs in a final state, ordered by the time at which they became final, oldest first.
     final_jobs: VecDeque<JobIndex>,
-    /// Jobs that a record refers to and whose own record has yet to be read.
+    /// Jobs that a record refers to and whose own record has not been read yet.
     unread: BTreeSet<JobIndex>,
-    /// Stands for every job that has been dropped.
+    /// Placeholder returned for every job that has been dropped.
     dropped: Job,
-    /// Every change up to this revision has been taken in; none while all records
-    /// are read for the first time, or again.
+    /// Revision up to which every change has been applied; `None` during the first or a repeated
+    /// full read of the records.
     watched_revision: Option<u64>,
-    /// Jobs whose state has changed, for the leader.
+    /// Jobs that the leader has to process again because their state has changed.
     changed: Vec<JobIndex>,
-    /// Jobs whose cancellation has just become known, for the shard owner.
+    /// Jobs whose tasks the shard owner has to stop because their cancellation has just become
+    /// known.
     newly_cancelled: Vec<JobIndex>,
     drop_due_at: Ms,
 }
@@ -161,7 +161,7 @@
 }
 
 impl JobTable {
-    /// The index of a job whose record has been read.
+    /// Returns the index of a job whose record has been read.
     pub fn index_of(&self, id: &str) -> Option<JobIndex> {
         self.indices.get(id).copied().filter(|index| self.get(*index).is_read())
     }
@@ -171,8 +171,8 @@
         self.indices.contains_key(id)
     }
 
-    /// The index of a job that is referred to. If it is not in memory its record
-    /// is to be read (see [`JobTable::unread`]).
+    /// Returns the index of a job that a record or frame refers to. If the job is not in memory,
+    /// it gets an index and its record is queued for reading (see [`JobTable::unread`]).
     pub fn index_or_lookup(&mut self, id: &str, now: Ms) -> JobIndex {
         if let Some(index) = self.indices.get(id) {
             return *index;
@@ -186,17 +186,17 @@
         index
     }
 
-    /// The job; one that has been dropped looks cancelled.
+    /// Returns the job. A job that has been dropped appears as cancelled.
     pub fn get(&self, index: JobIndex) -> &Job {
         self.entries.get(&index).map_or(&self.dropped, |entry| &entry.job)
     }
 
-    /// The job, unless it has been dropped.
+    /// Returns the job, unless it has been dropped.
     pub fn get_mut(&mut self, index: JobIndex) -> Option<&mut Job> {
         self.entries.get_mut(&index).map(|entry| &mut entry.job)
     }
 
-    /// The id of a job; empty if it has been dropped.
+    /// Returns the id of a job; empty if the job has been dropped.
     pub fn id(&self, index: JobIndex) -> &str {
         self.entries.get(&index).map_or("", |entry| &entry.id)
     }
@@ -213,7 +213,7 @@
         self.entries.values().map(|entry| &entry.job)
     }
 
-    /// How many jobs are in memory.
+    /// Number of jobs in memory.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
@@ -223,23 +223,24 @@
         self.entries.is_empty()
     }
 
-    /// Notes that the record of a job has been read, or that there is none.
+    /// Marks the record of a job as read. This also applies if there is no such record.
     pub(crate) fn set_read(&mut self, index: JobIndex) {
         self.unread.remove(&index);
     }
 
-    /// Jobs that are referred to and whose own record has yet to be read.
+    /// Jobs that are referred to and whose own record has not been read yet.
     pub fn unread(&self) -> &BTreeSet<JobIndex> {
         &self.unread
     }
 
-    /// Notes that a job has become final.
+    /// Adds a job that has become final to the list of final jobs.
     pub(crate) fn set_final(&mut self, index: JobIndex) {
         self.final_jobs.push_back(index);
     }
 
-    /// Descriptions of final jobs go first: some time after the end nothing is
-    /// left on any machine that they could be needed for.
+    /// Drops the specs of jobs that became final before this time. Specs are dropped earlier than
+    /// the jobs: some time after a job's end nothing is left on any machine that could need its
+    /// spec.
     pub(crate) fn drop_specs(&mut self, final_before: Ms) {
         for index in &self.final_jobs {
             let Some(entry) = self.entries.get_mut(index) else { continue };
@@ -249,48 +250,48 @@
         }
     }
 
-    /// The revision up to which every change has been taken in; none while all records
-    /// are read for the first time, or again.
+    /// Revision up to which every change has been applied; `None` during the first or a repeated
+    /// full read of the records.
     pub fn watched_revision(&self) -> Option<u64> {
         self.watched_revision
     }
 
-    /// Notes that every change up to this revision has been taken in, or that all records
-    /// are to be read again.
+    /// Sets the revision up to which every change has been applied, or `None` if all records have
+    /// to be read again.
     pub fn set_watched_revision(&mut self, revision: Option<u64>) {
         self.watched_revision = revision;
     }
 
-    /// Notes that the leader has to look at a job again.
+    /// Marks a job that the leader has to process again.
     pub(crate) fn mark_changed(&mut self, index: JobIndex) {
         self.changed.push(index);
     }
 
-    /// Takes the jobs that have changed, in the order of their changes.
+    /// Removes and returns the jobs marked as changed, in the order of their changes.
     pub fn take_changed(&mut self) -> Vec<JobIndex> {
         std::mem::take(&mut self.changed)
     }
 
-    /// Forgets which jobs have changed.
+    /// Clears the list of changed jobs.
     pub fn clear_changed(&mut self) {
         self.changed.clear();
     }
 
-    /// Notes that the shard owner has to stop a job's tasks.
+    /// Marks a job whose tasks the shard owner has to stop.
     pub(crate) fn mark_newly_cancelled(&mut self, index: JobIndex) {
         self.newly_cancelled.push(index);
     }
 
-    /// Takes the jobs whose cancellation has just become known.
+    /// Removes and returns the jobs whose cancellation has just become known.
     pub fn take_newly_cancelled(&mut self) -> Vec<JobIndex> {
         std::mem::take(&mut self.newly_cancelled)
     }
 
-    /// Whether final jobs may be dropped again; if so, not before another gap.
-    pub(crate) fn take_drop_due(&mut self, now: Ms, gap: Ms) -> bool {
+    /// Whether a drop of final jobs is due. If so, the next one is due after `interval`.
+    pub(crate) fn take_drop_due(&mut self, now: Ms, interval: Ms) -> bool {
         let is_due = now >= self.drop_due_at;
         if is_due {
-            self.drop_due_at = now + gap;
+            self.drop_due_at = now + interval;
         }
         is_due
     }
@@ -303,21 +304,21 @@
         indices.extend(live.flat_map(|job| &job.links.dependencies));
     }
 
-    /// Whether final jobs are to be dropped.
+    /// Whether enough final jobs have accumulated for a batch to be dropped.
     pub fn is_over_limit(&self) -> bool {
         self.final_jobs.len() >= MAX_FINAL_JOBS + FINAL_JOBS_BATCH
     }
 
     /// Drops the oldest final jobs beyond [`MAX_FINAL_JOBS`], except those in use.
     ///
-    /// A record newer than `watched_revision` stays: the watch has still to tell
-    /// the changes before it, and would bring the job back as live.
+    /// A job whose record is newer than `watched_revision` stays: the watch has yet to deliver
+    /// earlier changes of that record, which would add the job again as live.
     pub(crate) fn drop_final(&mut self, in_use: &FxHashSet<JobIndex>, watched_revision: u64) {
         let mut surplus = self.final_jobs.len().saturating_sub(MAX_FINAL_JOBS);
         let mut kept = VecDeque::with_capacity(self.final_jobs.len());
         for index in std::mem::take(&mut self.final_jobs) {
             let job = self.get(index);
-            // Another cell has offered it again, so that it is no longer final.
+            // Another cell has offered the job again, so it is no longer final.
             if job.state == JobState::Live {
                 continue;
             }
