--- a/src/core/messages.rs
+++ b/src/core/messages.rs
@@ -1,5 +1,5 @@
-//! What goes into the core and comes out of it: requests of users and workers, calls to
-//! the key-value store and to the cloud with their results, and messages to other nodes.
+//! Inputs and outputs of the core: requests of users and workers, calls to the key-value store and
+//! to the cloud with their results, and messages to other nodes and cells.
 
 use crate::wire::cloud::{
     Catalog, CreateInstancesRequest, CreatedInstances, MachinePage, TerminateInstancesRequest,
@@ -9,16 +9,16 @@
 use crate::wire::workers::{DirectCommands, WorkerHeartbeat};
 use woadlever_cells::message::CellMessage;
 
-/// What happens to the core.
+/// An event that the core handles.
 #[derive(Debug)]
 pub enum Input {
     /// Time has passed.
     Tick,
     /// A request has arrived.
     Http {
-        /// Number of the request, for its answer.
+        /// Number of the request, which its answer refers to.
         request_id: u64,
-        /// What is asked.
+        /// The request.
         request: HttpRequest,
     },
     /// A call to the store has ended.
@@ -35,28 +35,28 @@
         /// How it ended.
         response: CloudResponse,
     },
-    /// A frame of another node has arrived.
+    /// A frame from another node has arrived.
     Frame(Frame),
-    /// A message of another cell has arrived.
+    /// A message from another cell has arrived.
     Cell(Box<CellMessage>),
 }
 
-/// A request of a user, a worker or the load balancer.
+/// A request from a user, a worker or the load balancer.
 #[derive(Debug)]
 pub enum HttpRequest {
-    /// A submission with its body.
+    /// A job submission with this body.
     Submit(Vec<u8>),
-    /// A question about the job with this id.
+    /// A status request for the job with this id.
     Status(String),
-    /// The cancellation of the job with this id.
+    /// A request to cancel the job with this id.
     Cancel(String),
-    /// A worker's heartbeat with what is on its machine.
+    /// A worker's heartbeat, which reports the tasks on its machine.
     WorkerHeartbeat(Box<WorkerHeartbeat>),
-    /// Whether the node can take requests.
+    /// A readiness check: whether the node can handle requests.
     Ready,
 }
 
-/// What the core wants done.
+/// An action that the driver has to perform for the core.
 #[derive(Debug)]
 pub enum Output {
     /// Answer a request.
@@ -87,12 +87,12 @@
         /// The frame.
         frame: Frame,
     },
-    /// Straight to a worker's address. No answer is waited for: what it has done
-    /// shows in the next heartbeat.
+    /// Send commands directly to a worker's address. No answer is awaited, since the next
+    /// heartbeat of the worker shows their effect.
     DirectCommands {
         /// The worker's address.
         addr: String,
-        /// What it is to do.
+        /// Commands for the worker.
         commands: DirectCommands,
     },
     /// Send a message to all controllers of another cell.
@@ -102,7 +102,7 @@
         /// The message.
         message: Box<CellMessage>,
     },
-    /// The connection to this node may lead to a process that is no more.
+    /// Replace the connection to this node, since its peer process may no longer exist.
     Reconnect {
         /// Name of the node.
         to: String,
@@ -116,7 +116,7 @@
     pub status: u16,
     /// JSON body.
     pub body: String,
-    /// When to come back.
+    /// Value of the `Retry-After` header, in seconds.
     pub retry_after_s: Option<u32>,
 }
 
@@ -125,20 +125,20 @@
 pub enum StoreRequest {
     /// Read one record.
     Get(String),
-    /// Read a page of records.
+    /// Read one page of records.
     List {
-        /// What their keys begin with.
+        /// Key prefix of the records.
         prefix: String,
         /// Key after which the page begins.
         since: Option<String>,
-        /// Records on the page.
+        /// Maximum number of records on the page.
         most: u32,
     },
-    /// Compare and swap: mutations under conditions on versions.
+    /// Apply mutations atomically, conditional on versions of keys (compare-and-swap).
     CompareAndSwap(CompareAndSwap),
     /// Open a lease.
     OpenLease {
-        /// Its time to live.
+        /// Time to live of the lease.
         ttl_ms: u64,
     },
     /// Renew a lease.
@@ -147,11 +147,11 @@
     EndLease(u64),
     /// Wait for changes.
     Watch {
-        /// What the keys begin with.
+        /// Prefix of the watched keys.
         prefix: String,
-        /// Revision after which changes are told.
+        /// Revision after which changes are reported.
         since: u64,
-        /// How long to wait for one.
+        /// Maximum time to wait for a change.
         block_ms: u64,
     },
 }
@@ -159,32 +159,32 @@
 /// How a call to the store ended.
 #[derive(Debug, Clone)]
 pub enum StoreResponse {
-    /// The record.
+    /// The requested record.
     KeyValue(KeyValue),
     /// There is no such record.
     NotFound,
     /// A page of records.
     Page(Page),
-    /// The mutations were made.
+    /// The mutations were applied.
     Committed {
         /// Revision of the changes.
         revision: u64,
     },
-    /// The versions of these keys differ.
+    /// Nothing was applied, since the versions of these keys differ from those expected.
     Conflict(Vec<String>),
-    /// The lease that was opened.
+    /// Number of the lease that was opened.
     LeaseOpened(u64),
-    /// There is no such lease: it has ended.
+    /// The lease does not exist any more.
     LeaseNotFound,
-    /// Changes since the revision asked for.
+    /// Changes since the requested revision.
     Watch(WatchAnswer),
-    /// That revision is too old; read everything again.
+    /// The requested revision is no longer available, so all records have to be read again.
     Compacted,
-    /// Certainly not executed: refused with 429 or 503, or never sent.
+    /// The request was certainly not executed: it was rejected with 429 or 503, or never sent.
     NotExecuted,
     /// May have been executed, or may yet be.
     OutcomeUnknown,
-    /// The service calls the request malformed.
+    /// The store rejected the request as malformed.
     Malformed,
 }
 
@@ -198,9 +198,9 @@
         /// Name after which the page begins.
         since: Option<String>,
     },
-    /// Create instances: scale out.
+    /// Create instances to scale out.
     CreateInstances(CreateInstancesRequest),
-    /// Terminate instances: scale in.
+    /// Terminate instances to scale in.
     TerminateInstances(TerminateInstancesRequest),
 }
 
@@ -211,16 +211,16 @@
     Catalog(Catalog),
     /// A page of the list of machines.
     Page(MachinePage),
-    /// Instances were created.
+    /// The instances that were created.
     InstancesCreated(CreatedInstances),
-    /// The instances are gone.
+    /// The instances were terminated.
     InstancesTerminated,
-    /// No such machine is to be had.
+    /// The cloud has no capacity for the requested machine type.
     NoCapacity,
-    /// Certainly not executed.
+    /// The request was certainly not executed.
     NotExecuted,
     /// May have been executed, or may yet be.
     OutcomeUnknown,
-    /// The cloud calls the request malformed.
+    /// The cloud rejected the request as malformed.
     Malformed,
 }
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -1,13 +1,12 @@
-//! The core: a state machine without input or output.
+//! The core: a deterministic state machine that performs no I/O itself.
 //!
-//! [`Core::step`] takes one input with the time it happened at and returns what
-//! to send, write and answer. Everything that could differ between two runs
-//! (time, random seed, incarnation) comes in from outside, so that a scenario
-//! plays the same way every time.
+//! [`Core::step`] takes one input with the time at which it occurred and returns the messages,
+//! calls and answers to be sent. Everything that could differ between two runs (time, random seed,
+//! incarnation) is passed in, so that a scenario is reproducible.
 //!
-//! A node plays up to three roles: the user API (`user_api`), the owner of shards
-//! (`shard_owner`) and, on one node, the leader (`leader`). What they have in common
-//! is in [`common`]; this module hands each input to the role that it concerns.
+//! A node has up to three roles: the user API (`user_api`), the owner of shards (`shard_owner`)
+//! and, on one node, the leader (`leader`). The components that they share are in [`common`]; this
+//! module dispatches each input to the role that handles it.
 
 pub mod common;
 mod leader;
@@ -35,33 +34,34 @@
 use std::sync::Arc;
 use user_api::UserApi;
 
-/// A process's clock starts with it, while machines and jobs are older. Counted
-/// from here, what was before has a time too: cut off at the start, every
-/// machine would pass for as young as the process, and none be drained.
-const BEFORE_START: Ms = 100 * 86_400_000;
-/// Rounds of frames from this node to itself that one input may lead to.
+/// Offset added to the monotonic time of the process, which starts at 0 although machines and jobs
+/// may be older than the process. With the offset, times before the start can be represented.
+/// If they were clamped to the start, every machine would seem as young as the process, and none
+/// would be drained.
+const CLOCK_OFFSET_MS: Ms = 100 * 86_400_000;
+/// Maximum number of rounds of frames from this node to itself within one step.
 const MAX_LOCAL_ROUNDS: usize = 8;
 
-/// What a node's memory and processor time follow from.
+/// Sizes and counts that determine a node's memory and CPU usage.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Statistics {
-    /// Jobs, live and final.
+    /// Number of jobs in memory, live and final.
     pub jobs: usize,
-    /// Machines of the shards owned here.
+    /// Number of machines in the shards that this node owns.
     pub owned_machines: usize,
-    /// Instances that the leader knows, on the leader.
+    /// Number of instances in the leader's view of the fleet; 0 on other nodes.
     pub fleet_machines: usize,
-    /// Calls to the store without an answer yet.
+    /// Number of calls to the store that have not been answered yet.
     pub store_calls: usize,
-    /// Plans for scaling out that the leader has made in its term.
+    /// Number of scale-out plans that the leader has made in its term; 0 on other nodes.
     pub plans: u64,
-    /// Quotas that the leader has found broken in its term.
+    /// Number of quota violations that the leader has found in its term; 0 on other nodes.
     pub quota_alarms: u64,
 }
 
 /// All roles of one node.
 pub struct Core {
-    /// What all roles use.
+    /// State shared by all roles.
     pub context: NodeContext,
     watch_cache: WatchCache,
     lookups: Lookups,
@@ -72,7 +72,8 @@
 }
 
 impl Core {
-    /// A process that has just started; `seed` makes its choices repeatable.
+    /// Creates the core of a process that has just started. `seed` makes its random choices
+    /// reproducible.
     pub fn new(
         platform: Arc<Platform>,
         operator: Operator,
@@ -80,7 +81,7 @@
         seed: u64,
         now: Ms,
     ) -> Core {
-        let context = NodeContext::new(platform, operator, incarnation, seed, BEFORE_START + now);
+        let context = NodeContext::new(platform, operator, incarnation, seed, CLOCK_OFFSET_MS + now);
         Core {
             shard_owner: ShardOwner::new(&context),
             watch_cache: WatchCache::default(),
@@ -92,10 +93,10 @@
         }
     }
 
-    /// Takes one input and returns the outputs that follow. `now` is the steady time of
-    /// the process, `wall` the time of day, both in milliseconds.
+    /// Handles one input and returns the resulting outputs. `now` is the monotonic time of the
+    /// process and `wall` the wall-clock time, both in milliseconds.
     pub fn step(&mut self, now: Ms, wall: Ms, input: Input) -> Vec<Output> {
-        self.context.clock.advance(BEFORE_START + now, wall);
+        self.context.clock.advance(CLOCK_OFFSET_MS + now, wall);
         match input {
             Input::Tick => {}
             Input::Http { request_id, request } => self.on_http_request(request_id, request),
@@ -116,7 +117,7 @@
         self.context.outbox.take()
     }
 
-    /// What this node's memory and processor time follow from.
+    /// Returns the sizes and counts that determine this node's memory and CPU usage.
     pub fn statistics(&self) -> Statistics {
         let leader = self.leader.as_ref();
         Statistics {
@@ -182,7 +183,8 @@
         }
     }
 
-    /// Lets each role do what is due after an input, until nothing is left to do.
+    /// Lets each role do the work that is due after an input, until no frames from this node to
+    /// itself are left or the limit on rounds is reached.
     fn run_roles(&mut self) {
         self.context.update_scarce_types();
         self.context.control_lease.update_valid_since(self.context.clock.now());
@@ -205,12 +207,12 @@
         self.watch_cache.poll(&mut self.context);
         self.lookups.poll(&mut self.context);
         self.election.poll(&mut self.context);
-        self.follow_term();
+        self.update_leader_role();
         self.user_api.poll(&mut self.context);
         self.shard_owner.poll(&mut self.context);
         match &mut self.leader {
             Some(leader) => leader.poll(&mut self.context),
-            // Only a leader follows each change; a new one looks at all jobs.
+            // Only a leader processes individual changes; a new leader starts from all jobs.
             None => self.context.jobs.clear_changed(),
         }
     }
@@ -225,8 +227,8 @@
         });
     }
 
-    /// Takes up or gives up leadership as the watched record says.
-    fn follow_term(&mut self) {
+    /// Starts or stops the leader role according to the watched leader record.
+    fn update_leader_role(&mut self) {
         let term = self.context.own_term();
         let led_term = self.leader.as_ref().map(|leader| leader.term);
         if term == led_term {
@@ -237,11 +239,11 @@
             tracing::info!(term = term.number(), read_age_ms, "became leader");
             self.leader = Some(Leader::new(&mut self.context, term));
         } else {
-            let present = self.context.leadership.current();
+            let current = self.context.leadership.current();
             tracing::info!(
                 term = led_term.map(Term::number),
-                present_term = present.map(|leader| leader.term.number()),
-                present_leader = present.map(|leader| leader.record.node.as_str()),
+                present_term = current.map(|leader| leader.term.number()),
+                present_leader = current.map(|leader| leader.record.node.as_str()),
                 read_age_ms,
                 "lost leadership"
             );
--- a/src/core/store_call_owner.rs
+++ b/src/core/store_call_owner.rs
@@ -1,7 +1,7 @@
-//! Which role a call to the store belongs to, so that its response finds the way back.
+//! The component or role that a call to the store belongs to, to which the response is dispatched.
 //!
-//! This is the one place below the dispatch that names the roles: each declares its calls,
-//! and the context keeps them until they are answered.
+//! Apart from the dispatch in [`super`], this is the only place in the core that names all roles.
+//! Each role declares its own calls, and the context keeps them until they are answered.
 
 use super::common::election::ElectionCall;
 use super::common::lookups::LookupCall;
@@ -10,7 +10,7 @@
 use super::shard_owner::ShardOwnerCall;
 use super::user_api::UserApiCall;
 
-/// The role that made a call to the store, and what the call was for.
+/// The component or role that made a call to the store, and the purpose of the call.
 #[derive(Debug)]
 pub(crate) enum StoreCallOwner {
     WatchCache(WatchCacheCall),
--- a/src/core/user_api/cancellation.rs
+++ b/src/core/user_api/cancellation.rs
@@ -1,16 +1,16 @@
-//! Cancellations by users.
+//! Cancellations requested by users.
 
 use super::reads::Waiter;
 use super::responses::{is_hosted, refuse_unknown, respond_state};
 use super::status::note_cancelled;
-use super::{UserApi, UserApiCall, WRITE_NOT_TAKEN, write_job};
+use super::{UserApi, UserApiCall, WRITE_UNAVAILABLE, write_job};
 use crate::core::StoreResponse;
 use crate::core::common::context::NodeContext;
 use crate::core::common::store_keys::job_key;
 use crate::wire::store::{JobRecord, JobState};
 use crate::wire::users::valid_id;
 
-/// Attempts at a cancellation before the user is told to come back.
+/// Maximum number of attempts to write a cancellation before the user is asked to retry later.
 const MAX_ATTEMPTS: u32 = 4;
 
 impl UserApi {
@@ -50,7 +50,7 @@
         write_job(context, call, key, version, &JobRecord::cancelled(tasks));
     }
 
-    /// Takes in the end of the write of a cancellation.
+    /// Handles the response to the write of a cancellation.
     pub(super) fn on_cancelled(
         &mut self,
         context: &mut NodeContext,
@@ -69,7 +69,7 @@
                 let waiter = Waiter::Cancellation { request_id, attempts: attempts + 1 };
                 self.read(context, id, waiter);
             }
-            _ => context.respond_unavailable(request_id, WRITE_NOT_TAKEN),
+            _ => context.respond_unavailable(request_id, WRITE_UNAVAILABLE),
         }
     }
 }
--- a/src/core/user_api/mod.rs
+++ b/src/core/user_api/mod.rs
@@ -1,18 +1,17 @@
-//! The users' side: submission of jobs, status and cancellation.
+//! The user API: submission, status and cancellation of jobs.
 //!
-//! No answer may be older than one that any node gave before. Final states
-//! never change and are answered from memory; every other answer rests on a
-//! read of the store begun after the request came in. Requests for
-//! the same job share one read.
+//! No answer may be based on older state than an answer that any node gave before. Final states
+//! never change and are answered from memory; every other answer is based on a read of the store
+//! that was started after the request arrived. Requests for the same job share one read.
 //!
-//! A job with dependencies is live only if none of them is cancelled. That is known from
-//! the watch, which may lag, but not by more than the control lease: a cancellation that
-//! it does not show yet was confirmed to its user less than that ago, well within
-//! `cancel_s`. Without the lease there is no answer. Where a dependency is cancelled, the
-//! job's own cancellation is written before the answer, so that no other node calls the
-//! job live later.
+//! A job with dependencies is live only if none of them is cancelled. This is known from the
+//! watch, which may lag, but by no more than the duration of the control lease. A cancellation
+//! that the watch does not show yet was therefore confirmed to its user less than that time ago,
+//! well within `cancel_s`. Without a valid control lease the request gets status 503. If a
+//! dependency is cancelled, the job's own cancellation is written before the answer is sent, so
+//! that no other node reports the job as live later.
 //!
-//! This module never changes a job by itself: it writes records, and takes in what was
+//! This module never changes a job directly: it writes records and applies the records that were
 //! written.
 
 mod cancellation;
@@ -30,71 +29,71 @@
 use std::collections::HashMap;
 use submission::PendingSubmissions;
 
-/// More waiting requests than this are turned away at once.
+/// Maximum number of waiting requests. Further requests are rejected immediately.
 const MAX_WAITING: usize = 400;
-const CLEANUP_EVERY_MS: Ms = 10_000;
+const CLEANUP_INTERVAL_MS: Ms = 10_000;
 
 const TOO_MANY_REQUESTS: &str = "too many requests at once";
 const NOT_SYNCED: &str = "not yet in touch with the state service";
 const NO_CONTROL_LEASE: &str = "not in touch with the state service";
-const WRITE_NOT_TAKEN: &str = "the state service does not take it now";
-const READ_NOT_ANSWERED: &str = "the state service does not answer now";
+const WRITE_UNAVAILABLE: &str = "the state service does not take it now";
+const READ_UNAVAILABLE: &str = "the state service does not answer now";
 
 /// A call of the user API to the store.
 #[derive(Debug)]
 pub(crate) enum UserApiCall {
-    /// The record of a new job is written.
+    /// Writes the record of a new job.
     Submit {
-        /// The request that submitted it.
+        /// Number of the request that submitted the job.
         request_id: u64,
         /// Id of the job.
         id: String,
-        /// State that the record gives it.
+        /// State of the job according to the record.
         state: JobState,
     },
-    /// The record of this job is read.
+    /// Reads the record of a job.
     Read {
         /// Id of the job.
         id: String,
     },
-    /// The cancellation of this job is written.
+    /// Writes the cancellation of a job that a user has requested.
     Cancel {
-        /// The request that cancels it.
+        /// Number of the request that cancels the job.
         request_id: u64,
         /// Id of the job.
         id: String,
-        /// Earlier attempts at writing it.
+        /// Number of earlier attempts to write the cancellation.
         attempts: u32,
     },
-    /// The cancellation that this job has from a dependency is written.
+    /// Writes the cancellation of a job that follows from the cancellation of a dependency.
     Cascade {
         /// Id of the job.
         id: String,
     },
 }
 
-/// Requests of users that wait for the store.
+/// State of the user API: requests of users that wait for the store.
 #[derive(Debug, Default)]
 pub(super) struct UserApi {
     reads: CoalescedReads,
     submissions: PendingSubmissions,
-    /// Requests that wait for a job's cascading cancellation to be written.
+    /// Requests that wait for the write of a cascading cancellation, by id of the job.
     cascades: HashMap<String, Vec<u64>>,
-    /// Requests that wait for anything.
+    /// Number of requests that wait for any call to the store.
     waiting: usize,
     cleanup_at: Ms,
 }
 
 impl UserApi {
-    /// Drops what is no longer needed for answers.
+    /// Periodically drops data of final jobs that is no longer needed for answers.
     pub(super) fn poll(&mut self, context: &mut NodeContext) {
         if context.clock.now() >= self.cleanup_at {
-            self.cleanup_at = context.clock.now() + CLEANUP_EVERY_MS;
+            self.cleanup_at = context.clock.now() + CLEANUP_INTERVAL_MS;
             context.drop_final_specs();
         }
     }
 
-    /// Takes in the response to a call.
+    /// Handles the response to a call of the user API.
     pub(super) fn on_result(
         &mut self,
         context: &mut NodeContext,
@@ -118,7 +117,7 @@
     }
 }
 
-/// Sends a write of a job's record, if it still has this version.
+/// Sends a write of a job's record, conditional on the record still having this version.
 fn write_job(
     context: &mut NodeContext,
     call: UserApiCall,
--- a/src/core/user_api/responses.rs
+++ b/src/core/user_api/responses.rs
@@ -1,11 +1,11 @@
-//! Answers about a job's state, and refusals.
+//! Responses with a job's state, and refusals.
 
 use crate::core::common::context::NodeContext;
 use crate::model::JobIndex;
 use crate::wire::store::JobState;
 use crate::wire::users::StatusBody;
 
-/// A final refusal of a submission.
+/// A permanent refusal of a submission.
 #[derive(Debug, Clone)]
 pub(super) struct Refusal {
     pub(super) status: u16,
@@ -19,17 +19,17 @@
     }
 }
 
-/// Whether another cell's job, or what is left of it, has this id here.
+/// Whether the id belongs to a job of another cell, live or final, that is in memory here.
 pub(super) fn is_hosted(context: &NodeContext, id: &str) -> bool {
     context.job_index(id).is_some_and(|index| context.job(index).origin().is_some())
 }
 
-/// A job of this cell's users that is in memory.
+/// Returns the index of a job of this cell's users, if it is in memory.
 pub(super) fn own_job(context: &NodeContext, id: &str) -> Option<JobIndex> {
     context.job_index(id).filter(|index| context.job(*index).origin().is_none())
 }
 
-/// The final state of a job in memory; none if it is live or not in memory.
+/// Returns the final state of a job; `None` if the job is live or not in memory.
 pub(super) fn final_state(context: &NodeContext, index: Option<JobIndex>) -> Option<JobState> {
     let state = context.job(index?).state;
     (state != JobState::Live).then_some(state)
@@ -39,13 +39,13 @@
     context.refuse(request_id, 404, "no such job", None);
 }
 
-/// Cells that share load share one space of ids; a job of another cell is not accepted
-/// here as well.
+/// Refuses a submission whose id belongs to a job of another cell. Cells that share load have a
+/// common id space, so the same id is not accepted here as well.
 pub(super) fn refuse_taken(context: &mut NodeContext, request_id: u64) {
     context.refuse(request_id, 422, "the id belongs to a job of another cell", Some("name_id"));
 }
 
-/// Answers with a job's state, as the interface names it.
+/// Responds with a job's state under its name in the HTTP interface.
 pub(super) fn respond_state(
     context: &mut NodeContext,
     request_id: u64,
@@ -57,7 +57,7 @@
     let (done, running) = count.map_or((0, 0), |count| (count.done, count.running));
     let known = context.job_index(id).map(|index| context.job(index));
     let tasks = known.map(|job| job.tasks);
-    // Its end may have become known while the answer was under way.
+    // The job's final state may have become known since `state` was read.
     let state = match known {
         Some(known) if state == JobState::Live => known.state,
         _ => state,
--- a/src/core/user_api/status.rs
+++ b/src/core/user_api/status.rs
@@ -1,8 +1,8 @@
-//! Questions about jobs.
+//! Status requests for jobs.
 
 use super::reads::Waiter;
 use super::responses::{final_state, is_hosted, refuse_unknown, respond_state};
-use super::{NO_CONTROL_LEASE, TOO_MANY_REQUESTS, UserApi, UserApiCall, WRITE_NOT_TAKEN, write_job};
+use super::{NO_CONTROL_LEASE, TOO_MANY_REQUESTS, UserApi, UserApiCall, WRITE_UNAVAILABLE, write_job};
 use crate::core::StoreResponse;
 use crate::core::common::context::NodeContext;
 use crate::core::common::job_records::RecordSource;
@@ -11,7 +11,7 @@
 use crate::wire::users::valid_id;
 
 impl UserApi {
-    /// Answers a question about the job with this id.
+    /// Handles a status request for the job with this id.
     pub(crate) fn status(&mut self, context: &mut NodeContext, request_id: u64, id: &str) {
         if !valid_id(id) || is_hosted(context, id) {
             return refuse_unknown(context, request_id);
@@ -22,7 +22,8 @@
         self.read(context, id.to_string(), Waiter::Status { request_id });
     }
 
-    /// Answers for a job read as live, unless it has to be cancelled first.
+    /// Answers a request for a job that was read as live. If a dependency of the job is cancelled,
+    /// the job's own cancellation is written first.
     pub(super) fn answer_live(&mut self, context: &mut NodeContext, request_id: u64, id: &str) {
         let Some(index) = context.job_index(id) else {
             return context.respond_unavailable(request_id, "not known yet");
@@ -34,7 +35,7 @@
             if !context.has_control_lease() {
                 return context.respond_unavailable(request_id, NO_CONTROL_LEASE);
             }
-            // A dependency may have been cancelled long ago and not be in memory.
+            // A dependency that is not in memory may have been cancelled long ago.
             if !context.jobs.unread().is_empty() {
                 return context.respond_unavailable(request_id, "what it awaits is not known yet");
             }
@@ -54,7 +55,7 @@
         }
     }
 
-    /// Takes in the end of the write of a cascading cancellation.
+    /// Handles the response to the write of a cascading cancellation.
     pub(super) fn on_cascaded(&mut self, context: &mut NodeContext, id: &str, response: &StoreResponse) {
         let waiters = self.cascades.remove(id).unwrap_or_default();
         self.waiting = self.waiting.saturating_sub(waiters.len());
@@ -69,13 +70,14 @@
                 StoreResponse::Conflict(_) | StoreResponse::OutcomeUnknown => {
                     self.read(context, id.to_string(), Waiter::Status { request_id });
                 }
-                _ => context.respond_unavailable(request_id, WRITE_NOT_TAKEN),
+                _ => context.respond_unavailable(request_id, WRITE_UNAVAILABLE),
             }
         }
     }
 }
 
-/// Takes in a cancellation that was written here, to be told to the other nodes.
+/// Applies a cancellation that this node has written, and queues it for announcement to the other
+/// nodes.
 pub(super) fn note_cancelled(context: &mut NodeContext, id: &str, revision: u64) {
     context.apply_job_record(id, JobRecord::cancelled(0), revision, RecordSource::Single);
     context.cancellations_to_announce.push(id.to_string());
--- a/src/core/user_api/submission.rs
+++ b/src/core/user_api/submission.rs
@@ -1,11 +1,11 @@
-//! Submissions: what is refused for good, what was accepted before, and the write of a new
-//! job's record, which is what accepts it.
+//! Submissions: permanent refusals, jobs that were accepted before, and the write of a new job's
+//! record, which is what accepts the job.
 
 use super::reads::Waiter;
 use super::responses::{Refusal, final_state, is_hosted, own_job, refuse_taken, respond_state};
 use super::{
-    NO_CONTROL_LEASE, NOT_SYNCED, READ_NOT_ANSWERED, TOO_MANY_REQUESTS, UserApi, UserApiCall,
-    WRITE_NOT_TAKEN, write_job,
+    NO_CONTROL_LEASE, NOT_SYNCED, READ_UNAVAILABLE, TOO_MANY_REQUESTS, UserApi, UserApiCall,
+    WRITE_UNAVAILABLE, write_job,
 };
 use crate::core::StoreResponse;
 use crate::core::common::context::NodeContext;
@@ -17,7 +17,7 @@
 use crate::wire::users::{InvalidField, Submission, id_of, parse_job};
 use std::collections::HashMap;
 
-/// Bytes that a record gains when the time of acceptance is set.
+/// Number of bytes by which a record may grow when the time of acceptance is set.
 const ACCEPTED_AT_BYTES: usize = 16;
 
 /// A submission whose dependencies are being looked up.
@@ -49,8 +49,8 @@
 }
 
 impl UserApi {
-    /// Answers a submission with this body. An accepted job stays accepted, whatever a
-    /// later body says and whatever has become of the limits.
+    /// Handles a submission with this body. A job that was accepted before stays accepted, even if a
+    /// later body differs or the limits have changed.
     pub(crate) fn submit(&mut self, context: &mut NodeContext, request_id: u64, body: &[u8]) {
         let Submission { id, spec, awaits } = match parse_job(body) {
             Ok(submission) => submission,
@@ -73,7 +73,7 @@
         }
         let dependencies = match check_new(context, &id, &spec, awaits) {
             Ok(dependencies) => dependencies,
-            // It may have been accepted elsewhere a moment ago; only the store knows.
+            // Another node may have just accepted the job; only the store can tell.
             Err(refusal) => return self.read(context, id, Waiter::Refusal { request_id, refusal }),
         };
         if !dependencies.is_empty() && !context.has_control_lease() {
@@ -83,7 +83,7 @@
         self.look_up_dependencies(context, submission);
     }
 
-    /// Refuses a body that can't be read, unless its job was accepted before.
+    /// Refuses a body that can't be parsed, unless its job was accepted before.
     fn refuse_invalid(
         &mut self,
         context: &mut NodeContext,
@@ -105,29 +105,30 @@
         self.read(context, id, Waiter::Refusal { request_id, refusal });
     }
 
-    /// Looks up the next dependency that is not known yet. That one is unknown
-    /// is said only on a read begun after the request: the watch lags.
+    /// Looks up the next dependency that is not in memory, or creates the job if there is none. A
+    /// dependency is reported as unknown only after a read that started after the request arrived,
+    /// because the watch may lag.
     fn look_up_dependencies(&mut self, context: &mut NodeContext, submission: PendingSubmission) {
         let is_unknown = |id: &&String| own_job(context, id).is_none();
         match submission.dependencies.iter().find(is_unknown).cloned() {
             None => self.create(context, submission),
             Some(unknown) => {
-                let submission = self.submissions.add(submission);
-                self.read(context, unknown, Waiter::Dependency { submission });
+                let submission_number = self.submissions.add(submission);
+                self.read(context, unknown, Waiter::Dependency { submission_number });
             }
         }
     }
 
-    /// Goes on with a submission whose dependency was read. `is_known` says whether the
-    /// dependency was ever accepted; none: the store did not tell.
+    /// Continues a submission whose dependency was read. `is_known` is whether the dependency was
+    /// ever accepted, or `None` if the store did not answer.
     pub(super) fn on_dependency_read(
         &mut self,
         context: &mut NodeContext,
-        submission: u64,
+        submission_number: u64,
         dependency: &str,
         is_known: Option<bool>,
     ) {
-        let Some(submission) = self.submissions.take(submission) else { return };
+        let Some(submission) = self.submissions.take(submission_number) else { return };
         let request_id = submission.request_id;
         match is_known {
             Some(true) => self.look_up_dependencies(context, submission),
@@ -136,7 +137,7 @@
                 let refusal = Refusal::new(422, why, Some("awaits"));
                 self.read(context, submission.id, Waiter::Refusal { request_id, refusal });
             }
-            None => context.respond_unavailable(request_id, READ_NOT_ANSWERED),
+            None => context.respond_unavailable(request_id, READ_UNAVAILABLE),
         }
     }
 
@@ -147,8 +148,8 @@
             return context.respond_unavailable(request_id, TOO_MANY_REQUESTS);
         }
         spec.accepted_at_ms = context.clock.wall();
-        // Accepted all the same, but called live by no one at any time: its
-        // user may have been told of that cancellation long ago.
+        // A job with a cancelled dependency is still accepted, but no node may ever report it as
+        // live: the user may have been told of the dependency's cancellation long ago.
         let record = if has_cancelled(context, &dependencies) {
             JobRecord::cancelled(spec.tasks)
         } else {
@@ -160,7 +161,7 @@
         write_job(context, call, key, 0, &record);
     }
 
-    /// Takes in the end of the write of a new job's record.
+    /// Handles the response to the write of a new job's record.
     pub(super) fn on_submitted(
         &mut self,
         context: &mut NodeContext,
@@ -175,12 +176,12 @@
             StoreResponse::Conflict(_) | StoreResponse::OutcomeUnknown => {
                 self.read(context, id, Waiter::Resubmission { request_id });
             }
-            _ => context.respond_unavailable(request_id, WRITE_NOT_TAKEN),
+            _ => context.respond_unavailable(request_id, WRITE_UNAVAILABLE),
         }
     }
 }
 
-/// Whether one of the jobs is cancelled, or will be.
+/// Whether one of the jobs is cancelled, or will be because of a cancelled dependency.
 fn has_cancelled(context: &NodeContext, ids: &[String]) -> bool {
     ids.iter().filter_map(|id| context.job_index(id)).any(|index| {
         let job = context.job(index);
@@ -188,7 +189,8 @@
     })
 }
 
-/// Whether a submission that is not known can be accepted: its dependencies, or why not.
+/// Checks whether the submission of a job that is not known yet can be accepted. Returns the job's
+/// dependencies, or the refusal.
 fn check_new(
     context: &NodeContext,
     id: &str,
@@ -206,8 +208,8 @@
     Ok(dependencies)
 }
 
-/// Whether the job's record keeps within the limits of the store, today's and announced
-/// ones.
+/// Checks that the job's record is within the size limits of the store, both the current and the
+/// announced ones.
 fn check_size(context: &NodeContext, spec: &JobSpec, dependencies: &[String]) -> Result<(), Refusal> {
     let max_bytes = context.platform.cluster.state.value_bytes();
     let is_too_large = |dependencies: &[String]| {
