--- a/src/core/leader/attempt_decisions.rs
+++ b/src/core/leader/attempt_decisions.rs
@@ -1,32 +1,33 @@
-//! Why attempts are counted against quotas and capacity, or no longer are.
+//! Log of the decisions that start or end the counting of attempts against quotas and capacity.
 
 use super::Leader;
 use crate::core::common::context::NodeContext;
 use crate::model::{AttemptId, JobIndex, ShardIndex};
 use crate::wire::peer::ReportedPhase;
 
-/// Why an attempt is counted, or no longer is.
+/// Reason why an attempt starts or stops counting against quotas and capacity.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Decision {
     /// Admitted by this leader.
     Admitted,
-    /// Reported by a shard owner, and neither admitted nor read by this leader.
+    /// Reported by a shard owner, but neither admitted by this leader nor in the records that it
+    /// has read.
     Adopted {
-        /// Whether it goes on.
+        /// Whether the attempt continues; otherwise it is stopped.
         is_wanted: bool,
     },
-    /// Its task has ended in this phase.
+    /// Reported in this phase, in which it no longer occupies capacity.
     Ended(ReportedPhase),
-    /// Not listed by a reported state that answers a desired state which named it.
+    /// Missing from a reported state that answers a desired state which named the attempt.
     Gone {
-        /// The first desired state that named it.
+        /// Serial of the first desired state that named the attempt.
         first_named_in: Option<u64>,
-        /// The desired state that was answered.
+        /// Serial of the desired state that the reported state answers.
         echo: u64,
     },
 }
 
-/// A decision with the attempt that it is about.
+/// A decision and the attempt that it concerns.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct AttemptDecision {
     pub attempt: AttemptId,
@@ -37,9 +38,9 @@
 }
 
 impl Leader {
-    /// Keeps a decision, and logs it at debug.
-    pub(super) fn note_decision(&mut self, context: &NodeContext, made: AttemptDecision) {
-        let AttemptDecision { attempt, job, task, shard, decision } = made;
+    /// Logs a decision at debug level and keeps it for [`Leader::log_newest_decisions`].
+    pub(super) fn log_decision(&mut self, context: &NodeContext, entry: AttemptDecision) {
+        let AttemptDecision { attempt, job, task, shard, decision } = entry;
         tracing::debug!(
             term = self.term.number(),
             shard = context.shards[shard.place()].name,
@@ -49,19 +50,19 @@
             ?decision,
             "decision on attempt"
         );
-        self.decisions.push(context.clock.now(), made);
+        self.decisions.push(context.clock.now(), entry);
     }
 
-    /// Logs the newest decisions as errors: a quota has been found broken.
+    /// Logs the most recent decisions at error level, after a broken quota has been detected.
     pub(super) fn log_newest_decisions(&mut self, context: &NodeContext) {
-        for (age_ms, made) in self.decisions.take(context.clock.now()) {
+        for (age_ms, entry) in self.decisions.take(context.clock.now()) {
             tracing::error!(
                 age_ms,
-                shard = context.shards[made.shard.place()].name,
-                job = context.jobs.id(made.job),
-                task = made.task,
-                attempt = made.attempt.number(),
-                decision = ?made.decision,
+                shard = context.shards[entry.shard.place()].name,
+                job = context.jobs.id(entry.job),
+                task = entry.task,
+                attempt = entry.attempt.number(),
+                decision = ?entry.decision,
                 "decision before the broken quota"
             );
         }
--- a/src/core/leader/attempts.rs
+++ b/src/core/leader/attempts.rs
@@ -1,8 +1,9 @@
-//! The leader's attempts: each is one try to run a task, and is or may be on a machine.
+//! The attempts that the leader knows. An attempt is one try to run a task; it is, or may be, on
+//! a machine.
 //!
 //! Attempts come from the leader's own admissions, from placement records that it reads at the
-//! start of its term, and from the states that shard owners report. Thousands are alive at
-//! once and a hundred end each second, so those of one task or job are found by an index.
+//! start of its term, and from the states that shard owners report. Thousands of attempts are
+//! alive at once and a hundred end each second, so an index finds those of a task or job.
 
 use super::Leader;
 use super::attempt_decisions::{AttemptDecision, Decision};
@@ -15,57 +16,60 @@
 use std::collections::BTreeSet;
 use woadlever_recovery::disposition::{TaskAttempt, superseded};
 
-/// What says that an attempt is on a machine, or will be.
+/// Evidence that an attempt is on a machine, or will be.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Evidence {
-    /// A record, or a report that may rest on a late copy of a heartbeat: it may be out of date.
+    /// A record, or a reported state that may be based on a delayed copy of a heartbeat. It may be
+    /// stale.
     Record,
-    /// This leader has admitted it.
+    /// This leader has admitted the attempt.
     Admission,
-    /// A heartbeat that shows the fencing token of the shard's owner.
+    /// A heartbeat that carries the fencing token of the shard's owner.
     Heartbeat,
-    /// None: it has ended, whatever a later owner of its shard may find on record.
+    /// None: the attempt has ended, even if a later owner of its shard still finds it in a record.
     Ended,
 }
 
-/// One attempt at a task, as the leader knows it.
+/// The leader's view of one attempt at a task.
 #[derive(Debug)]
 pub(crate) struct Attempt {
     /// The job.
     pub job: JobIndex,
     /// Number of the task within the job.
     pub task: u32,
-    /// Shard of the instance that it was admitted to.
+    /// Shard of the instance that the attempt was admitted to.
     pub shard: ShardIndex,
-    /// Instance as the shard owner has reported it or, before that, as this leader chose it.
+    /// The instance that the shard owner has reported or, before its first report, the one that
+    /// this leader has chosen.
     pub machine: Option<InstanceIndex>,
-    /// Whether the shard owner may still choose an instance for it.
+    /// Whether the shard owner may still choose another instance.
     pub may_bind: bool,
-    /// What says that it is on a machine, or will be.
+    /// Evidence that the attempt is on a machine, or will be.
     pub evidence: Evidence,
-    /// Whether it is to go on; otherwise the shard owner is to stop it.
+    /// Whether the attempt should continue; otherwise the shard owner has to stop it.
     pub is_wanted: bool,
-    /// Phase that the shard owner has last reported.
+    /// The last phase that the shard owner has reported.
     pub state: ReportedPhase,
-    /// What the task takes of its machine.
+    /// Resources that the task takes on its machine.
     pub demand: Resources,
-    /// Index of the team; `None` if the settings don't have it.
+    /// Index of the team in the settings; `None` if they don't list it.
     pub team: Option<usize>,
-    /// How long it has run, as last reported.
+    /// Run time as last reported.
     pub ran_ms: Ms,
-    /// Serial of the first desired state that named it to the shard owner with the present
-    /// fencing token.
+    /// Serial of the first desired state that named the attempt to the shard owner with the
+    /// current fencing token.
     pub first_named_in: Option<u64>,
 }
 
 impl Attempt {
-    /// Whether it takes, or may take, capacity of its machine and quota of its team.
+    /// Whether the attempt takes, or may take, capacity of its machine and quota of its team.
     pub(crate) fn occupies_capacity(&self) -> bool {
         self.state.occupies_capacity()
     }
 
-    /// Takes in what a reported phase says of it.
-    pub(super) fn note_evidence(&mut self, phase: ReportedPhase, is_fenced: bool) {
+    /// Updates the evidence from a reported phase. `is_fenced` tells whether the machine's
+    /// heartbeats carry the fencing token of the shard's owner.
+    pub(super) fn update_evidence(&mut self, phase: ReportedPhase, is_fenced: bool) {
         if !phase.occupies_capacity() {
             self.evidence = Evidence::Ended;
         } else if is_fenced && phase != ReportedPhase::Bound && self.evidence != Evidence::Ended {
@@ -73,19 +77,18 @@
         }
     }
 
-    /// Marks it as no longer wanted. The shard owner learns of that with its next desired
-    /// state.
+    /// Marks the attempt as no longer wanted. The next desired state tells the shard owner.
     pub(crate) fn stop(&mut self, shards: &mut [ShardAssignment]) {
         self.is_wanted = false;
         shards[self.shard.place()].dirty = true;
     }
 }
 
-/// All attempts that the leader knows, by their ids.
+/// All attempts that the leader knows, by id.
 #[derive(Debug, Default)]
 pub(crate) struct Attempts {
     by_id: FxHashMap<AttemptId, Attempt>,
-    /// Index of (job, task, id of the attempt).
+    /// Index of the attempts by (job, task, attempt id).
     by_task: BTreeSet<(JobIndex, u32, AttemptId)>,
 }
 
@@ -103,12 +106,12 @@
         Some(attempt)
     }
 
-    /// The attempt with this id.
+    /// Returns the attempt with this id.
     pub(crate) fn get(&self, id: AttemptId) -> Option<&Attempt> {
         self.by_id.get(&id)
     }
 
-    /// The attempt with this id, to be changed. Its job and task must stay.
+    /// Returns the attempt with this id for modification. Its job and task must not change.
     pub(crate) fn get_mut(&mut self, id: AttemptId) -> Option<&mut Attempt> {
         self.by_id.get_mut(&id)
     }
@@ -128,7 +131,7 @@
         self.by_id.values()
     }
 
-    /// All attempts, to be changed. Their jobs and tasks must stay.
+    /// All attempts, for modification. Their jobs and tasks must not change.
     pub(crate) fn values_mut(&mut self) -> impl Iterator<Item = &mut Attempt> {
         self.by_id.values_mut()
     }
@@ -138,7 +141,7 @@
         self.by_id.iter().map(|(id, attempt)| (*id, attempt))
     }
 
-    /// All attempts with their ids, to be changed. Their jobs and tasks must stay.
+    /// All attempts with their ids, for modification. Their jobs and tasks must not change.
     pub(crate) fn iter_mut(&mut self) -> impl Iterator<Item = (AttemptId, &mut Attempt)> {
         self.by_id.iter_mut().map(|(id, attempt)| (*id, attempt))
     }
@@ -161,7 +164,7 @@
             .collect()
     }
 
-    /// Removes attempts at tasks that have a newer one.
+    /// Removes each attempt whose task has a newer attempt.
     pub(crate) fn drop_superseded(&mut self) {
         let by_task = self.by_task.iter();
         let attempts: Vec<TaskAttempt<JobIndex>> =
@@ -196,22 +199,22 @@
             ran_ms: 0,
             first_named_in: None,
         };
-        let made = AttemptDecision {
+        let entry = AttemptDecision {
             attempt: self.next_attempt,
             job,
             task,
             shard: location.shard,
             decision: Decision::Admitted,
         };
-        self.note_decision(context, made);
+        self.log_decision(context, entry);
         self.attempts.insert(self.next_attempt, attempt);
         self.next_attempt = self.next_attempt.next();
         self.shards[location.shard.place()].dirty = true;
     }
 
-    /// Queues a task again after an attempt at it is gone. An old attempt that was still in a
-    /// record may go while a newer one runs; then the task is not queued, as a third attempt
-    /// would run it twice.
+    /// Queues a task again after an attempt at it is gone. If another attempt at the task is
+    /// known, the task is not queued: an old attempt that was still in a record may disappear
+    /// while a newer one runs, and a third attempt would then run the task twice.
     pub(super) fn requeue(&mut self, job: JobIndex, task: u32) {
         self.cycle_due = true;
         if self.attempts.has_task(job, task) {
--- a/src/core/leader/cascading_cancellation.rs
+++ b/src/core/leader/cascading_cancellation.rs
@@ -1,18 +1,19 @@
 //! Cascading cancellation along the dependencies of a pipeline.
 //!
-//! Which job depends on which stands in the records, and every node keeps the links beside the
-//! watched jobs. Two questions are answered from them:
+//! The job records hold the dependencies, and every node keeps them as links next to the jobs
+//! that it watches. The links decide two questions:
 //!
-//! - May the job run? Only once all its dependencies are *on record* as done. Done is final,
-//!   so the leader's first admission needs no further condition: what was true when it looked
-//!   stays true, whoever leads by then.
-//! - Is it cancelled? A live job with a cancelled dependency, direct or through others, is to
-//!   be cancelled. This is a rule on states, not on events, so that it holds for a submission
-//!   that races with the cancellation, and after any change of leader or restart. Such a job
-//!   never had a task, as its dependencies are not all done and never will be.
+//! - May the job run? Only once all its dependencies are *recorded* as done. That state is
+//!   final, so the first admission of the job needs no further condition: once the check has
+//!   passed it stays true, also under a later leader.
+//! - Is the job cancelled? A live job with a cancelled dependency, direct or transitive, has to
+//!   be cancelled. The rule depends on states, not on events, so that it also holds for a
+//!   submission that races with the cancellation and after a change of leader or a restart.
+//!   Such a job never had a task, as its dependencies are not all done and never will be.
 //!
-//! The leader writes these cancellations in batches from its poll. A user API node that is
-//! asked about such a job first has it written, so that no node calls it live again.
+//! The leader's poll writes these cancellations in batches. A user API node that is asked about
+//! such a job writes the cancellation before it answers, so that no node reports the job as
+//! live afterwards.
 
 use super::write_state::WriteState;
 use super::{Leader, LeaderCall};
@@ -24,10 +25,10 @@
 use crate::wire::store::{Compare, CompareAndSwap, JobRecord, JobState, Mutation};
 use std::collections::BTreeSet;
 
-/// Pause after a batch that the store did not take.
+/// Delay before the next batch after the store has rejected one.
 const RETRY_MS: Ms = 150;
 
-/// Cancellations that the leader has still to write.
+/// Cancellations that the leader has yet to write.
 #[derive(Debug, Default)]
 pub(super) struct CascadingCancellations {
     pending: BTreeSet<JobIndex>,
@@ -35,13 +36,13 @@
 }
 
 impl Leader {
-    /// Notes that a live job is to be cancelled.
-    pub(super) fn cancel_later(&mut self, job: JobIndex) {
+    /// Queues the cancellation of a live job.
+    pub(super) fn queue_cancellation(&mut self, job: JobIndex) {
         self.cancellations.pending.insert(job);
     }
 
-    /// Writes pending cancellations, as many at once as one compare-and-swap takes. They have
-    /// a time limit, so they go before all other writes of the leader.
+    /// Writes a batch of pending cancellations, as many as one compare-and-swap takes. They have
+    /// a time limit, so they precede the leader's other writes.
     pub(super) fn write_cancellations(&mut self, context: &mut NodeContext) {
         let cancellations = &mut self.cancellations;
         cancellations.pending.retain(|job| context.job(*job).state == JobState::Live);
@@ -68,7 +69,7 @@
         );
     }
 
-    /// Takes in the outcome of a batch.
+    /// Handles the response to a batch.
     pub(super) fn on_cancellations_written(
         &mut self,
         context: &mut NodeContext,
@@ -76,8 +77,8 @@
         response: StoreResponse,
     ) {
         let StoreResponse::Committed { revision } = response else {
-            // A job that its user or a user API node has cancelled meanwhile fails the whole
-            // batch until the watch reports it; the next batch is then without it.
+            // A job that its user or a user API node has cancelled in the meantime fails the
+            // whole batch until the watch reports the change; the next batch omits that job.
             let retry_at = context.clock.now() + context.retry_ms(RETRY_MS);
             self.cancellations.write.finish_and_wait(retry_at);
             return;
--- a/src/core/leader/job_tracking.rs
+++ b/src/core/leader/job_tracking.rs
@@ -13,24 +13,24 @@
 
 impl Leader {
     /// Follows all jobs whose records have changed since the last call.
-    pub(super) fn follow_jobs(&mut self, context: &mut NodeContext) {
+    pub(super) fn sync_changed_jobs(&mut self, context: &mut NodeContext) {
         let mut changed = context.jobs.take_changed();
         changed.sort_unstable();
         changed.dedup();
         for job in changed {
-            self.follow_job(context, job);
+            self.sync_job(context, job);
             self.cycle_due = true;
         }
     }
 
     /// Follows the record of one job.
-    pub(super) fn follow_job(&mut self, context: &mut NodeContext, index: JobIndex) {
+    pub(super) fn sync_job(&mut self, context: &mut NodeContext, index: JobIndex) {
         let job = context.job(index);
         if job.state != JobState::Live || job.cancellation_noticed {
             return self.remove_job(context, index);
         }
         if job.links.has_cancelled_dependency {
-            return self.cancel_later(index);
+            return self.queue_cancellation(index);
         }
         // Until all its dependencies are on record as done, no task of it may start. Once they
         // are, that is final.
@@ -38,7 +38,7 @@
             return;
         }
         match self.jobs.get_mut(&index) {
-            Some(known) => known.follow_location(job),
+            Some(known) => known.update_location(job),
             None => self.add_job(context, index),
         }
     }
@@ -54,7 +54,7 @@
             return;
         };
         let mut live = LiveJob::new(spec, team, context.jobs.ready_at_ms(index));
-        live.follow_location(job);
+        live.update_location(job);
         for LoadedSegment { segment, bits, version } in
             self.unclaimed_progress.remove(id).unwrap_or_default()
         {
--- a/src/core/leader/live_jobs.rs
+++ b/src/core/leader/live_jobs.rs
@@ -120,7 +120,7 @@
     }
 
     /// Takes over from the job's record which cell runs it.
-    pub(super) fn follow_location(&mut self, job: &Job) {
+    pub(super) fn update_location(&mut self, job: &Job) {
         self.location = match (job.is_away(), job.origin(), self.location) {
             (true, _, JobLocation::Away { running }) => JobLocation::Away { running },
             (true, _, _) => JobLocation::Away { running: 0 },
@@ -215,7 +215,7 @@
     }
 
     /// Notes that a task has an attempt that this leader has not made.
-    pub(super) fn note_attempt(&mut self, task: u32) {
+    pub(super) fn mark_attempted(&mut self, task: u32) {
         self.attempted.insert(task);
     }
 
--- a/src/core/leader/mod.rs
+++ b/src/core/leader/mod.rs
@@ -1,11 +1,12 @@
 //! The leader of a term: it owns admission, the fleet, and the assignment of shards to nodes.
 //!
-//! Everything that it writes is compared with the record of its term, so that a leader whose
-//! term has ended changes nothing. All that it knows is rebuilt from records and from the
-//! states that shard owners report: a new leader starts from what is, not from what was meant.
+//! Each of its writes is conditional on the record of its term, so that a leader whose term has
+//! ended can change nothing. A new leader rebuilds its state from records and from the states
+//! that shard owners report: it starts from the actual state, not from what the previous leader
+//! intended.
 //!
-//! `Core` polls it after each input. It calls neither workers nor users; shard owners and user
-//! API nodes do.
+//! `Core` polls it after each input. It does not communicate with workers or users; shard owners
+//! and user API nodes do.
 
 mod attempt_decisions;
 mod attempts;
@@ -58,18 +59,20 @@
 use std::collections::{BTreeMap, HashMap};
 use timer::Timer;
 
-/// Least time between two polls that look at jobs, machines and attempts.
+/// Minimum time between two polls that process jobs, machines and attempts.
 const POLL_GAP_MS: Ms = 20;
-/// Least time between two scheduling cycles when something has changed.
+/// Minimum time between two scheduling cycles when something has changed.
 const CYCLE_GAP_MS: Ms = 50;
 /// Time between two scheduling cycles when nothing has changed.
 const IDLE_CYCLE_GAP_MS: Ms = 500;
-/// Attempts and machines that lengthen that time as much as one item elsewhere.
-const CYCLE_ITEMS_PER_UNIT: usize = 8;
-/// Width of the number space of attempts of one term, in bits.
+/// Number of attempts and machines that count as one item when the gap between two scheduling
+/// cycles is adjusted to the load.
+const CYCLE_ITEMS_PER_LOAD_ITEM: usize = 8;
+/// Number of low bits of an attempt id that number the attempts of one term; the bits above them
+/// hold the term.
 const ATTEMPT_BITS_PER_TERM: u32 = 20;
 
-/// What a call of the leader to the store is for.
+/// Purpose of a store call that the leader makes.
 #[derive(Debug)]
 pub(crate) enum LeaderCall {
     /// Read records at the start of the term.
@@ -79,48 +82,49 @@
         /// The shard.
         shard: ShardIndex,
     },
-    /// Record progress of jobs.
+    /// Write the progress of jobs.
     Record {
-        /// What is recorded of each job.
+        /// The segments to write, for each job.
         writes: Vec<SegmentWrite>,
     },
-    /// Read a record of progress again.
+    /// Read a progress record again.
     Reread {
         /// The job.
         job: JobIndex,
-        /// The segment that the record is of.
+        /// The segment that the record holds.
         segment: ProgressSegment,
     },
     /// Write the final state of a job.
     WriteFinalState(FinalStateWrite),
-    /// Delete records of progress.
+    /// Delete progress records.
     DeleteProgress {
-        /// Their keys.
+        /// Keys of the records.
         keys: Vec<String>,
     },
-    /// Write that jobs are cancelled since a dependency is.
+    /// Write the cancellation of jobs that have a cancelled dependency.
     WriteCancellations {
         /// The jobs.
         jobs: Vec<JobIndex>,
     },
-    /// A call concerning other cells.
+    /// A call that concerns other cells.
     Cells(CellCall),
-    /// Write the fleet's record.
+    /// Write the fleet record.
     SaveFleet,
     /// Write the catalog.
     SaveCatalog,
 }
 
-/// `fleet`: what leaders hand on to each other, written once per window.
+/// Value of the key `fleet`: state that a leader leaves to its successors, written once per
+/// window.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub(super) struct FleetRecord {
     /// Time of day at which the window began.
     #[serde(rename = "at", default)]
     pub at_ms: u64,
-    /// Usable machines, by label of the machine type.
+    /// Number of usable machines, by label of the machine type.
     #[serde(default)]
     pub counts: BTreeMap<String, u32>,
-    /// Bookings of past windows.
+    /// Machines booked in past windows.
     #[serde(default)]
     pub history: History,
     /// Learned ratio of run time to estimate, by class of jobs.
@@ -128,17 +132,17 @@
     pub ratios: BTreeMap<String, f64>,
 }
 
-/// The leader, for as long as this node's term lasts.
+/// The leader; it exists only while this node's term lasts.
 pub(super) struct Leader {
     /// Number of the term.
     pub term: Term,
-    /// When the term began for this process.
+    /// When this process began the term.
     term_started_at: Ms,
-    /// Which records have been read.
+    /// Progress of reading the records.
     loading: RecordLoading,
-    /// Whether all records have been read. Before that it decides nothing.
+    /// Whether all records have been read. Until then the leader makes no decisions.
     is_active: bool,
-    /// When it became active.
+    /// When the leader became active.
     activated_at: Ms,
     /// Live jobs whose dependencies are done.
     jobs: BTreeMap<JobIndex, LiveJob>,
@@ -152,40 +156,40 @@
     pub fleet: Fleet,
     /// Learned ratio of run time to estimate, by class of jobs.
     ratios: BTreeMap<String, f64>,
-    /// When tasks may be preempted again.
+    /// Due when tasks may be preempted again.
     preemption_timer: Timer,
-    /// Scheduling cycles of this term.
+    /// Number of scheduling cycles in this term.
     cycles: u64,
-    /// Scale-out plans of this term.
+    /// Number of scale-out plans in this term.
     pub plans: u64,
-    /// Whether something has changed that the next scheduling cycle should look at.
+    /// Whether something has changed that calls for another scheduling cycle soon.
     cycle_due: bool,
-    /// When the next poll is due.
+    /// Due when the next poll of jobs, machines and attempts may run.
     poll_timer: Timer,
     /// When the last scheduling cycle began.
-    cycle_at: Ms,
-    /// When progress may be recorded next.
+    last_cycle_at: Ms,
+    /// Due when progress may be recorded again.
     record_timer: Timer,
-    /// When tasks are to be counted next.
+    /// Due when tasks are counted again.
     task_count_timer: Timer,
-    /// Progress that has been read before its job was known, by id of the job.
+    /// Progress that was read before its job was known, by id of the job.
     unclaimed_progress: HashMap<String, Vec<LoadedSegment>>,
-    /// Records of progress that nobody needs any more.
+    /// Progress records that are no longer needed.
     deletions: DeletionQueue,
-    /// Whether the store has shown that its lower limits are in force.
+    /// Whether the lower limits of the store are known to be in force.
     has_lowered_limits: bool,
-    /// Broken quotas, and what is logged of the use of teams.
+    /// Detects broken quotas and logs the usage of teams.
     quota_watch: QuotaWatch,
-    /// The newest decisions on attempts.
+    /// The most recent decisions on attempts.
     decisions: DecisionLog<AttemptDecision>,
-    /// Jobs to be cancelled since a dependency is.
+    /// Jobs to be cancelled because a dependency is cancelled.
     cancellations: CascadingCancellations,
-    /// Other cells that share load; `None` only while they are at work.
+    /// Load sharing with other cells; `None` only while a method of it runs.
     cells: Option<Box<Cells>>,
 }
 
 impl Leader {
-    /// A leader whose term begins now.
+    /// Creates a leader whose term begins now.
     pub(super) fn new(context: &mut NodeContext, term: Term) -> Leader {
         Leader {
             term,
@@ -204,7 +208,7 @@
             plans: 0,
             cycle_due: true,
             poll_timer: Timer::default(),
-            cycle_at: 0,
+            last_cycle_at: 0,
             record_timer: Timer::default(),
             task_count_timer: Timer::default(),
             unclaimed_progress: HashMap::new(),
@@ -217,37 +221,37 @@
         }
     }
 
-    /// Broken quotas that have been logged in this term.
+    /// Number of broken quotas that have been logged in this term.
     pub(super) fn quota_alarms(&self) -> u64 {
         self.quota_watch.alarms
     }
 
-    /// The compare under which everything is written: this term is the present one.
+    /// Returns the condition of every write: this term is still the current one.
     fn compare_term(&self) -> Compare {
         Compare { key: LEADER.into(), version: self.term.number() }
     }
 
-    /// Does the periodic work that is due.
+    /// Runs the periodic work that is due.
     pub(super) fn poll(&mut self, context: &mut NodeContext) {
         if !self.is_active {
-            self.load(context);
+            self.load_records(context);
             if !self.is_active {
                 return;
             }
         }
         self.assign_shards(context);
-        // All else looks at jobs, machines or attempts one by one, and must not do so with each
+        // The rest iterates over jobs, machines or attempts, which is too expensive after each
         // input.
         if !self.poll_timer.is_due(context.clock.now()) {
             return;
         }
         self.poll_timer.set(context.clock.now() + POLL_GAP_MS);
-        self.follow_jobs(context);
+        self.sync_changed_jobs(context);
         self.write_cancellations(context);
         self.poll_cells(context);
         self.poll_fleet(context);
-        if context.clock.now() >= self.cycle_at + self.cycle_gap(context) {
-            self.cycle_at = context.clock.now();
+        if context.clock.now() >= self.last_cycle_at + self.cycle_gap(context) {
+            self.last_cycle_at = context.clock.now();
             self.cycle_due = false;
             self.run_cycle(context);
         }
@@ -256,17 +260,17 @@
         self.announce_task_counts(context);
     }
 
-    /// Time between two scheduling cycles. What a cycle costs grows with what it has to look
-    /// at.
+    /// Returns the time between two scheduling cycles. It grows with the number of attempts and
+    /// machines, as the cost of a cycle does.
     fn cycle_gap(&self, context: &NodeContext) -> Ms {
         if !self.cycle_due {
             return IDLE_CYCLE_GAP_MS;
         }
-        let looked_at = self.attempts.len() + self.fleet.machines.len();
-        context.load_adjusted_gap(CYCLE_GAP_MS, looked_at / CYCLE_ITEMS_PER_UNIT)
+        let items = self.attempts.len() + self.fleet.machines.len();
+        context.load_adjusted_gap(CYCLE_GAP_MS, items / CYCLE_ITEMS_PER_LOAD_ITEM)
     }
 
-    /// Takes in the response to a call to the store.
+    /// Handles the response to a store call.
     pub(super) fn on_result(
         &mut self,
         context: &mut NodeContext,
--- a/src/core/leader/order.rs
+++ b/src/core/leader/order.rs
@@ -14,13 +14,13 @@
 use std::cmp::Reverse;
 
 /// A job without an objective should start this long after it could be started.
-const START_WITHOUT_OBJECTIVE_S: f64 = 60.0;
+const DEFAULT_START_WITHIN_S: f64 = 60.0;
 /// Sums of decimals drift; a team at its guarantee is still within it.
 const GUARANTEE_TOLERANCE: f64 = 1e-6;
 
 impl Leader {
     /// Jobs with a task to admit, the most urgent first.
-    pub(super) fn order(&mut self, context: &NodeContext) -> Vec<JobIndex> {
+    pub(super) fn jobs_by_urgency(&mut self, context: &NodeContext) -> Vec<JobIndex> {
         let within_guarantee = self.jobs_within_guarantee(context);
         let inherited_urgency = self.inherited_urgency(context);
         let now = context.clock.now();
@@ -103,7 +103,7 @@
         .map(|within_s| within_s - age_s)
         .peekable();
     if slacks_s.peek().is_none() {
-        return Some(START_WITHOUT_OBJECTIVE_S - age_s);
+        return Some(DEFAULT_START_WITHIN_S - age_s);
     }
     slacks_s.filter(|slack_s| *slack_s >= 0.0).reduce(f64::min)
 }
--- a/src/core/leader/quota_watch.rs
+++ b/src/core/leader/quota_watch.rs
@@ -18,11 +18,11 @@
 /// Time between two lines with the use of all teams near their limits.
 const SUMMARY_GAP_MS: Ms = 10_000;
 /// A team is near its limit when it uses this share of it.
-const NEAR_LIMIT: f64 = 0.9;
+const NEAR_LIMIT_SHARE: f64 = 0.9;
 /// Sums of decimal amounts may be off by this much.
-const SLACK: f64 = 1e-6;
+const QUOTA_TOLERANCE: f64 = 1e-6;
 /// Attempts that one error line names.
-const MAX_NAMED: usize = 200;
+const MAX_LOGGED_ATTEMPTS: usize = 200;
 
 /// What is known of the teams' use beside the attempts themselves.
 #[derive(Debug, Default)]
@@ -38,7 +38,7 @@
 
 impl QuotaWatch {
     /// Notes that a job's tasks have to wait for its team's quota.
-    pub(super) fn note_refused(&mut self, team: usize) {
+    pub(super) fn count_refusal(&mut self, team: usize) {
         if self.refused.len() <= team {
             self.refused.resize(team + 1, 0);
         }
@@ -46,7 +46,7 @@
     }
 
     /// Whether a rule is newly broken for a team.
-    fn is_new_alarm(&mut self, team: usize, is_broken: bool) -> bool {
+    fn set_broken(&mut self, team: usize, is_broken: bool) -> bool {
         if self.is_broken.len() <= team {
             self.is_broken.resize(team + 1, false);
         }
@@ -58,13 +58,13 @@
 impl Leader {
     /// Compares what the leader counts for each team with the team's limit and with what shard
     /// owners report.
-    pub(super) fn watch_quotas(&mut self, context: &NodeContext, counted: &[Resources]) {
-        let reported = self.reported_use(counted.len());
+    pub(super) fn check_quotas(&mut self, context: &NodeContext, counted: &[Resources]) {
+        let reported = self.reported_usage(counted.len());
         for (place, team) in context.platform.cluster.teams.iter().enumerate() {
             let misses_reported = exceeds(&reported[place], &counted[place]);
-            let is_over_limit =
-                exceeds_limit(&counted[place], team) && exceeds_limit(&self.confirmed_use(place), team);
-            if self.quota_watch.is_new_alarm(place, misses_reported || is_over_limit) {
+            let is_over_limit = exceeds_limit(&counted[place], team)
+                && exceeds_limit(&self.confirmed_usage(place), team);
+            if self.quota_watch.set_broken(place, misses_reported || is_over_limit) {
                 self.quota_watch.alarms += 1;
                 self.log_alarm(context, place, &counted[place], &reported[place]);
             }
@@ -73,10 +73,10 @@
     }
 
     /// What shard owners have last reported of each team.
-    fn reported_use(&self, teams: usize) -> Vec<Resources> {
+    fn reported_usage(&self, teams: usize) -> Vec<Resources> {
         let mut sum = vec![Resources::default(); teams];
         for shard in &self.shards {
-            for (sum, reported) in sum.iter_mut().zip(&shard.reported_use) {
+            for (sum, reported) in sum.iter_mut().zip(&shard.reported_usage) {
                 sum.add(reported);
             }
         }
@@ -85,7 +85,7 @@
 
     /// What a team uses without attempts that may not be on a machine at all: those that only
     /// records show, and those that have ended and that a later shard owner lists again.
-    fn confirmed_use(&self, team: usize) -> Resources {
+    fn confirmed_usage(&self, team: usize) -> Resources {
         let mut used = Resources::default();
         for (_, attempt) in self.counted_attempts(team) {
             if matches!(attempt.evidence, Evidence::Admission | Evidence::Heartbeat) {
@@ -109,7 +109,7 @@
         reported: &Resources,
     ) {
         let team = &context.platform.cluster.teams[place];
-        let named = self.counted_attempts(place).take(MAX_NAMED);
+        let named = self.counted_attempts(place).take(MAX_LOGGED_ATTEMPTS);
         let attempts: Vec<String> = named
             .map(|(id, attempt)| {
                 let shard = &context.shards[attempt.shard.place()].name;
@@ -158,7 +158,7 @@
 }
 
 /// What each team uses in a reported state, by index of the team.
-pub(super) fn use_in_report(teams: &[Team], reported: &ReportedState) -> Vec<Resources> {
+pub(super) fn usage_in_report(teams: &[Team], reported: &ReportedState) -> Vec<Resources> {
     let mut used = vec![Resources::default(); teams.len()];
     let team_of = |name: &str| teams.iter().position(|team| team.name == name);
     let jobs: Vec<(Option<usize>, Resources)> = reported
@@ -180,14 +180,14 @@
 }
 
 fn exceeds(one: &Resources, other: &Resources) -> bool {
-    one.cpus > other.cpus + SLACK || one.gpus > other.gpus + SLACK
+    one.cpus > other.cpus + QUOTA_TOLERANCE || one.gpus > other.gpus + QUOTA_TOLERANCE
 }
 
 fn exceeds_limit(used: &Resources, team: &Team) -> bool {
-    used.cpus > team.cpus_max + SLACK || used.gpus > team.gpus_max + SLACK
+    used.cpus > team.cpus_max + QUOTA_TOLERANCE || used.gpus > team.gpus_max + QUOTA_TOLERANCE
 }
 
 fn is_near_limit(used: &Resources, team: &Team) -> bool {
-    let is_near = |used: f64, limit: f64| limit > 0.0 && used >= limit * NEAR_LIMIT;
+    let is_near = |used: f64, limit: f64| limit > 0.0 && used >= limit * NEAR_LIMIT_SHARE;
     is_near(used.cpus, team.cpus_max) || is_near(used.gpus, team.gpus_max)
 }
--- a/src/core/leader/rebuild.rs
+++ b/src/core/leader/rebuild.rs
@@ -74,7 +74,7 @@
 
 impl Leader {
     /// Reads the records that have not been read, and activates the leader once all have been.
-    pub(super) fn load(&mut self, context: &mut NodeContext) {
+    pub(super) fn load_records(&mut self, context: &mut NodeContext) {
         if !self.loading.retry.is_due(context.clock.now()) {
             return;
         }
@@ -95,14 +95,14 @@
         self.is_active = true;
         self.activated_at = context.clock.now();
         for job in context.jobs.indices() {
-            self.follow_job(context, job);
+            self.sync_job(context, job);
         }
         // What is left belongs to final jobs that are not in memory.
         for id in self.unclaimed_progress.keys() {
             context.job_index_or_lookup(id);
         }
         context.jobs.clear_changed();
-        self.settle_recorded_attempts();
+        self.reconcile_recorded_attempts();
         tracing::info!(
             term = self.term.number(),
             revision = self.loading.placements_revision,
@@ -217,7 +217,7 @@
     }
 
     /// Decides which of the recorded attempts go on.
-    fn settle_recorded_attempts(&mut self) {
+    fn reconcile_recorded_attempts(&mut self) {
         self.attempts.drop_superseded();
         for attempt in self.attempts.values_mut() {
             let live = self.jobs.get_mut(&attempt.job).filter(|live| !live.is_away());
@@ -226,7 +226,7 @@
             let disposition = AttemptDisposition::of_recorded(task);
             attempt.is_wanted = disposition == AttemptDisposition::Keep;
             if let Some(live) = live {
-                live.note_attempt(attempt.task);
+                live.mark_attempted(attempt.task);
             }
         }
     }
--- a/src/core/leader/reconciliation.rs
+++ b/src/core/leader/reconciliation.rs
@@ -8,7 +8,7 @@
 use super::Leader;
 use super::attempt_decisions::{AttemptDecision, Decision};
 use super::attempts::{Attempt, Evidence};
-use super::quota_watch::use_in_report;
+use super::quota_watch::usage_in_report;
 use super::run_times::learn_run_time;
 use crate::core::common::context::NodeContext;
 use crate::model::{AttemptId, FencingToken, InstanceIndex, JobIndex, Resources, ShardIndex, Term};
@@ -46,7 +46,7 @@
 
 impl ReportedAttempt<'_> {
     /// A decision about the attempt.
-    fn decided(&self, decision: Decision) -> AttemptDecision {
+    fn decision_entry(&self, decision: Decision) -> AttemptDecision {
         AttemptDecision {
             attempt: AttemptId::new(self.task.attempt),
             job: self.job.job,
@@ -76,7 +76,7 @@
             self.cycle_due = true;
         }
         let teams = &context.platform.cluster.teams;
-        self.shards[shard.place()].reported_use = use_in_report(teams, &reported);
+        self.shards[shard.place()].reported_usage = usage_in_report(teams, &reported);
         let listed = self.apply_reported_state(context, shard, &reported);
         self.remove_gone_attempts(context, shard, &listed, reported.echo);
     }
@@ -146,7 +146,7 @@
             if let Some(attempt) = self.attempts.remove(id) {
                 let Attempt { job, task, first_named_in, .. } = attempt;
                 let decision = Decision::Gone { first_named_in, echo };
-                self.note_decision(context, AttemptDecision { attempt: id, job, task, shard, decision });
+                self.log_decision(context, AttemptDecision { attempt: id, job, task, shard, decision });
                 self.requeue(job, task);
             }
         }
@@ -161,7 +161,7 @@
         }
         self.cycle_due = true;
         if !reported.task.state.occupies_capacity() {
-            self.note_decision(context, reported.decided(Decision::Ended(reported.task.state)));
+            self.log_decision(context, reported.decision_entry(Decision::Ended(reported.task.state)));
         }
         match reported.task.state {
             ReportedPhase::Done => self.on_attempt_done(reported),
@@ -196,7 +196,7 @@
         let is_wanted = disposition == AttemptDisposition::Keep;
         // Until it is gone, its task gets no other attempt.
         if let Some(live) = live {
-            live.note_attempt(task.task);
+            live.mark_attempted(task.task);
             live.cancel_retry(task.task);
         }
         let attempt = Attempt {
@@ -215,7 +215,7 @@
         };
         self.attempts.insert(AttemptId::new(task.attempt), attempt);
         self.shards[shard.place()].dirty = true;
-        self.note_decision(context, reported.decided(Decision::Adopted { is_wanted }));
+        self.log_decision(context, reported.decision_entry(Decision::Adopted { is_wanted }));
     }
 
     /// Takes over where an attempt is and how far; whether its phase has changed.
@@ -228,7 +228,7 @@
         attempt.machine = Some(machine);
         attempt.may_bind = false;
         attempt.ran_ms = task.ran_ms;
-        attempt.note_evidence(task.state, is_fenced);
+        attempt.update_evidence(task.state, is_fenced);
         let has_changed = attempt.state != task.state;
         attempt.state = task.state;
         has_changed
--- a/src/core/leader/scale_out_planner.rs
+++ b/src/core/leader/scale_out_planner.rs
@@ -19,7 +19,7 @@
 const SCARCE_TYPE_PRICE_FACTOR: f64 = 2.0;
 /// Machines that a plan may have at least; one for a larger fleet may have as many as the
 /// fleet. It bounds the time that planning takes, and is more than one window can request.
-const MIN_PLAN_LIMIT: usize = 4_000;
+const MIN_PLAN_LIMIT_MACHINES: usize = 4_000;
 /// The most that machines which an offer already has raise its cost, as a share of it.
 const MAX_SPREAD_PENALTY: f64 = 0.2;
 /// Machines of an offer at which the penalty is half of that.
@@ -185,7 +185,7 @@
         Planner {
             offers: leader.open_offers(context, &mut free_capacity),
             free_capacity,
-            remaining_machines: MIN_PLAN_LIMIT.max(leader.fleet.machines.len()),
+            remaining_machines: MIN_PLAN_LIMIT_MACHINES.max(leader.fleet.machines.len()),
         }
     }
 
--- a/src/core/leader/scheduling_cycle.rs
+++ b/src/core/leader/scheduling_cycle.rs
@@ -21,7 +21,7 @@
 /// Tasks that a starving job gets ahead of all other jobs in one cycle.
 const STARVING_JOB_TASKS: u32 = 2;
 /// Every how many cycles the job that has waited longest comes first.
-const OLDEST_JOB_INTERVAL: u64 = 8;
+const OLDEST_JOB_INTERVAL_CYCLES: u64 = 8;
 /// Up to how many waiting tasks of one job are counted.
 const MAX_WAITING_TASKS: u32 = 2_000;
 
@@ -59,13 +59,13 @@
         if context.machine_types.is_empty() {
             return;
         }
-        let order = self.order(context);
+        let order = self.jobs_by_urgency(context);
         let mut cycle = CycleState {
             free_capacity: self.free_capacity(context),
             used_by_team: self.team_use(context),
             admitted: 0,
         };
-        self.watch_quotas(context, &cycle.used_by_team);
+        self.check_quotas(context, &cycle.used_by_team);
         for job in self.starving_jobs(context, &order) {
             self.admit_starving_job(context, &mut cycle, job);
         }
@@ -121,7 +121,7 @@
         let team_settings = &context.platform.cluster.teams[team];
         let team_quota = quota_tasks(team_settings, &cycle.used_by_team[team], &demand);
         if team_quota == 0 {
-            self.quota_watch.note_refused(team);
+            self.quota_watch.count_refusal(team);
         }
         let quota = max_tasks.map_or(team_quota, |most| team_quota.min(most));
         let mut zones = ZoneConstraints::for_job(context, self, job, &spec);
@@ -189,7 +189,7 @@
             .filter(|job| !has_started(job))
             .filter(|job| teams.insert(self.jobs[job].team))
             .collect();
-        if self.cycles.is_multiple_of(OLDEST_JOB_INTERVAL)
+        if self.cycles.is_multiple_of(OLDEST_JOB_INTERVAL_CYCLES)
             && let Some((_, oldest)) = overdue.first()
             && !starving.contains(oldest)
         {
--- a/src/core/leader/shards.rs
+++ b/src/core/leader/shards.rs
@@ -18,7 +18,7 @@
 /// How long a new leader waits to hear from the recorded owners before it replaces them.
 const OWNER_GRACE_MS: Ms = 2_500;
 /// How long a node must have been heard before shards move back to it.
-const SETTLED_MS: Ms = 6_000;
+const STABLE_AFTER_MS: Ms = 6_000;
 /// A node that the store has not answered for this long, while it answers the leader, can't
 /// own shards, as it can record no placement.
 const OWNER_STORE_SILENCE_MS: Ms = 4_000;
@@ -52,7 +52,7 @@
     /// Whether the owner with this token has reported its whole state.
     pub has_reported: bool,
     /// What each team uses in the last reported state, by index of the team.
-    pub(super) reported_use: Vec<Resources>,
+    pub(super) reported_usage: Vec<Resources>,
     /// Instances whose termination the cloud has confirmed.
     pub gone: Vec<GoneInstance>,
     /// Waiting tasks that the owner counts in its projection of load.
@@ -71,7 +71,7 @@
             attempts_sent: 0,
             fencing_token: None,
             has_reported: false,
-            reported_use: Vec::new(),
+            reported_usage: Vec::new(),
             gone: Vec::new(),
             waiting: Vec::new(),
             write: WriteState::default(),
@@ -86,11 +86,11 @@
         for shard in (0..self.shards.len()).map(ShardIndex::at) {
             let owner = context.shards.owner(shard.place()).cloned();
             let fencing_token = owner.as_ref().map(|owner| owner.fencing_token);
-            self.follow_fencing_token(shard, fencing_token);
+            self.update_fencing_token(shard, fencing_token);
             if !self.shards[shard.place()].write.is_ready(context.clock.now()) {
                 continue;
             }
-            let Some(node) = self.choose_move(context, shard, owner.as_ref()) else { continue };
+            let Some(node) = self.choose_reassignment(context, shard, owner.as_ref()) else { continue };
             let incarnation = if node == context.node {
                 context.incarnation
             } else {
@@ -105,14 +105,14 @@
 
     /// Notes the fencing token of a shard. With a new one the owner knows only what is in the
     /// records, so that everything is sent again.
-    fn follow_fencing_token(&mut self, index: ShardIndex, fencing_token: Option<FencingToken>) {
+    fn update_fencing_token(&mut self, index: ShardIndex, fencing_token: Option<FencingToken>) {
         let shard = &mut self.shards[index.place()];
         if shard.fencing_token == fencing_token {
             return;
         }
         shard.fencing_token = fencing_token;
         shard.has_reported = false;
-        shard.reported_use.clear();
+        shard.reported_usage.clear();
         shard.dirty = true;
         for attempt in self.attempts.values_mut().filter(|attempt| attempt.shard == index) {
             attempt.may_bind = false;
@@ -121,28 +121,28 @@
     }
 
     /// The node that a shard should be assigned to now; `None` to leave it as it is.
-    fn choose_move(
+    fn choose_reassignment(
         &self,
         context: &NodeContext,
         shard: ShardIndex,
         owner: Option<&KnownOwner>,
     ) -> Option<String> {
         let Some(KnownOwner { record: owner, .. }) = owner else {
-            return self.choose_shard_owner(context, shard, None);
+            return self.choose_owner(context, shard, None);
         };
         if self.is_node_alive(context, &owner.node, Some(owner.incarnation)) {
             let home = context.shards[shard.place()].home.as_ref()?;
-            let may_move = *home != owner.node && self.is_settled(context, home);
+            let may_move = *home != owner.node && self.is_stable(context, home);
             return may_move.then(|| home.clone());
         }
         let newest = context.peers.get(&owner.node).map(|peer| peer.incarnation);
         let has_restarted = newest.is_some_and(|newest| newest > owner.incarnation)
             || (owner.node == context.node && owner.incarnation != context.incarnation);
         if has_restarted {
-            return self.choose_shard_owner(context, shard, None);
+            return self.choose_owner(context, shard, None);
         }
         let is_grace_over = context.clock.now() > self.activated_at + OWNER_GRACE_MS;
-        if is_grace_over { self.choose_shard_owner(context, shard, Some(&owner.node)) } else { None }
+        if is_grace_over { self.choose_owner(context, shard, Some(&owner.node)) } else { None }
     }
 
     /// Writes the record that makes a node the owner of a shard.
@@ -195,18 +195,18 @@
     }
 
     /// Whether a node has been alive long enough for shards to move back to it.
-    fn is_settled(&self, context: &NodeContext, node: &str) -> bool {
+    fn is_stable(&self, context: &NodeContext, node: &str) -> bool {
         if node == context.node {
             return true;
         }
         let peer = context.peers.get(node);
         self.is_node_alive(context, node, None)
-            && peer.is_some_and(|peer| peer.heard_since + SETTLED_MS < context.clock.now())
+            && peer.is_some_and(|peer| peer.heard_since + STABLE_AFTER_MS < context.clock.now())
     }
 
     /// The node that should own a shard, among those that are alive: its home, then nodes in
     /// the shard's zone, then those that own the fewest shards.
-    fn choose_shard_owner(
+    fn choose_owner(
         &self,
         context: &NodeContext,
         shard: ShardIndex,
