--- a/src/core/leader/demand_samples.rs
+++ b/src/core/leader/demand_samples.rs
@@ -1,7 +1,8 @@
-//! Samples of the demand for machines, which the forecast of the window rule is made from.
+//! Samples of the demand for machines. The window rule bases its forecast on them.
 //!
-//! Demand is measured in machines of each kind: what attempts book, and what the scale-out
-//! plan adds. Each look at the fleet takes a sample; the window rule averages them.
+//! Demand is measured in machines of each kind: those that attempts book, and those that the
+//! scale-out plan adds. Each poll of the fleet takes a sample; the window rule averages the
+//! samples of a window.
 
 use super::Leader;
 use super::fleet::InstanceKind;
@@ -11,7 +12,7 @@
 use std::collections::BTreeMap;
 
 impl Leader {
-    /// What attempts book now, in machines, by label of the kind.
+    /// Returns the current bookings of all attempts, in machines, by label of the machine kind.
     pub(super) fn bookings(&self, context: &NodeContext) -> BTreeMap<String, f64> {
         let mut booked: BTreeMap<InstanceKind, Resources> = BTreeMap::new();
         for attempt in self.attempts.values().filter(|attempt| attempt.occupies_capacity()) {
@@ -26,7 +27,7 @@
         booked.into_iter().map(machines_of).collect()
     }
 
-    /// Adds a sample of the present demand, as booked and as planned.
+    /// Adds a sample of the current demand: booked and planned machines.
     pub(super) fn sample(&mut self, context: &NodeContext, plan: &ScaleOutPlan) {
         for (label, machines) in self.bookings(context) {
             self.fleet.window.add_bookings(label, machines);
--- a/src/core/leader/desired_states.rs
+++ b/src/core/leader/desired_states.rs
@@ -1,6 +1,7 @@
-//! Desired states: what the leader wants to be in each shard, sent to the shard's owner.
+//! Desired states: the leader's target state of each shard, sent to the shard's owner.
 //!
-//! Sent soon after a change, and again every so often, so that a lost message doesn't matter.
+//! A desired state is sent soon after a change and repeated periodically, so that a lost message
+//! does no harm.
 
 use super::Leader;
 use super::scheduling_cycle::WaitingJob;
@@ -10,16 +11,17 @@
 use crate::wire::peer::{DesiredJob, DesiredState, PeerMessage, WaitingTasks};
 use std::collections::BTreeMap;
 
-/// Least time between two desired states of a shard; more for one with many attempts.
+/// Minimum time between two desired states of a shard; it is longer for a shard with many
+/// attempts.
 const CHANGED_GAP_MS: Ms = 30;
-/// Time until a desired state is sent again although nothing has changed.
+/// Time after which a desired state is sent again although nothing has changed.
 const UNCHANGED_GAP_MS: Ms = 500;
-/// How long instances that are gone are listed.
+/// How long a desired state lists an instance after the cloud has confirmed its termination.
 const GONE_KEPT_MS: Ms = 30_000;
-/// Expected run time of a task whose job is not known, in seconds.
+/// Expected run time of a task whose job the leader doesn't know, in seconds.
 const UNKNOWN_RUN_S: f64 = 1.0;
 
-/// What a desired state wants of each job, as (task, attempt, may bind).
+/// Wanted attempts by job, each as (task, attempt id, whether the owner may choose an instance).
 type DesiredTasks = BTreeMap<JobIndex, Vec<(u32, u64, bool)>>;
 
 impl Leader {
@@ -32,16 +34,16 @@
         let mut tasks = self.desired_tasks(&due);
         let mut directives = self.fleet.directives(context);
         for shard in due {
-            let place = shard.place();
-            let Some(KnownOwner { record: owner, fencing_token }) = context.shards.owner(place).cloned()
+            let index = shard.place();
+            let Some(KnownOwner { record: owner, fencing_token }) = context.shards.owner(index).cloned()
             else {
                 continue;
             };
-            let tasks = std::mem::take(&mut tasks[place]);
-            let directives = std::mem::take(&mut directives[place]);
-            let assignment = &mut self.shards[place];
+            let tasks = std::mem::take(&mut tasks[index]);
+            let directives = std::mem::take(&mut directives[index]);
+            let assignment = &mut self.shards[index];
             assignment.attempts_sent = tasks.values().map(Vec::len).sum();
-            let assignment = &self.shards[place];
+            let assignment = &self.shards[index];
             let state = DesiredState {
                 term: self.term.number(),
                 shard: shard.number(),
@@ -58,36 +60,37 @@
         }
     }
 
-    /// Shards whose desired state is due; each gets its next serial.
+    /// Returns the shards whose desired state is due, and advances their serials.
     fn start_due_states(&mut self, context: &NodeContext) -> Vec<ShardIndex> {
         let now = context.clock.now();
         let mut due: Vec<ShardIndex> = Vec::new();
-        for (place, shard) in self.shards.iter_mut().enumerate() {
+        for (index, shard) in self.shards.iter_mut().enumerate() {
             let gap = context.load_adjusted_gap(CHANGED_GAP_MS, shard.attempts_sent);
             let gap = if shard.dirty { gap } else { UNCHANGED_GAP_MS.max(gap) };
             let is_due = shard.sent_at.is_none_or(|sent_at| now >= sent_at + gap);
-            if !is_due || context.shards.owner(place).is_none() {
+            if !is_due || context.shards.owner(index).is_none() {
                 continue;
             }
             shard.dirty = false;
             shard.sent_at = Some(now);
             shard.serial += 1;
             shard.gone.retain(|instance| instance.confirmed_at + GONE_KEPT_MS > now);
-            due.push(ShardIndex::at(place));
+            due.push(ShardIndex::at(index));
         }
         due
     }
 
-    /// What is wanted in the shards that are due, by the place of the shard. Notes in which
-    /// desired state an attempt is named first: if it is not wanted, then by being left out.
+    /// Returns the wanted attempts of the shards that are due, by index of the shard. Also sets
+    /// the serial of the desired state that first names an attempt; for an attempt that is not
+    /// wanted, that is the first one that leaves it out.
     fn desired_tasks(&mut self, due: &[ShardIndex]) -> Vec<DesiredTasks> {
         let mut tasks: Vec<DesiredTasks> = vec![BTreeMap::new(); self.shards.len()];
         for (id, attempt) in self.attempts.iter_mut().filter(|(_, a)| due.contains(&a.shard)) {
-            let place = attempt.shard.place();
-            attempt.first_named_in.get_or_insert(self.shards[place].serial);
+            let index = attempt.shard.place();
+            attempt.first_named_in.get_or_insert(self.shards[index].serial);
             if attempt.is_wanted {
                 let wanted = (attempt.task, id.number(), attempt.may_bind);
-                tasks[place].entry(attempt.job).or_default().push(wanted);
+                tasks[index].entry(attempt.job).or_default().push(wanted);
             }
         }
         tasks
--- a/src/core/leader/forecast.rs
+++ b/src/core/leader/forecast.rs
@@ -1,32 +1,33 @@
 //! The demand forecast per window: a smoothed seasonal average.
 //!
-//! For each kind of machine, named by its label, the history holds how many machines were
-//! booked in each window. As long as it is too short for a forecast, present need alone
-//! decides. The window rule feeds the history and asks for the forecast; it is stored with the
-//! fleet record.
+//! For each kind of machine, identified by its label, the history holds how many machines were
+//! booked in each window. While it is too short for a forecast, the current demand alone
+//! decides. The window rule extends the history and queries the forecast. The history is stored
+//! in the fleet record.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Seasons that are kept.
+/// Number of seasons that the history keeps.
 const KEPT_SEASONS: usize = 3;
-/// Windows that are kept at most: the record has to stay within the limit on values.
+/// Maximum number of windows that the history keeps: the fleet record has to stay within the
+/// store's limit on the size of a value.
 const MAX_KEPT_WINDOWS: usize = 240;
-/// Windows that a forecast needs at least.
+/// Minimum number of windows for a forecast.
 const MIN_WINDOWS: usize = 3;
-/// Weight of an earlier season against the newer ones, as a share of what the smoothing leaves
-/// to earlier windows.
+/// Weight of an earlier season relative to the newer ones, as a share of the weight that the
+/// smoothing leaves to earlier windows.
 const SEASON_WEIGHT: f64 = 0.5;
-/// Weight of the season in the forecast; the level has the rest.
+/// Weight of the seasonal average in the forecast; the smoothed level has the remaining weight.
 const SEASON_SHARE: f64 = 0.5;
 
-/// Bookings of past windows, by kind of machine.
+/// Machines booked in past windows, by kind of machine.
 #[derive(Debug, Clone, Default, Serialize, Deserialize, PartialEq)]
 pub struct History {
     /// Machines booked in each window, the oldest first.
     #[serde(rename = "h", default)]
     bookings: BTreeMap<String, Vec<f64>>,
-    /// Number of windows ever recorded.
+    /// Number of windows recorded so far, those included that are no longer kept.
     #[serde(rename = "n", default)]
     windows: u64,
 }
@@ -49,7 +50,7 @@
         self.windows += 1;
     }
 
-    /// Drops the oldest quarter of the windows; `false` if there was nothing to drop.
+    /// Drops the oldest quarter of the windows. Returns `false` if there was nothing to drop.
     pub fn shorten(&mut self) -> bool {
         let dropped = self.longest().div_ceil(4);
         for windows in self.bookings.values_mut() {
@@ -62,8 +63,8 @@
         self.bookings.values().map(Vec::len).max().unwrap_or(0)
     }
 
-    /// How far windows deviate from the level, in machines, smoothed. `smoothing` is the
-    /// weight of the newest window, from 0 to 1.
+    /// Returns the exponentially smoothed absolute deviation of the windows from their level, in
+    /// machines. `smoothing` is the weight of the newest window, from 0 to 1.
     pub fn deviation(&self, kind: &str, smoothing: f64) -> f64 {
         let Some(windows) = self.bookings.get(kind) else { return 0.0 };
         let mut level = windows.first().copied().unwrap_or(0.0);
@@ -76,9 +77,9 @@
         deviation
     }
 
-    /// Machines expected to be booked in the next window; `None` without enough history. The
-    /// season counts once it has been seen twice: with less, any rise and fall of the last
-    /// minutes would pass for one.
+    /// Returns the number of machines expected to be booked in the next window, or `None` if the
+    /// history is too short. The seasonal average is used only once the history covers two
+    /// seasons: with less, any rise and fall within the last minutes would look like a season.
     pub fn expect(&self, kind: &str, season: usize, smoothing: f64) -> Option<f64> {
         let windows = self.bookings.get(kind)?;
         if windows.len() < MIN_WINDOWS {
@@ -95,31 +96,31 @@
     }
 }
 
-/// Keeps the stored text short. Not in single precision, whose text would show all the digits
-/// of its error.
+/// Rounds a value to hundredths, which keeps the stored text short. Single precision would not:
+/// its text would show all the digits of the rounding error.
 fn round_to_hundredths(value: f64) -> f64 {
     (value * 100.0).round() / 100.0
 }
 
-/// Exponentially smoothed level of all windows.
+/// Returns the exponentially smoothed level of all windows.
 fn smoothed_level(windows: &[f64], smoothing: f64) -> f64 {
     let mut levels = windows.iter().copied();
     let first = levels.next().unwrap_or(0.0);
     levels.fold(first, |level, machines| level + smoothing * (machines - level))
 }
 
-/// Average of the windows at the next window's place in earlier seasons, the last season
-/// first.
+/// Returns the weighted average of the windows that correspond to the next window in earlier
+/// seasons, starting with the latest season.
 fn seasonal_average(windows: &[f64], season: usize, smoothing: f64) -> Option<f64> {
     let mut average = None;
-    let mut place = windows.len().checked_sub(season);
-    while let Some(index) = place {
+    let mut next_index = windows.len().checked_sub(season);
+    while let Some(index) = next_index {
         let machines = windows[index];
         average = Some(match average {
             None => machines,
             Some(newer) => newer + (1.0 - smoothing) * SEASON_WEIGHT * (machines - newer),
         });
-        place = index.checked_sub(season);
+        next_index = index.checked_sub(season);
     }
     average
 }
--- a/src/core/leader/free_capacity.rs
+++ b/src/core/leader/free_capacity.rs
@@ -1,8 +1,9 @@
 //! Free capacity on the machines of the fleet, grouped by machine class for bin packing.
 //!
-//! The scheduling cycle, preemption and the scale-out plan each build a [`FreeCapacity`],
-//! take from it what they admit or plan, and drop it. It is never kept between two cycles
-//! and never changes an attempt or a machine.
+//! The scheduling cycle and the scale-out planner each build a [`FreeCapacity`], deduct the tasks
+//! that they admit or plan, and drop it. Preemption reads the one of its cycle, and the capacity
+//! reported to other cells is computed from one. A [`FreeCapacity`] is never kept between two
+//! cycles and never changes an attempt or a machine.
 
 use super::Leader;
 use super::fleet::{InstanceOffer, InstancePhase};
@@ -12,8 +13,8 @@
 use crate::model::{InstanceIndex, JobSpec, Resources, ShardIndex};
 use rustc_hash::FxHashMap;
 
-/// Machines that no job can tell apart: of the same type, in the same zone, and all spot
-/// instances or all on-demand instances.
+/// A group of machines that are interchangeable for every job: they have the same type and zone,
+/// and all are spot instances or all are on-demand instances.
 #[derive(Debug, Clone)]
 pub(super) struct MachineClass {
     /// Index of the machine type in the catalog.
@@ -26,11 +27,11 @@
     pub total: Resources,
     /// Indices of the class's machines in [`FreeCapacity::machines`].
     members: Vec<usize>,
-    /// Upper bound, in each dimension, of what is free on any machine of the class.
+    /// Upper bound, in each dimension, of the free capacity on any machine of the class.
     largest_free: Resources,
 }
 
-/// An instance of the fleet and the shard that it belongs to.
+/// An instance of the fleet and its shard.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct InstanceLocation {
     /// The instance.
@@ -39,21 +40,21 @@
     pub shard: ShardIndex,
 }
 
-/// One machine and what is free on it, as far as the leader knows.
+/// One machine and its free capacity, as far as the leader knows.
 #[derive(Debug, Clone)]
 pub(super) struct FreeMachine {
     /// The instance; `None` for a machine that is only requested or planned.
     pub location: Option<InstanceLocation>,
     /// Index of its class in [`FreeCapacity::classes`].
     pub class: usize,
-    /// Capacity that no task takes.
+    /// Capacity that no task occupies.
     pub free: Resources,
 }
 
 /// Free capacity of a set of machines.
 ///
-/// With thousands of full machines most jobs fit nowhere, so each class keeps a bound by
-/// which a job skips all of its machines at once.
+/// With thousands of full machines most jobs fit nowhere, so each class keeps an upper bound
+/// of its free capacity, by which all its machines are skipped at once.
 #[derive(Debug, Clone, Default)]
 pub(super) struct FreeCapacity {
     /// The machine classes.
@@ -63,8 +64,8 @@
 }
 
 impl FreeCapacity {
-    /// Index of the class of machines of a type, zone and kind; added if it is new. `total`
-    /// is the capacity of one such machine.
+    /// Returns the index of the class of a machine type, zone and billing kind (spot or
+    /// on-demand), which is added if it is new. `total` is the capacity of one such machine.
     pub(super) fn class_index(
         &mut self,
         machine_type: usize,
@@ -93,7 +94,7 @@
         self.add(FreeMachine { location: Some(location), class, free });
     }
 
-    /// Adds an empty machine that is only requested or planned; its index.
+    /// Adds an empty machine that is only requested or planned, and returns its index.
     pub(super) fn add_future_machine(&mut self, class: usize) -> usize {
         let free = self.classes[class].total;
         self.add(FreeMachine { location: None, class, free })
@@ -108,7 +109,7 @@
         index
     }
 
-    /// Machines that one task fits on, among the classes that `accepts` holds for.
+    /// Returns the machines that one task fits on, in the classes for which `accepts` is true.
     pub(super) fn machines_fitting(
         &mut self,
         demand: &Resources,
@@ -131,13 +132,13 @@
         fitting
     }
 
-    /// The class of a machine.
+    /// Returns the class of a machine.
     pub(super) fn class_of(&self, machine: usize) -> &MachineClass {
         &self.classes[self.machines[machine].class]
     }
 
-    /// Places up to `count` tasks on a machine, as many as fit and as the zones allow, and
-    /// counts them in both; the number of tasks placed.
+    /// Places up to `count` tasks on a machine, as many as fit and as the zone constraints allow,
+    /// and deducts them from both. Returns the number of tasks placed.
     pub(super) fn pack(
         &mut self,
         machine: usize,
@@ -156,7 +157,7 @@
         placed
     }
 
-    /// For each class, whether a job may use its machines, and in zones that are allowed.
+    /// Returns for each class whether the job and its zone constraints allow its machines.
     pub(super) fn usable_classes(
         &self,
         context: &NodeContext,
@@ -168,8 +169,8 @@
         self.classes.iter().map(is_usable).collect()
     }
 
-    /// Withholds the machine with the most free capacity among those that a job may use, so
-    /// that smaller tasks don't refill it before a task of the job fits.
+    /// Reserves the machine with the most free capacity among those that a job may use, so that
+    /// smaller tasks don't refill it before a task of the job fits.
     pub(super) fn reserve_for(
         &mut self,
         context: &NodeContext,
@@ -189,15 +190,15 @@
     }
 }
 
-/// Whether tasks of a job may be placed on machines of a class: its constraints allow them,
-/// and one task fits on an empty machine.
+/// Whether tasks of a job may be placed on machines of a class: the job's constraints allow the
+/// class, and one task fits on an empty machine.
 pub(super) fn may_use(context: &NodeContext, spec: &JobSpec, class: &MachineClass) -> bool {
     let machine_type = context.machine_types.get(class.machine_type);
     machine_type.is_some_and(|known| allowed(spec, &known.name, &class.zone, class.is_spot))
         && spec.demand().fits_within(&class.total)
 }
 
-/// Machines that one task of a job fits on, the best fit first.
+/// Returns the machines that one task of a job fits on, the best fit first.
 pub(super) fn best_fit_machines(
     context: &NodeContext,
     free_capacity: &mut FreeCapacity,
@@ -221,7 +222,7 @@
 }
 
 impl Leader {
-    /// Free capacity on the instances that may get tasks now.
+    /// Returns the free capacity of the instances that may receive tasks now.
     pub(super) fn free_capacity(&self, context: &NodeContext) -> FreeCapacity {
         let used = self.used_by_instance();
         let mut free_capacity = FreeCapacity::default();
@@ -248,7 +249,7 @@
         free_capacity
     }
 
-    /// Free capacity, with the machines that are booting or requested.
+    /// Returns the free capacity including machines that are booting or requested.
     pub(super) fn upcoming_capacity(&self, context: &NodeContext) -> FreeCapacity {
         let mut free_capacity = self.free_capacity(context);
         let is_booting = |phase: InstancePhase| phase == InstancePhase::Booting;
@@ -275,7 +276,7 @@
         free_capacity
     }
 
-    /// What attempts take, or may take, on each instance.
+    /// Returns the resources that attempts take, or may take, on each instance.
     fn used_by_instance(&self) -> FxHashMap<InstanceIndex, Resources> {
         let mut used: FxHashMap<InstanceIndex, Resources> = FxHashMap::default();
         for attempt in self.attempts.values().filter(|attempt| attempt.occupies_capacity()) {
--- a/src/core/leader/inherited_urgency.rs
+++ b/src/core/leader/inherited_urgency.rs
@@ -1,8 +1,8 @@
-//! What a job inherits from the jobs that depend on it: their priority, and their deadlines
-//! less the time that they themselves take.
+//! Urgency that a job inherits from the jobs that depend on it: their priorities, and their
+//! deadlines less their own duration.
 //!
-//! The order of jobs asks for it in each scheduling cycle. It is computed from the dependency
-//! links that every node keeps, and never stored.
+//! Each scheduling cycle computes it for the order of jobs from the dependency links that every
+//! node keeps. It is never stored.
 
 use super::Leader;
 use crate::core::common::context::NodeContext;
@@ -10,24 +10,24 @@
 use crate::model::{JobIndex, JobSpec, Priority};
 use rustc_hash::{FxHashMap, FxHashSet};
 
-/// Time from the last success of one job of a pipeline to the start of the next one, beside
-/// its image: to record the success, and to admit and start the task.
+/// Assumed time from the last success in one job of a pipeline to the start of the next job,
+/// without the fetch of its image: to record the success, and to admit and start the task.
 const HANDOVER_S: f64 = 4.0;
-/// Rate at which images are taken to be fetched.
+/// Assumed rate at which images are fetched.
 const FETCH_GB_PER_S: f64 = 0.5;
 
-/// Priority and deadline of a job, those of its dependents included.
+/// Priority and deadline of a job, with those of its dependents taken into account.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(super) struct InheritedUrgency {
-    /// The highest priority among the job and its dependents.
+    /// Highest priority among the job and its dependents.
     pub priority: Priority,
-    /// Time of day, in seconds, by which the job has to be done so that it and all its
+    /// Time of day, in seconds, by which the job has to finish so that it and all its
     /// dependents can meet their deadlines; `None` if none of them has one.
     pub finish_by_s: Option<f64>,
 }
 
 impl Leader {
-    /// The urgency of all jobs that others depend on, and of those others.
+    /// Returns the urgency of all jobs that have dependents, and of those dependents.
     pub(super) fn inherited_urgency(
         &self,
         context: &NodeContext,
@@ -39,8 +39,8 @@
         known
     }
 
-    /// Adds the urgency of a job, and of all jobs that depend on it, to `known`. A depth-first
-    /// walk that passes each job once, whatever the number of paths to it.
+    /// Adds the urgency of a job, and of all jobs that depend on it, to `known`. The depth-first
+    /// search visits each job once, whatever the number of paths to it.
     fn add_urgency(
         &self,
         context: &NodeContext,
@@ -68,7 +68,7 @@
         }
     }
 
-    /// A job's own urgency together with what its dependents pass on.
+    /// Combines a job's own urgency with the urgency that it inherits from its dependents.
     fn combine_urgency(
         &self,
         context: &NodeContext,
@@ -92,14 +92,14 @@
         urgency
     }
 
-    /// How long a job of a pipeline is taken to last: the handover from the one before it, the
-    /// fetch of its image, and its run.
+    /// Returns the assumed duration of a job of a pipeline: the handover from the previous job,
+    /// the fetch of its image, and its expected run time.
     fn stage_duration_s(&self, spec: &JobSpec) -> f64 {
         self.expected_s(spec) + spec.image_gb / FETCH_GB_PER_S + HANDOVER_S
     }
 }
 
-/// The jobs that depend on a job, as far as they are known.
+/// Returns the known jobs that depend on a job.
 fn dependents<'a>(context: &'a NodeContext, job: &'a Job) -> impl Iterator<Item = JobIndex> + 'a {
     let is_known = |dependent: &JobIndex| context.job(*dependent).spec.is_some();
     job.links.dependents.iter().copied().filter(is_known)
--- a/src/core/leader/job_tracking.rs
+++ b/src/core/leader/job_tracking.rs
@@ -1,7 +1,7 @@
-//! Keeps the leader's live jobs in step with the jobs that every node watches.
+//! Synchronizes the leader's live jobs with the jobs that every node watches.
 //!
-//! A job enters once all its dependencies are on record as done, and leaves with its final
-//! record or as soon as its cancellation is noticed.
+//! A job is added once all its dependencies are recorded as done. It is removed when its final
+//! record is seen or, earlier, when its cancellation is noticed.
 
 use super::Leader;
 use super::live_jobs::LiveJob;
@@ -12,7 +12,7 @@
 use std::collections::BTreeSet;
 
 impl Leader {
-    /// Follows all jobs whose records have changed since the last call.
+    /// Synchronizes all jobs whose records have changed since the last call.
     pub(super) fn sync_changed_jobs(&mut self, context: &mut NodeContext) {
         let mut changed = context.jobs.take_changed();
         changed.sort_unstable();
@@ -23,7 +23,7 @@
         }
     }
 
-    /// Follows the record of one job.
+    /// Adds, updates or removes one job according to its record.
     pub(super) fn sync_job(&mut self, context: &mut NodeContext, index: JobIndex) {
         let job = context.job(index);
         if job.state != JobState::Live || job.cancellation_noticed {
@@ -32,8 +32,8 @@
         if job.links.has_cancelled_dependency {
             return self.queue_cancellation(index);
         }
-        // Until all its dependencies are on record as done, no task of it may start. Once they
-        // are, that is final.
+        // No task of the job may start until all its dependencies are recorded as done, which
+        // is final.
         if job.links.unfinished_dependencies > 0 {
             return;
         }
@@ -43,14 +43,14 @@
         }
     }
 
-    /// Takes up a live job, with the progress of it that has been read from records.
+    /// Adds a live job, with the progress that has been read from records.
     fn add_job(&mut self, context: &NodeContext, index: JobIndex) {
         let job = context.job(index);
         let id = context.jobs.id(index);
         let Some(spec) = job.spec.clone() else { return };
         let teams = &context.platform.cluster.teams;
         let Some(team) = teams.iter().position(|team| team.name == spec.team) else {
-            tracing::error!(id, "accepted job of an unknown team");
+            tracing::error!(id, "accepted job names an unknown team");
             return;
         };
         let mut live = LiveJob::new(spec, team, context.jobs.ready_at_ms(index));
@@ -63,8 +63,8 @@
         self.jobs.insert(index, live);
     }
 
-    /// Drops a job that is final or about to be: its attempts are stopped and its records of
-    /// progress deleted. A job of many tasks has more of these than its final write deletes.
+    /// Removes a job that is final or about to be: stops its attempts and deletes its progress
+    /// records. A job with many tasks has more of these records than its final write deletes.
     fn remove_job(&mut self, context: &NodeContext, index: JobIndex) {
         let id = context.jobs.id(index);
         let live = self.jobs.remove(&index);
--- a/src/core/leader/live_jobs.rs
+++ b/src/core/leader/live_jobs.rs
@@ -1,7 +1,7 @@
-//! A live job as the leader keeps it: which of its tasks are done, have an attempt or wait,
-//! and what its place in the order of jobs follows from.
+//! The leader's state of a live job: which of its tasks are done, have an attempt or wait, and
+//! the values that determine its position in the order of jobs.
 //!
-//! Holds no reference to attempts or machines and writes no records.
+//! A live job holds no reference to attempts or machines and writes no records.
 
 use super::progress::{JobProgress, ProgressSegment};
 use super::write_state::WriteState;
@@ -10,13 +10,14 @@
 use rustc_hash::FxHashSet;
 use std::sync::Arc;
 
-/// Machines on which a job's tasks have to fail until the job itself is taken to be at fault.
+/// Number of machines on which a job's tasks have to fail before the job itself is considered at
+/// fault.
 const FAULTY_JOB_MACHINES: usize = 3;
-/// First pause of a job that is at fault. Each further failure doubles it, up to a limit.
+/// Initial backoff of a job that is at fault. Further failures double it, up to a limit.
 const FAULTY_JOB_BACKOFF_MS: Ms = 2_000;
-/// Failures that the pause doesn't grow with.
+/// Number of failures after which each further one doubles the backoff.
 const FAILURES_BEFORE_DOUBLING: u32 = 3;
-/// How often the pause is doubled at most.
+/// Maximum number of times that the backoff is doubled.
 const MAX_BACKOFF_DOUBLINGS: u32 = 5;
 
 /// Which cell runs a job.
@@ -29,9 +30,9 @@
         /// Number of its tasks that run there.
         running: u32,
     },
-    /// This cell, for the cell that the job belongs to.
+    /// This cell, on behalf of the cell that the job belongs to.
     Hosted {
-        /// Whether the newest message of that cell lists the job.
+        /// Whether the latest message of that cell lists the job.
         is_listed: bool,
     },
 }
@@ -45,34 +46,35 @@
     pub team: usize,
     /// Tasks that are done.
     pub done: TaskSet,
-    /// What of that is on record.
+    /// Which of the done tasks are recorded in the store.
     pub(super) progress: JobProgress,
-    /// Tasks that have had an attempt. They get another one only by way of the retries.
+    /// Tasks that have had an attempt. They get another one only through `retries`.
     attempted: TaskSet,
-    /// No task below this number is without an attempt.
+    /// Lowest number of a task that may not have had an attempt.
     next_new_task: u32,
-    /// Tasks whose attempt is gone without success; the last one comes first.
+    /// Stack of tasks whose attempt is gone without success; the last one is retried first.
     retries: Vec<u32>,
-    /// Failures of its tasks since the last success.
+    /// Number of failures of its tasks since the last success.
     failures: u32,
     /// Machines on which its tasks have failed since the last success.
     failed_on: FxHashSet<InstanceIndex>,
-    /// Until when no task of it is admitted; `Ms::MAX` until that is taken back.
+    /// Time until which none of its tasks is admitted; `Ms::MAX` blocks admission until the value
+    /// is reset.
     pub backoff_until: Ms,
-    /// Whether it is within its team's guarantee, counted with the team's earlier jobs.
+    /// Whether the job, together with the team's earlier jobs, is within the team's guarantee.
     pub is_within_guarantee: bool,
-    /// Time of day from which on it could be started.
+    /// Time of day from which the job could be started.
     pub ready_at_ms: u64,
-    /// Its own priority, or a higher one of a job that depends on it.
+    /// Priority of the job, or a higher one of a job that depends on it.
     pub priority: Priority,
-    /// The write of its final record.
+    /// State of the write of the job's final record.
     pub(super) final_write: WriteState,
-    /// Which cell runs it.
+    /// Which cell runs the job.
     pub location: JobLocation,
 }
 
 impl LiveJob {
-    /// A job of which nothing is known but its description.
+    /// Creates a job of which only the description is known.
     pub(super) fn new(spec: Arc<JobSpec>, team: usize, ready_at_ms: u64) -> LiveJob {
         let tasks = spec.tasks;
         LiveJob {
@@ -99,27 +101,28 @@
         self.done.len() == self.spec.tasks
     }
 
-    /// Seconds since the job could be started, at a time of day in milliseconds.
+    /// Returns the seconds from when the job could be started until `wall_ms`, a time of day in
+    /// milliseconds.
     pub(super) fn age_s(&self, wall_ms: u64) -> f64 {
         wall_ms.saturating_sub(self.ready_at_ms) as f64 / 1000.0
     }
 
-    /// Whether only another cell may run it.
+    /// Whether only another cell may run the job.
     pub(super) fn is_away(&self) -> bool {
         matches!(self.location, JobLocation::Away { .. })
     }
 
-    /// Whether it belongs to another cell.
+    /// Whether the job belongs to another cell.
     pub(super) fn is_hosted(&self) -> bool {
         matches!(self.location, JobLocation::Hosted { .. })
     }
 
-    /// Whether its tasks may be admitted here, as far as other cells are concerned.
+    /// Whether the job's location allows its tasks to be admitted in this cell.
     pub(super) fn is_schedulable(&self) -> bool {
         matches!(self.location, JobLocation::Local | JobLocation::Hosted { is_listed: true })
     }
 
-    /// Takes over from the job's record which cell runs it.
+    /// Updates which cell runs the job from the job's record.
     pub(super) fn update_location(&mut self, job: &Job) {
         self.location = match (job.is_away(), job.origin(), self.location) {
             (true, _, JobLocation::Away { running }) => JobLocation::Away { running },
@@ -130,13 +133,13 @@
         };
     }
 
-    /// Takes in a record of its progress, as hexadecimal digits.
+    /// Applies a progress record; `bits` are hexadecimal digits.
     pub(super) fn apply_progress(&mut self, segment: ProgressSegment, bits: &str, version: u64) {
         self.done.add_hex(segment.first_word(), bits);
         self.progress.apply_record(segment, bits, version);
     }
 
-    /// Takes in tasks that are done in another cell, as hexadecimal digits.
+    /// Marks the tasks as done that another cell has finished; `bits` are hexadecimal digits.
     pub(super) fn take_done_elsewhere(&mut self, bits: &str) {
         let mut done = TaskSet::with_capacity(self.spec.tasks);
         done.add_hex(0, bits);
@@ -145,14 +148,14 @@
         }
     }
 
-    /// Takes in that all tasks are done in another cell.
+    /// Marks all tasks as done after another cell has finished them.
     pub(super) fn take_all_done_elsewhere(&mut self) {
         for task in 0..self.spec.tasks {
             self.finish_task(task);
         }
     }
 
-    /// Takes in that a task is done; whether that was not known yet.
+    /// Marks a task as done. Returns whether it was not marked before.
     fn finish_task(&mut self, task: u32) -> bool {
         let is_new = self.done.insert(task);
         if is_new {
@@ -161,7 +164,7 @@
         is_new
     }
 
-    /// Takes in that an attempt at a task has succeeded; whether the task was not done yet.
+    /// Handles the success of an attempt at a task. Returns whether the task was not done before.
     pub(super) fn on_task_succeeded(&mut self, task: u32) -> bool {
         let is_new = self.finish_task(task);
         if is_new {
@@ -171,8 +174,8 @@
         is_new
     }
 
-    /// Takes in that an attempt has failed on a machine; whether the job itself is taken to be
-    /// at fault. Then it is paused.
+    /// Handles the failure of an attempt on a machine. Returns whether the job itself is
+    /// considered at fault, in which case it backs off.
     pub(super) fn on_task_failed(&mut self, now: Ms, machine: InstanceIndex) -> bool {
         self.failures += 1;
         self.failed_on.insert(machine);
@@ -185,7 +188,7 @@
         is_at_fault
     }
 
-    /// The next task that needs an attempt.
+    /// Returns the next task that needs an attempt.
     pub(super) fn next_task(&mut self) -> Option<u32> {
         while let Some(&task) = self.retries.last() {
             if !self.done.contains(task) {
@@ -202,7 +205,7 @@
         None
     }
 
-    /// Takes the task that [`LiveJob::next_task`] returns.
+    /// Marks the task that [`LiveJob::next_task`] returns as attempted, and returns it.
     pub(super) fn admit_next_task(&mut self) -> Option<u32> {
         let task = self.next_task()?;
         if self.retries.last() == Some(&task) {
@@ -214,12 +217,12 @@
         Some(task)
     }
 
-    /// Notes that a task has an attempt that this leader has not made.
+    /// Marks a task as attempted whose attempt this leader has not created.
     pub(super) fn mark_attempted(&mut self, task: u32) {
         self.attempted.insert(task);
     }
 
-    /// Notes that a task has an attempt after all, so that it needs no retry.
+    /// Removes a task from the retries, as an attempt at it has turned out to exist.
     pub(super) fn cancel_retry(&mut self, task: u32) {
         self.retries.retain(|queued| *queued != task);
     }
@@ -231,7 +234,7 @@
         }
     }
 
-    /// Number of tasks that need an attempt, counted up to `most`.
+    /// Returns the number of tasks that need an attempt, but at most `most`.
     pub(super) fn waiting(&self, most: u32) -> u32 {
         let mut waiting = self.retries.iter().filter(|task| !self.done.contains(**task)).count() as u32;
         let mut task = self.next_new_task;
--- a/src/core/leader/order.rs
+++ b/src/core/leader/order.rs
@@ -1,8 +1,8 @@
-//! The order in which waiting jobs are served by a scheduling cycle.
+//! The order in which a scheduling cycle serves waiting jobs.
 //!
-//! By priority first, then by the slack until the next service-level objective that the job
-//! can still meet. Priority and deadline of a job include what it inherits from jobs that
-//! depend on it.
+//! Jobs are sorted by priority, then by the slack until the next service-level objective that
+//! they can still meet. Priority and deadline of a job include those that it inherits from jobs
+//! that depend on it.
 
 use super::Leader;
 use super::live_jobs::LiveJob;
@@ -13,13 +13,13 @@
 use rustc_hash::FxHashSet;
 use std::cmp::Reverse;
 
-/// A job without an objective should start this long after it could be started.
+/// Target time to start of a job without an objective, counted from when it became ready.
 const DEFAULT_START_WITHIN_S: f64 = 60.0;
-/// Sums of decimals drift; a team at its guarantee is still within it.
+/// Tolerance for rounding errors in sums, so that a team exactly at its guarantee is within it.
 const GUARANTEE_TOLERANCE: f64 = 1e-6;
 
 impl Leader {
-    /// Jobs with a task to admit, the most urgent first.
+    /// Returns the jobs that have a task to admit, the most urgent first.
     pub(super) fn jobs_by_urgency(&mut self, context: &NodeContext) -> Vec<JobIndex> {
         let within_guarantee = self.jobs_within_guarantee(context);
         let inherited_urgency = self.inherited_urgency(context);
@@ -37,7 +37,7 @@
             live.is_within_guarantee = within_guarantee.contains(job);
             live.priority = inherited.map_or(live.spec.priority, |urgency| urgency.priority);
             let run_s = expected_run_s(&self.ratios, &live.spec);
-            // What the end of a pipeline needs in time, each stage before it needs earlier.
+            // For a pipeline to finish in time, each earlier stage has to finish sooner.
             let inherited_slack_s = inherited
                 .and_then(|urgency| urgency.finish_by_s)
                 .map(|finish_by_s| finish_by_s - wall_ms as f64 / 1000.0 - run_s)
@@ -55,8 +55,8 @@
         order.into_iter().map(|(_, job)| job).collect()
     }
 
-    /// Jobs that are within their team's guarantee, counting the team's jobs in the order in
-    /// which they became ready, and those of other cells after its own.
+    /// Returns the jobs that are within their team's guarantee. A team's jobs are counted in the
+    /// order in which they became ready, jobs of other cells after those of this cell.
     fn jobs_within_guarantee(&self, context: &NodeContext) -> FxHashSet<JobIndex> {
         let teams = &context.platform.cluster.teams;
         let local = self.jobs.iter().filter(|(_, live)| !live.is_away());
@@ -77,8 +77,8 @@
     }
 }
 
-/// What all tasks of a job that are not done take together; memory for one task only, as it
-/// has no guarantee.
+/// Returns the total demand of a job's tasks that are not done. Memory is counted for one task
+/// only, as it has no guarantee.
 fn remaining_demand(live: &LiveJob) -> Resources {
     let remaining = f64::from(live.spec.tasks - live.done.len());
     let mut demand = live.spec.demand();
@@ -91,9 +91,9 @@
     demand.cpus <= team.cpus + GUARANTEE_TOLERANCE && demand.gpus <= team.gpus + GUARANTEE_TOLERANCE
 }
 
-/// Seconds until a job must start to meet the next of its service-level objectives that it
-/// can still meet; `None` if all are missed. Those don't count: serving late work before work
-/// that can still be in time would only make both late.
+/// Returns the seconds until a job must start to meet the next of its service-level objectives
+/// that it can still meet, or `None` if all are missed. Missed objectives are ignored: serving
+/// late work before work that can still be in time would only make both late.
 fn objective_slack_s(objectives: &[Objective], live: &LiveJob, wall_ms: u64, run_s: f64) -> Option<f64> {
     let age_s = live.age_s(wall_ms);
     let mut slacks_s = objectives
@@ -112,9 +112,9 @@
     objective.class.as_ref().is_none_or(|class| *class == spec.class)
 }
 
-/// How long after it became ready a job must start to meet an objective, in seconds; `None`
-/// if the objective says nothing about it. A deadline counts from the submission, so what the
-/// job has waited for its dependencies is taken off.
+/// Returns how many seconds after it became ready a job must start to meet an objective, or
+/// `None` if the objective sets no limit for the job. A deadline counts from the submission, so
+/// the time that the job has waited for its dependencies is subtracted.
 fn start_within_s(objective: &Objective, live: &LiveJob, run_s: f64) -> Option<f64> {
     match objective.kind.as_str() {
         "deadline" => {
@@ -129,7 +129,7 @@
     }
 }
 
-/// The shorter of two times, if there is any.
+/// Returns the shorter of two times, or the only one that is given.
 fn shorter(left: Option<f64>, right: Option<f64>) -> Option<f64> {
     match (left, right) {
         (Some(left), Some(right)) => Some(left.min(right)),
--- a/src/core/leader/persistence.rs
+++ b/src/core/leader/persistence.rs
@@ -1,7 +1,7 @@
-//! Records that the leader keeps for others: the catalog for every user API node, and the
-//! fleet for the leaders after it.
+//! Writes of records that the leader keeps for others: the catalog for all user API nodes, and
+//! the fleet record for later leaders.
 //!
-//! Called by the fleet, which also decides when to write again after a failure.
+//! The fleet module calls these functions and also decides when to retry a failed write.
 
 use super::rebuild::FLEET_KEY;
 use super::{FleetRecord, Leader, LeaderCall};
@@ -12,11 +12,11 @@
 use crate::wire::encoded::Encoded;
 use crate::wire::store::{CompareAndSwap, Mutation};
 
-/// Mutations of one write of the catalog at most.
+/// Maximum number of mutations in one write of the catalog.
 const MAX_CATALOG_MUTATIONS: usize = 8;
 
-/// Divides machine types into as few lists as possible whose JSON texts have at most `limit`
-/// bytes. A type that is too long alone gets a list of its own.
+/// Divides machine types, in order, into as few lists as possible whose JSON texts have at most
+/// `limit` bytes. A type that exceeds the limit by itself gets a list of its own.
 fn split_catalog(types: &[cloud::MachineType], limit: usize) -> Vec<Encoded> {
     let brackets = 2;
     let mut lists: Vec<Vec<Encoded>> = vec![Vec::new()];
@@ -37,8 +37,8 @@
 }
 
 impl Leader {
-    /// Writes the machine types of the catalog. They go into several records only where one
-    /// would be too long: the version before reads the first record alone.
+    /// Writes the machine types of the catalog. They are divided among several records only if
+    /// one record would be too long, because the previous version reads only the first record.
     pub(super) fn save_catalog(&mut self, context: &mut NodeContext, types: Vec<cloud::MachineType>) {
         let state = &context.platform.cluster.state;
         let limit_kb = if self.has_lowered_limits { state.value_kb } else { state.today_kb };
@@ -54,16 +54,16 @@
         }
     }
 
-    /// Writes the record of the fleet, shortened to the limit on values: a record beyond it
-    /// would be rejected window after window. With many machine types, or hundreds of machines
+    /// Writes the fleet record, shortened to the store's limit on the size of a value, as a longer
+    /// record would be rejected in every window. With many machine types, or hundreds of machines
     /// of each, the history gets long.
     pub(super) fn save_fleet(&mut self, context: &mut NodeContext, mut record: FleetRecord) {
         let limit = context.platform.cluster.state.value_bytes();
         let is_too_long =
             |record: &FleetRecord| serde_json::to_string(record).map_or(0, |text| text.len()) > limit;
         while is_too_long(&record) && record.history.shorten() {}
-        // There may be any number of classes, as users name them; of all that is stored, the
-        // learned run times are the least loss.
+        // Users choose the names of classes, so their number is unlimited. The learned run times
+        // are the least valuable part of the record.
         while is_too_long(&record) && record.ratios.pop_last().is_some() {}
         while is_too_long(&record) && record.counts.pop_last().is_some() {}
         let value = Encoded::new(&record);
@@ -71,7 +71,7 @@
         self.send_write(context, LeaderCall::SaveFleet, vec![mutation]);
     }
 
-    /// Sends a write that is executed only while this leader's term lasts.
+    /// Sends a write that takes effect only while this leader's term lasts.
     fn send_write(&self, context: &mut NodeContext, call: LeaderCall, mutations: Vec<Mutation>) {
         let request = CompareAndSwap { compares: vec![self.compare_term()], mutations };
         context.send_store_request(StoreCallOwner::Leader(call), StoreRequest::CompareAndSwap(request));
