--- a/src/core/leader/preemption.rs
+++ b/src/core/leader/preemption.rs
@@ -1,9 +1,9 @@
 //! Preemption: stopping running tasks in favor of jobs that have waited long.
 //!
-//! Jobs of lower priority give way to one that has not started yet, and what other teams use
-//! beyond their guarantee gives way to work within a guarantee. The tasks that lose least are
-//! stopped, few at a time, and none while earlier ones are still stopping. Preemption only
-//! marks attempts as no longer wanted; their capacity is admitted anew by a later cycle.
+//! A job that has not started may preempt jobs of lower priority, and work within a guarantee may
+//! preempt other teams' usage beyond their guarantee. The tasks that lose the least run time are
+//! stopped, few at a time, and none while earlier ones are still stopping. Preemption only marks
+//! attempts as no longer wanted; a later cycle admits tasks to the freed capacity.
 
 use super::Leader;
 use super::attempts::Attempt;
@@ -16,49 +16,50 @@
 use rustc_hash::{FxHashMap, FxHashSet};
 use std::sync::Arc;
 
-/// Tasks stopped in one cycle at most.
+/// Maximum number of tasks that one cycle stops.
 const MAX_STOPPED_TASKS: usize = 6;
-/// Waiting jobs that one cycle tries to make way for.
+/// Maximum number of waiting jobs for which one cycle tries to preempt tasks.
 const MAX_PREEMPTORS: usize = 16;
-/// Pause between a preemption and the next one.
+/// Minimum time between two preemptions.
 const PREEMPTION_GAP_MS: Ms = 1_000;
-/// Work taken to be lost by a task that resumes from a checkpoint.
+/// Assumed run time lost by a task that resumes from a checkpoint.
 const CHECKPOINTED_LOSS_MS: Ms = 1_000;
-/// What a task that starts again loses beside the time that it has run.
+/// Assumed time that a task without checkpoints loses by restarting, in addition to its run time
+/// so far.
 const RESTART_LOSS_MS: Ms = 2_000;
 
-/// What the preemptions of one cycle work with.
+/// Working state of the preemptions in one cycle.
 struct PreemptionState<'a> {
     free_capacity: &'a FreeCapacity,
     /// Attempts that may be stopped, by the instance that they are on.
     stoppable: FxHashMap<InstanceIndex, Vec<AttemptId>>,
-    /// By index of the team; without the tasks that are stopped.
+    /// Resources in use by index of the team, without the tasks that are being stopped.
     used_by_team: Vec<Resources>,
     /// Tasks that may still be stopped in this cycle.
     budget: usize,
 }
 
-/// A waiting job that others may have to give way to.
+/// A waiting job that may preempt others.
 struct Preemptor {
     job: JobIndex,
     spec: Arc<JobSpec>,
     team: usize,
     priority: Priority,
     is_within_guarantee: bool,
-    /// No task of it is done or on a machine.
+    /// Whether none of its tasks is done or on a machine.
     is_unstarted: bool,
 }
 
-/// Attempts on one machine that together free enough for a task.
+/// Attempts on one machine that together free enough capacity for one task.
 struct Victims {
-    /// Run time that is lost by stopping them.
+    /// Total run time lost by stopping the attempts.
     cost_ms: Ms,
     attempts: Vec<AttemptId>,
 }
 
 impl Leader {
-    /// Stops tasks where that lets jobs start that have waited too long. `waiting` lists the
-    /// jobs with tasks that the cycle didn't admit, `used_by_team` what each team uses.
+    /// Stops tasks to make room for jobs that have waited too long. `waiting` lists the jobs with
+    /// tasks that the cycle has not admitted, `used_by_team` the resources that each team uses.
     pub(super) fn preempt(
         &mut self,
         context: &NodeContext,
@@ -93,7 +94,7 @@
         }
     }
 
-    /// Waiting jobs that are old enough to preempt others.
+    /// Returns the waiting jobs that are old enough to preempt others.
     fn overdue_jobs(&self, context: &NodeContext, waiting: &[WaitingJob]) -> Vec<JobIndex> {
         let is_overdue =
             |live: &LiveJob| live.age_s(context.clock.wall()) >= context.operator.preempt_after_s;
@@ -104,7 +105,8 @@
             .collect()
     }
 
-    /// The jobs that this cycle looks at: all, or of very many some, each cycle the next ones.
+    /// Returns the jobs that this cycle considers: all of them or, if there are too many, a subset
+    /// that rotates from cycle to cycle.
     fn select_for_cycle(&self, overdue: &[JobIndex]) -> Vec<JobIndex> {
         let is_limited = overdue.len() > MAX_PREEMPTORS;
         let skipped = if is_limited { self.cycles as usize * MAX_PREEMPTORS % overdue.len() } else { 0 };
@@ -112,7 +114,8 @@
         overdue.iter().copied().cycle().skip(skipped).take(count).collect()
     }
 
-    /// Attempts on a known instance, by that instance.
+    /// Returns the attempts that may be stopped, by instance: those that are wanted, occupy
+    /// capacity and are bound to an instance.
     fn stoppable_attempts(&self) -> FxHashMap<InstanceIndex, Vec<AttemptId>> {
         let mut stoppable: FxHashMap<InstanceIndex, Vec<AttemptId>> = FxHashMap::default();
         for (id, attempt) in self.attempts.iter() {
@@ -139,7 +142,8 @@
         })
     }
 
-    /// The cheapest victims on any one machine that make way for a task of the preemptor.
+    /// Returns the cheapest victims on a single machine that make room for a task of the
+    /// preemptor.
     fn choose_victims(
         &self,
         context: &NodeContext,
@@ -157,8 +161,8 @@
             .min_by_key(|victims| victims.cost_ms)
     }
 
-    /// The victims on one machine that make way for a task of the preemptor; `None` if that
-    /// can't be, or if the task fits without any.
+    /// Returns the victims on one machine that make room for a task of the preemptor, or `None` if
+    /// that is impossible or the task fits without stopping any.
     fn victims_on(
         &self,
         context: &NodeContext,
@@ -186,8 +190,8 @@
         (demand.fits_within(&free) && !victims.attempts.is_empty()).then_some(victims)
     }
 
-    /// Run time that is lost by stopping an attempt; `None` if it doesn't have to give way to
-    /// the preemptor.
+    /// Returns the run time that is lost by stopping an attempt, or `None` if the preemptor may
+    /// not preempt it.
     fn preemption_cost(
         &self,
         context: &NodeContext,
@@ -197,8 +201,8 @@
     ) -> Option<Ms> {
         let attempt = self.attempts.get(id).filter(|attempt| attempt.is_wanted)?;
         let victim = self.jobs.get(&attempt.job)?;
-        // Priority alone counts only for a first start: two old jobs would go on stopping
-        // each other.
+        // Priority alone justifies only a first start; otherwise two old jobs would keep
+        // stopping each other.
         let has_lower_priority = preemptor.is_unstarted && victim.priority < preemptor.priority;
         let guaranteed_cpus = context.platform.cluster.teams[victim.team].cpus;
         let cpus_without_it = state.used_by_team[victim.team].cpus - attempt.demand.cpus;
--- a/src/core/leader/quota.rs
+++ b/src/core/leader/quota.rs
@@ -1,6 +1,6 @@
-//! Team quotas: what each team uses, and how many more tasks its quota allows.
+//! Team quotas: the resources that each team uses, and how many more tasks its quota allows.
 //!
-//! Called by the scheduling cycle, preemption, the scale-out plan and the cells.
+//! Used by the scheduling cycle, preemption, the scale-out plan and the cells.
 
 use super::Leader;
 use crate::config::Team;
@@ -8,8 +8,8 @@
 use crate::model::Resources;
 
 impl Leader {
-    /// What each team's attempts take, or may take, on machines; by index of the team in the
-    /// settings.
+    /// Returns the resources that each team's attempts take, or may take, on machines, by index of
+    /// the team in the settings.
     pub(super) fn team_use(&self, context: &NodeContext) -> Vec<Resources> {
         let mut used = vec![Resources::default(); context.platform.cluster.teams.len()];
         for attempt in self.attempts.values().filter(|attempt| attempt.occupies_capacity()) {
@@ -21,8 +21,8 @@
     }
 }
 
-/// How many more tasks of this demand the team's quota allows, given what the team uses. A
-/// quota of 0 allows none. Memory has no quota.
+/// Returns how many more tasks of this demand the team's quota allows, given the resources that
+/// the team uses. A quota of 0 allows none. Memory has no quota.
 pub(super) fn quota_tasks(team: &Team, used: &Resources, demand: &Resources) -> u32 {
     let remaining =
         Resources { cpus: team.cpus_max - used.cpus, gpus: team.gpus_max - used.gpus, mem: f64::MAX };
--- a/src/core/leader/quota_watch.rs
+++ b/src/core/leader/quota_watch.rs
@@ -1,9 +1,9 @@
-//! Watches what teams use against their quotas.
+//! Checks the teams' usage against their quotas.
 //!
-//! Three figures of a team have to agree: what the leader counts is never less than what shard
-//! owners report, and what of it is confirmed is never more than the team's limit. The scheduling
-//! cycle passes what it has counted; a broken rule is logged once as an error, with the team's
-//! attempts and the newest decisions. Every so often the figures are logged as they are
+//! Two rules relate three values of a team: the usage that the leader counts is never less than
+//! the usage that shard owners report, and its confirmed part never exceeds the team's limit. The
+//! scheduling cycle passes the counted usage. A broken rule is logged once as an error, with the
+//! team's attempts and the most recent decisions. The values themselves are logged periodically
 //! (docs/operations.md).
 
 use super::Leader;
@@ -15,29 +15,30 @@
 use crate::wire::peer::ReportedState;
 use std::collections::BTreeMap;
 
-/// Time between two lines with the use of all teams near their limits.
+/// Time between two log lines with the usage of the teams near their limits.
 const SUMMARY_GAP_MS: Ms = 10_000;
-/// A team is near its limit when it uses this share of it.
+/// Share of its limit from which a team is considered near the limit.
 const NEAR_LIMIT_SHARE: f64 = 0.9;
-/// Sums of decimal amounts may be off by this much.
+/// Tolerance for rounding errors in sums of decimal amounts.
 const QUOTA_TOLERANCE: f64 = 1e-6;
-/// Attempts that one error line names.
+/// Maximum number of attempts that one error line lists.
 const MAX_LOGGED_ATTEMPTS: usize = 200;
 
-/// What is known of the teams' use beside the attempts themselves.
+/// State of the quota checks that is kept between scheduling cycles.
 #[derive(Debug, Default)]
 pub(super) struct QuotaWatch {
-    /// By index of the team: whether a broken rule has been logged and still holds.
+    /// Whether a rule is broken, and has been logged, by index of the team.
     is_broken: Vec<bool>,
-    /// By index of the team: jobs refused by the quota since the last summary.
+    /// Number of times since the last summary that a job could not get a task because of the
+    /// quota, by index of the team.
     refused: Vec<u32>,
-    summary: Timer,
-    /// Broken rules that have been logged in this term.
+    summary_timer: Timer,
+    /// Number of broken rules that have been logged in this term.
     pub alarms: u64,
 }
 
 impl QuotaWatch {
-    /// Notes that a job's tasks have to wait for its team's quota.
+    /// Counts a job whose tasks have to wait for the team's quota.
     pub(super) fn count_refusal(&mut self, team: usize) {
         if self.refused.len() <= team {
             self.refused.resize(team + 1, 0);
@@ -45,7 +46,7 @@
         self.refused[team] += 1;
     }
 
-    /// Whether a rule is newly broken for a team.
+    /// Sets whether a rule is broken for a team. Returns whether it is newly broken.
     fn set_broken(&mut self, team: usize, is_broken: bool) -> bool {
         if self.is_broken.len() <= team {
             self.is_broken.resize(team + 1, false);
@@ -56,23 +57,23 @@
 }
 
 impl Leader {
-    /// Compares what the leader counts for each team with the team's limit and with what shard
-    /// owners report.
+    /// Compares the usage that the leader counts for each team with the team's limit and with the
+    /// usage that shard owners report.
     pub(super) fn check_quotas(&mut self, context: &NodeContext, counted: &[Resources]) {
         let reported = self.reported_usage(counted.len());
-        for (place, team) in context.platform.cluster.teams.iter().enumerate() {
-            let misses_reported = exceeds(&reported[place], &counted[place]);
-            let is_over_limit = exceeds_limit(&counted[place], team)
-                && exceeds_limit(&self.confirmed_usage(place), team);
-            if self.quota_watch.set_broken(place, misses_reported || is_over_limit) {
+        for (index, team) in context.platform.cluster.teams.iter().enumerate() {
+            let is_below_reported = exceeds(&reported[index], &counted[index]);
+            let is_over_limit = exceeds_limit(&counted[index], team)
+                && exceeds_limit(&self.confirmed_usage(index), team);
+            if self.quota_watch.set_broken(index, is_below_reported || is_over_limit) {
                 self.quota_watch.alarms += 1;
-                self.log_alarm(context, place, &counted[place], &reported[place]);
+                self.log_alarm(context, index, &counted[index], &reported[index]);
             }
         }
         self.log_summary(context, counted, &reported);
     }
 
-    /// What shard owners have last reported of each team.
+    /// Returns the usage of each team that shard owners have last reported.
     fn reported_usage(&self, teams: usize) -> Vec<Resources> {
         let mut sum = vec![Resources::default(); teams];
         for shard in &self.shards {
@@ -83,8 +84,8 @@
         sum
     }
 
-    /// What a team uses without attempts that may not be on a machine at all: those that only
-    /// records show, and those that have ended and that a later shard owner lists again.
+    /// Returns a team's usage without attempts that may not be on a machine at all: those that
+    /// only records list, and those that have ended but are listed again by a later shard owner.
     fn confirmed_usage(&self, team: usize) -> Resources {
         let mut used = Resources::default();
         for (_, attempt) in self.counted_attempts(team) {
@@ -104,13 +105,13 @@
     fn log_alarm(
         &mut self,
         context: &NodeContext,
-        place: usize,
+        team_index: usize,
         counted: &Resources,
         reported: &Resources,
     ) {
-        let team = &context.platform.cluster.teams[place];
-        let named = self.counted_attempts(place).take(MAX_LOGGED_ATTEMPTS);
-        let attempts: Vec<String> = named
+        let team = &context.platform.cluster.teams[team_index];
+        let listed = self.counted_attempts(team_index).take(MAX_LOGGED_ATTEMPTS);
+        let attempts: Vec<String> = listed
             .map(|(id, attempt)| {
                 let shard = &context.shards[attempt.shard.place()].name;
                 format!("{}/{}@{id} {shard}", context.jobs.id(attempt.job), attempt.task)
@@ -131,18 +132,18 @@
         self.log_newest_decisions(context);
     }
 
-    /// Logs the use of teams that are near their limits or were refused tasks.
+    /// Logs the usage of teams that are near their limits or have been refused tasks.
     fn log_summary(&mut self, context: &NodeContext, counted: &[Resources], reported: &[Resources]) {
         let now = context.clock.now();
-        if !self.quota_watch.summary.is_due(now) {
+        if !self.quota_watch.summary_timer.is_due(now) {
             return;
         }
-        self.quota_watch.summary.set(now + SUMMARY_GAP_MS);
+        self.quota_watch.summary_timer.set(now + SUMMARY_GAP_MS);
         let refused = std::mem::take(&mut self.quota_watch.refused);
         let mut teams: BTreeMap<&str, String> = BTreeMap::new();
-        for (place, team) in context.platform.cluster.teams.iter().enumerate() {
-            let (counted, reported) = (&counted[place], &reported[place]);
-            let refused = refused.get(place).copied().unwrap_or(0);
+        for (index, team) in context.platform.cluster.teams.iter().enumerate() {
+            let (counted, reported) = (&counted[index], &reported[index]);
+            let refused = refused.get(index).copied().unwrap_or(0);
             if refused > 0 || is_near_limit(counted, team) {
                 let figures = format!(
                     "counted {} reported {} of {} CPUs, refused {refused}",
@@ -157,7 +158,7 @@
     }
 }
 
-/// What each team uses in a reported state, by index of the team.
+/// Returns the usage of each team according to a reported state, by index of the team.
 pub(super) fn usage_in_report(teams: &[Team], reported: &ReportedState) -> Vec<Resources> {
     let mut used = vec![Resources::default(); teams.len()];
     let team_of = |name: &str| teams.iter().position(|team| team.name == name);
--- a/src/core/leader/rebuild.rs
+++ b/src/core/leader/rebuild.rs
@@ -1,8 +1,8 @@
-//! Rebuilds what a new leader starts from: the records of placements, of progress and of the
-//! fleet.
+//! Rebuilds the state of a new leader from the placement records, the progress records and the
+//! fleet record.
 //!
-//! All three are read at once. The leader becomes active when it has them all; until then it
-//! decides nothing. A read that fails is repeated from its beginning.
+//! The three kinds are read concurrently. The leader becomes active when all have been read;
+//! until then it makes no decisions. A failed read restarts from the first page.
 
 use super::attempts::{Attempt, Evidence};
 use super::progress::{LoadedSegment, ProgressSegment};
@@ -16,21 +16,21 @@
 use crate::wire::store::{KeyValue, Page, PlacementRecord, RecordedJob, RecordedMachine};
 use woadlever_recovery::disposition::{AttemptDisposition, TaskStatus};
 
-/// Records of one page.
+/// Maximum number of records in one page.
 const PAGE_RECORDS: u32 = 1_000;
-/// Pause after a read that failed.
+/// Delay before a failed read is retried.
 const RETRY_MS: Ms = 200;
-/// Key of the fleet's record.
+/// Key of the fleet record.
 pub(super) const FLEET_KEY: &str = "fleet";
 
-/// The records that a new leader reads.
+/// Kinds of records that a new leader reads.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum RecordKind {
-    /// Where attempts have been placed, by shard.
+    /// The machines on which attempts have been placed, by shard.
     Placements,
     /// Which tasks of live jobs are done.
     Progress,
-    /// The fleet's history.
+    /// The state that the previous leader has left in the fleet record.
     Fleet,
 }
 
@@ -38,7 +38,7 @@
     const ALL: [RecordKind; 3] = [RecordKind::Placements, RecordKind::Progress, RecordKind::Fleet];
 }
 
-/// How far the records of one kind have been read.
+/// State of reading the records of one kind.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 enum LoadState {
     #[default]
@@ -47,7 +47,7 @@
     Loaded,
 }
 
-/// How far the records of all kinds have been read.
+/// State of reading the records of all kinds.
 #[derive(Debug, Default)]
 pub(super) struct RecordLoading {
     placements: LoadState,
@@ -73,7 +73,7 @@
 }
 
 impl Leader {
-    /// Reads the records that have not been read, and activates the leader once all have been.
+    /// Starts the reads that are due, and activates the leader once all records have been read.
     pub(super) fn load_records(&mut self, context: &mut NodeContext) {
         if !self.loading.retry.is_due(context.clock.now()) {
             return;
@@ -90,14 +90,14 @@
         }
     }
 
-    /// Starts to lead, with all records read.
+    /// Activates the leader after all records have been read.
     fn activate(&mut self, context: &mut NodeContext) {
         self.is_active = true;
         self.activated_at = context.clock.now();
         for job in context.jobs.indices() {
             self.sync_job(context, job);
         }
-        // What is left belongs to final jobs that are not in memory.
+        // The remaining progress belongs to final jobs that are not in memory.
         for id in self.unclaimed_progress.keys() {
             context.job_index_or_lookup(id);
         }
@@ -113,7 +113,7 @@
         );
     }
 
-    /// Takes in a response to a read of records.
+    /// Handles the response to a read of records.
     pub(super) fn on_load(
         &mut self,
         context: &mut NodeContext,
@@ -131,7 +131,8 @@
                 self.ratios = record.ratios;
                 self.fleet.resume(context, record.at_ms, record.history);
             }
-            // No window has ever begun: there is no fleet to wait for.
+            // Without a fleet record no window has ever begun, so there are no existing machines
+            // to wait for.
             (RecordKind::Fleet, StoreResponse::NotFound) => {
                 self.fleet.start_without_predecessor(context);
             }
@@ -144,7 +145,7 @@
         *self.loading.state_mut(kind) = LoadState::Loaded;
     }
 
-    /// Takes in a page of records; its last key if another page follows.
+    /// Applies a page of records. Returns its last key if another page follows.
     fn apply_page(&mut self, context: &mut NodeContext, kind: RecordKind, page: Page) -> Option<String> {
         let last_key = page.items.last().map(|item| item.key.clone());
         if kind == RecordKind::Placements {
@@ -163,7 +164,7 @@
     fn apply_progress_item(&mut self, item: &KeyValue) {
         let Some((id, segment)) = ProgressSegment::of_key(&item.key) else { return };
         let Ok(bits) = item.value.decode::<String>() else { return };
-        // Parts are written only under the lower limits.
+        // Records in parts are written only under the store's lower limits.
         self.has_lowered_limits |= segment.is_part();
         let loaded = LoadedSegment { segment, bits, version: item.version };
         self.unclaimed_progress.entry(id.to_string()).or_default().push(loaded);
@@ -172,11 +173,11 @@
     fn apply_placement_item(&mut self, context: &mut NodeContext, item: &KeyValue) {
         match item.value.decode() {
             Ok(record) => self.apply_placement_record(context, &item.key, &record),
-            Err(error) => tracing::error!(key = item.key, %error, "unreadable record"),
+            Err(error) => tracing::error!(key = item.key, %error, "cannot decode placement record"),
         }
     }
 
-    /// Takes in the machines and attempts of a placement record.
+    /// Applies the machines and attempts of a placement record.
     fn apply_placement_record(
         &mut self,
         context: &mut NodeContext,
@@ -216,7 +217,7 @@
         index
     }
 
-    /// Decides which of the recorded attempts go on.
+    /// Decides which of the recorded attempts continue.
     fn reconcile_recorded_attempts(&mut self) {
         self.attempts.drop_superseded();
         for attempt in self.attempts.values_mut() {
@@ -232,7 +233,8 @@
     }
 }
 
-/// Reads records of a kind; of those that come in pages the one after a key.
+/// Sends a read of the records of a kind. For paged kinds, `after` is the key after which the page
+/// begins.
 fn read_records(context: &mut NodeContext, kind: RecordKind, after: Option<String>) {
     let list = |prefix: &str| StoreRequest::List {
         prefix: prefix.to_string(),
@@ -247,7 +249,7 @@
     context.send_store_request(StoreCallOwner::Leader(LeaderCall::Load(kind)), request);
 }
 
-/// An attempt as a placement record has it.
+/// Creates an attempt from a placement record.
 fn recorded_attempt(
     context: &mut NodeContext,
     shard: ShardIndex,
@@ -259,7 +261,7 @@
     let teams = &context.platform.cluster.teams;
     let team = teams.iter().position(|known| known.name == *team);
     Attempt {
-        // A job that is not in memory is final, but its tasks use their machines and their
+        // A job that is not in memory is final, but its tasks occupy their machines and their
         // team's quota until they are proven gone.
         job: context.job_index_or_lookup(id),
         task,
--- a/src/core/leader/reconciliation.rs
+++ b/src/core/leader/reconciliation.rs
@@ -1,9 +1,9 @@
-//! Reconciliation with the states that shard owners report: which attempts there are, how far
-//! they are, and which are gone.
+//! Reconciles the leader's attempts with the states that shard owners report: which attempts
+//! exist, what phase they are in, and which are gone.
 //!
-//! A reported state lists everything that may be in a shard. Attempts that the leader doesn't
-//! know are adopted or stopped, known ones are updated, and one that is not listed is gone once
-//! the reported state answers a desired state that named it.
+//! A reported state lists everything that may be in a shard. Listed attempts that the leader
+//! doesn't know are adopted or stopped, known ones are updated. An attempt that is not listed is
+//! gone once the reported state answers a desired state that named the attempt.
 
 use super::Leader;
 use super::attempt_decisions::{AttemptDecision, Decision};
@@ -18,7 +18,7 @@
     AttemptDisposition, ReportedAttemptStatus, TaskStatus, is_proven_gone,
 };
 
-/// A job of a reported state, looked up once for all its tasks.
+/// A job in a reported state, looked up once for all its tasks.
 struct ReportedJobInfo {
     job: JobIndex,
     team: Option<usize>,
@@ -34,18 +34,18 @@
     }
 }
 
-/// An attempt of a reported state, and where it is.
+/// An attempt in a reported state, with its shard and machine.
 struct ReportedAttempt<'a> {
     shard: ShardIndex,
     machine: InstanceIndex,
     job: &'a ReportedJobInfo,
     task: &'a ReportedTask,
-    /// Whether the machine's heartbeats show the fencing token of the shard's owner.
+    /// Whether the machine's heartbeats carry the fencing token of the shard's owner.
     is_fenced: bool,
 }
 
 impl ReportedAttempt<'_> {
-    /// A decision about the attempt.
+    /// Returns the log entry of a decision about the attempt.
     fn decision_entry(&self, decision: Decision) -> AttemptDecision {
         AttemptDecision {
             attempt: AttemptId::new(self.task.attempt),
@@ -58,8 +58,8 @@
 }
 
 impl Leader {
-    /// Takes in a state that a shard owner reports. Ignored if it is meant for another term, or
-    /// if the sender is not the owner with the present fencing token.
+    /// Handles a state that a shard owner reports. It is ignored if it is meant for another term,
+    /// or if the sender is not the owner with the current fencing token.
     pub(crate) fn on_reported_state(
         &mut self,
         context: &mut NodeContext,
@@ -87,16 +87,16 @@
         from: &str,
         reported: &ReportedState,
     ) -> bool {
-        let place = ShardIndex::new(reported.shard).place();
-        let Some(assignment) = self.shards.get(place) else { return false };
-        let owner = context.shards.owner(place);
+        let index = ShardIndex::new(reported.shard).place();
+        let Some(assignment) = self.shards.get(index) else { return false };
+        let owner = context.shards.owner(index);
         self.is_active
             && Term::new(reported.term) == self.term
             && assignment.fencing_token == Some(FencingToken::new(reported.fencing_token))
             && owner.is_some_and(|owner| owner.record.node == from)
     }
 
-    /// Takes in all machines and tasks of a reported state; the ids of the attempts that it
+    /// Applies all machines and tasks of a reported state. Returns the ids of the attempts that it
     /// lists.
     fn apply_reported_state(
         &mut self,
@@ -127,7 +127,7 @@
         listed
     }
 
-    /// Removes the attempts of a shard that a reported state proves to be gone.
+    /// Removes the attempts of a shard that a reported state proves gone.
     fn remove_gone_attempts(
         &mut self,
         context: &NodeContext,
@@ -177,9 +177,10 @@
     }
 
     /// Adds an attempt that the leader doesn't know. It was bound for an earlier leader and is
-    /// not in the records that this one has read: gone already, known under a newer attempt, or
-    /// never recorded. Nothing that admission checks has been checked for it since (quota,
-    /// zones, capacity), so it goes on only if it is on its machine already.
+    /// not in the records that this leader has read: it was already gone, has been superseded by
+    /// a newer attempt, or was never recorded. This leader has not checked the conditions of
+    /// admission for it (quota, zones, capacity), so it continues only if it is already on its
+    /// machine.
     fn adopt_attempt(&mut self, context: &NodeContext, reported: &ReportedAttempt) {
         let ReportedAttempt {
             shard, machine, job: &ReportedJobInfo { job, team, demand }, task, ..
@@ -194,7 +195,7 @@
         };
         let disposition = AttemptDisposition::of_reported(status, seen);
         let is_wanted = disposition == AttemptDisposition::Keep;
-        // Until it is gone, its task gets no other attempt.
+        // The task gets no other attempt until this one is gone.
         if let Some(live) = live {
             live.mark_attempted(task.task);
             live.cancel_retry(task.task);
@@ -218,7 +219,7 @@
         self.log_decision(context, reported.decision_entry(Decision::Adopted { is_wanted }));
     }
 
-    /// Takes over where an attempt is and how far; whether its phase has changed.
+    /// Updates the machine, run time and phase of an attempt. Returns whether the phase has changed.
     fn update_attempt(&mut self, reported: &ReportedAttempt) -> bool {
         let ReportedAttempt { machine, task, is_fenced, .. } = *reported;
         let Some(attempt) = self.attempts.get_mut(AttemptId::new(task.attempt)) else { return false };
@@ -234,7 +235,7 @@
         has_changed
     }
 
-    /// Takes in a success. The attempt is kept until the success is on record.
+    /// Handles a success. The attempt is kept until the success is recorded.
     fn on_attempt_done(&mut self, reported: &ReportedAttempt) {
         let ReportedAttempt { machine, job, task, .. } = *reported;
         let Some(live) = self.jobs.get_mut(&job.job) else { return };
@@ -246,8 +247,8 @@
         }
     }
 
-    /// Takes in a failure. After failures on several machines the job itself is at fault and is
-    /// paused; otherwise the machine is.
+    /// Handles a failure. After failures on several machines the job itself is considered at fault
+    /// and backs off; otherwise the failure counts against the machine.
     fn on_attempt_failed(&mut self, context: &NodeContext, reported: &ReportedAttempt) {
         let ReportedAttempt { machine, job, task, .. } = *reported;
         self.stop_attempt(AttemptId::new(task.attempt));
--- a/src/core/leader/scale_out_plan.rs
+++ b/src/core/leader/scale_out_plan.rs
@@ -1,9 +1,9 @@
-//! The scale-out plan: machines that the waiting tasks need beyond the capacity that is free,
+//! The scale-out plan: the machines that the waiting tasks need beyond the capacity that is free,
 //! booting or requested.
 //!
-//! The planner makes a new one on each look at the fleet. It is both the present need of the
-//! window rule and the bound that scale-out for overloaded machines stays within. A plan
-//! requests nothing itself; the fleet does, and takes what it requests out of the plan.
+//! The planner makes a new plan on each poll of the fleet. The window rule uses it as the current
+//! demand, and scale-out for overloaded machines is limited to it. A plan requests nothing itself;
+//! the fleet requests machines and takes them out of the plan.
 
 use super::fleet::{InstanceKind, InstanceOffer};
 use std::collections::BTreeMap;
@@ -15,17 +15,17 @@
 }
 
 impl ScaleOutPlan {
-    /// The plan that consists of a number of machines for each offer.
+    /// Creates a plan from the number of machines of each offer.
     pub(super) fn new(machines: BTreeMap<InstanceOffer, u32>) -> ScaleOutPlan {
         ScaleOutPlan { machines }
     }
 
-    /// Whether nothing is to be requested.
+    /// Whether the plan contains no machines.
     pub(super) fn is_empty(&self) -> bool {
         self.machines.is_empty()
     }
 
-    /// Number of machines in all.
+    /// Total number of machines.
     pub(super) fn machines(&self) -> u32 {
         self.machines.values().sum()
     }
@@ -41,14 +41,14 @@
         self.machines.iter().map(|(offer, count)| (offer, *count))
     }
 
-    /// Takes one machine of a kind out of the plan.
+    /// Takes one machine of a kind out of the plan and returns its offer.
     pub(super) fn take(&mut self, kind: InstanceKind) -> Option<InstanceOffer> {
         let offer = self.machines.keys().find(|offer| offer.kind() == kind)?.clone();
         self.take_one(&offer);
         Some(offer)
     }
 
-    /// Takes one machine of the first offer out of the plan.
+    /// Takes one machine of the first offer out of the plan and returns that offer.
     pub(super) fn take_first(&mut self) -> Option<InstanceOffer> {
         let offer = self.machines.keys().next()?.clone();
         self.take_one(&offer);
--- a/src/core/leader/scale_out_planner.rs
+++ b/src/core/leader/scale_out_planner.rs
@@ -1,7 +1,7 @@
 //! Makes the scale-out plan: packs the waiting tasks onto capacity that is free, booting or
-//! requested, and plans the cheapest machines for those that are left.
+//! requested, and plans the cheapest machines for the remaining tasks.
 //!
-//! Called on each look at the fleet. It changes nothing.
+//! Called on each poll of the fleet. It does not change the leader's state.
 
 use super::Leader;
 use super::fleet::{InstanceOffer, InstancePhase};
@@ -15,14 +15,16 @@
 use crate::model::{JobSpec, Resources};
 use rustc_hash::{FxHashMap, FxHashSet};
 
-/// Factor on the price of a type that other work depends on, for work that fits elsewhere.
+/// Factor on the price of a machine type that other work depends on, for work that also fits on
+/// other types.
 const SCARCE_TYPE_PRICE_FACTOR: f64 = 2.0;
-/// Machines that a plan may have at least; one for a larger fleet may have as many as the
-/// fleet. It bounds the time that planning takes, and is more than one window can request.
+/// Lower bound of the maximum number of machines in a plan; for a larger fleet the maximum is the
+/// size of the fleet. The maximum bounds the time that planning takes, and is more than one
+/// window can request.
 const MIN_PLAN_LIMIT_MACHINES: usize = 4_000;
-/// The most that machines which an offer already has raise its cost, as a share of it.
+/// Maximum relative increase of an offer's cost due to the machines that it already has.
 const MAX_SPREAD_PENALTY: f64 = 0.2;
-/// Machines of an offer at which the penalty is half of that.
+/// Number of machines of an offer at which the increase is half of that maximum.
 const HALF_SPREAD_MACHINES: f64 = 20.0;
 
 /// An [`InstanceOffer`] that borrows its zone, so that instances are counted without copies.
@@ -34,8 +36,8 @@
 }
 
 impl Leader {
-    /// The machines to be requested for the waiting tasks, the cheapest ones for what each
-    /// would run.
+    /// Returns the machines to be requested for the waiting tasks, chosen by the lowest cost per
+    /// task that each would run.
     pub(super) fn plan(&self, context: &NodeContext) -> ScaleOutPlan {
         if self.fleet.waiting.is_empty() {
             return ScaleOutPlan::default();
@@ -59,7 +61,8 @@
         planner.into_plan()
     }
 
-    /// Whether there is a waiting job that could run on no machine of the fleet, however free.
+    /// Whether there is a waiting job that could not run on any machine of the fleet, even an
+    /// empty one.
     pub(super) fn has_unschedulable_job(&self, context: &NodeContext) -> bool {
         if self.fleet.waiting.is_empty() {
             return false;
@@ -77,7 +80,8 @@
             .any(|live| is_unschedulable(&live.spec))
     }
 
-    /// What can be requested now, with the number of machines that each offer already has.
+    /// Returns the offers that can be requested now, with the number of machines that each already
+    /// has.
     fn open_offers(&self, context: &NodeContext, free_capacity: &mut FreeCapacity) -> Vec<OpenOffer> {
         let mut existing: FxHashMap<OfferKey, u32> = FxHashMap::default();
         for m in self.fleet.machines.values() {
@@ -108,10 +112,10 @@
         offers
     }
 
-    /// The waiting jobs; those that may use the fewest machine types come first, jobs that may
-    /// use spot instances after all others.
+    /// Returns the waiting jobs, those that may use the fewest machine types first, and jobs that
+    /// may use spot instances after all others.
     ///
-    /// Counted first, a job that may use spot instances would take the on-demand capacity that
+    /// If a job that may use spot instances came first, it would take the on-demand capacity that
     /// the others depend on, and no spot instance would be requested for it.
     fn most_constrained_first(&self, context: &NodeContext) -> Vec<WaitingJob> {
         let mut order: Vec<(bool, usize, WaitingJob)> = self
@@ -136,13 +140,13 @@
     })
 }
 
-/// An offer that the cloud has not refused lately.
+/// An offer that the cloud has not refused recently.
 #[derive(Debug)]
 struct OpenOffer {
     offer: InstanceOffer,
-    /// Its class in the free capacity.
+    /// Index of its machine class in the free capacity.
     class: usize,
-    /// Machines of the fleet from this offer.
+    /// Number of machines of this offer in the fleet.
     existing: u32,
     planned: u32,
     /// Price per hour.
@@ -152,8 +156,8 @@
 }
 
 impl OpenOffer {
-    /// Factor on the cost that spreads machines over equally cheap offers. It stays small even
-    /// where an offer has hundreds of machines, so that cheap offers don't come to look dear.
+    /// Returns a factor on the cost that spreads machines over equally cheap offers. It stays small
+    /// even for an offer with hundreds of machines, so that cheap offers don't appear expensive.
     fn spread_factor(&self) -> f64 {
         let machines = f64::from(self.existing + self.planned);
         1.0 + MAX_SPREAD_PENALTY * machines / (machines + HALF_SPREAD_MACHINES)
@@ -164,18 +168,18 @@
 struct Candidate {
     /// Index of the offer.
     offer: usize,
-    /// Tasks of the job that one machine holds.
+    /// Number of the job's tasks that fit on one machine.
     tasks_per_machine: u32,
     /// Price per hour, with the factor for scarce types.
     price: f64,
 }
 
-/// A plan in the making.
+/// State of making a plan.
 struct Planner {
-    /// Capacity that is free, upcoming or planned.
+    /// Free capacity on existing, upcoming and planned machines.
     free_capacity: FreeCapacity,
     offers: Vec<OpenOffer>,
-    /// Machines that may still be planned.
+    /// Number of machines that may still be planned.
     remaining_machines: usize,
 }
 
@@ -189,14 +193,14 @@
         }
     }
 
-    /// The machines planned for each offer.
+    /// Returns the plan: the number of planned machines of each offer.
     fn into_plan(self) -> ScaleOutPlan {
         let planned = self.offers.into_iter().filter(|open| open.planned > 0);
         ScaleOutPlan::new(planned.map(|open| (open.offer, open.planned)).collect())
     }
 
-    /// Places tasks of a job on capacity that is free, upcoming or already planned; how many
-    /// are left.
+    /// Places tasks of a job on capacity that is free, upcoming or already planned. Returns the
+    /// number of tasks that remain.
     fn place_on_upcoming(
         &mut self,
         context: &NodeContext,
@@ -238,7 +242,7 @@
         }
     }
 
-    /// Offers that a job may use.
+    /// Returns the offers that a job may use.
     fn candidates(&self, context: &NodeContext, spec: &JobSpec) -> Vec<Candidate> {
         let types = &context.machine_types;
         let has_alternative = types.usable_by(spec).any(|machine_type| !types.is_scarce(machine_type));
@@ -251,7 +255,7 @@
             if tasks_per_machine == 0 || !is_allowed {
                 continue;
             }
-            // Rather a type that no other work depends on.
+            // Prefer a type that no other work depends on.
             let avoids_type = types.is_scarce(*machine_type) && has_alternative;
             let factor = if avoids_type { SCARCE_TYPE_PRICE_FACTOR } else { 1.0 };
             candidates.push(Candidate { offer: index, tasks_per_machine, price: open.price * factor });
@@ -259,7 +263,7 @@
         candidates
     }
 
-    /// The offer whose next machine costs least for each of the tasks that it would run.
+    /// Returns the offer whose next machine costs the least per task that it would run.
     fn cheapest_offer(
         &self,
         candidates: &[Candidate],
--- a/src/core/leader/scheduling_cycle.rs
+++ b/src/core/leader/scheduling_cycle.rs
@@ -1,9 +1,10 @@
 //! The scheduling cycle: admission of waiting tasks in batches.
 //!
-//! A cycle looks at all waiting jobs, in the order of priority, guarantee and slack, and
-//! admits the tasks that fit into their team's quota and into free capacity. It creates
-//! attempts; the shard owners learn of them from the next desired state. What it can't admit
-//! is left to preemption and to the scale-out plan. [`Leader::poll`] runs it.
+//! A cycle goes through all waiting jobs, in the order of priority and slack (which takes
+//! guarantees into account), and admits the tasks that fit into their team's quota and into free
+//! capacity. It creates attempts; the shard owners learn of them from the next desired state.
+//! Tasks that it can't admit are left to preemption and to the scale-out plan. [`Leader::poll`]
+//! runs it.
 
 use super::Leader;
 use super::free_capacity::{FreeCapacity, InstanceLocation, best_fit_machines, may_use};
@@ -16,13 +17,14 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// Tasks that one cycle admits at most; the next one follows at once.
+/// Maximum number of tasks that one cycle admits; after that many, the next cycle is due without
+/// waiting for another change.
 const MAX_ADMITTED_TASKS: usize = 400;
-/// Tasks that a starving job gets ahead of all other jobs in one cycle.
+/// Number of tasks that a starving job may get ahead of all other jobs in one cycle.
 const STARVING_JOB_TASKS: u32 = 2;
-/// Every how many cycles the job that has waited longest comes first.
+/// Number of cycles after which the job that has waited longest comes first once.
 const OLDEST_JOB_INTERVAL_CYCLES: u64 = 8;
-/// Up to how many waiting tasks of one job are counted.
+/// Maximum number of waiting tasks of one job that are counted.
 const MAX_WAITING_TASKS: u32 = 2_000;
 
 /// A job with tasks that wait for capacity.
@@ -30,26 +32,26 @@
 pub(crate) struct WaitingJob {
     /// The job.
     pub job: JobIndex,
-    /// Number of the tasks that its team's quota allows.
+    /// Number of waiting tasks that its team's quota allows.
     pub tasks: u32,
 }
 
-/// What one cycle has used up so far.
+/// Free capacity, quota usage and admissions during one cycle.
 struct CycleState {
     free_capacity: FreeCapacity,
-    /// By index of the team.
+    /// Resources in use by index of the team.
     used_by_team: Vec<Resources>,
-    /// Tasks admitted in this cycle.
+    /// Number of tasks admitted in this cycle.
     admitted: usize,
 }
 
-/// What has come of one job in a cycle.
+/// Result of the admission of one job in a cycle.
 struct JobAdmission {
     spec: Arc<JobSpec>,
     zones: ZoneConstraints,
-    /// Tasks admitted of it.
+    /// Number of its tasks that were admitted.
     admitted: u32,
-    /// How many more tasks would have been allowed.
+    /// Number of further tasks that the quota would have allowed.
     remaining_quota: u32,
 }
 
@@ -87,8 +89,8 @@
         self.fleet.waiting = waiting;
     }
 
-    /// Admits the first tasks of a starving job. If none fits, a machine is reserved for it.
-    /// The job's other tasks have their turn in the ordinary order.
+    /// Admits the first tasks of a starving job. If none fits, a machine is reserved for the job.
+    /// Its other tasks are admitted in the regular order.
     fn admit_starving_job(&mut self, context: &NodeContext, cycle: &mut CycleState, job: JobIndex) {
         let Some(admission) = self.admit_job(context, cycle, job, Some(STARVING_JOB_TASKS)) else {
             return;
@@ -98,16 +100,16 @@
         }
     }
 
-    /// Admits tasks of a job in its ordinary turn. Returns how many of its tasks are still
-    /// waiting although the quota allows them.
+    /// Admits tasks of a job in the regular order. Returns how many of its tasks are still waiting
+    /// although the quota allows them.
     fn admit_in_order(&mut self, context: &NodeContext, cycle: &mut CycleState, job: JobIndex) -> u32 {
         let Some(admission) = self.admit_job(context, cycle, job, None) else { return 0 };
         let most = admission.remaining_quota.min(MAX_WAITING_TASKS);
         self.jobs.get(&job).map_or(0, |live| live.waiting(most))
     }
 
-    /// Admits tasks of a job onto the machines that fit them best, within the team's quota
-    /// and `max_tasks`. `None` if the leader doesn't know the job.
+    /// Admits tasks of a job to the machines that fit them best, within the team's quota and
+    /// `max_tasks`. Returns `None` if the leader doesn't know the job.
     fn admit_job(
         &mut self,
         context: &NodeContext,
@@ -129,7 +131,8 @@
             0 => Vec::new(),
             _ => best_fit_machines(context, &mut cycle.free_capacity, &spec),
         };
-        // A machine that takes one task is the better fit for the next one.
+        // A machine that has received a task fits the next one even better, so it stays first
+        // until it is full.
         let mut machines = machines.into_iter().peekable();
         let mut admitted = 0;
         while admitted < quota && cycle.admitted < MAX_ADMITTED_TASKS {
@@ -149,7 +152,7 @@
         Some(JobAdmission { spec, zones, admitted, remaining_quota: quota - admitted })
     }
 
-    /// Admits the next task of a job: creates an attempt at it on an instance.
+    /// Admits the next task of a job by creating an attempt at it on an instance.
     fn admit_task(
         &mut self,
         context: &NodeContext,
@@ -163,12 +166,12 @@
         self.new_attempt(context, job, task, location);
     }
 
-    /// Jobs that get tasks ahead of all others in this cycle: those that have waited long
-    /// without a single task on a machine, the longest first, at most one of each team; and
-    /// every few cycles the job that has waited longest of all.
+    /// Returns the jobs that get tasks ahead of all others in this cycle: those that have waited
+    /// long without a single task on a machine, the longest waiting first, at most one per team;
+    /// and every few cycles the job that has waited longest of all.
     ///
-    /// The ordinary order puts late work and low priorities last without end. This gets each
-    /// job started, and later finished, whatever else arrives.
+    /// The regular order could place late work and low priorities last forever. This function
+    /// ensures that each job is started, and later finished, whatever else arrives.
     fn starving_jobs(&mut self, context: &NodeContext, order: &[JobIndex]) -> Vec<JobIndex> {
         self.cycles += 1;
         let mut overdue: Vec<(u64, JobIndex)> = order
@@ -198,13 +201,13 @@
         starving
     }
 
-    /// Jobs with an attempt that is, or may be, on a machine.
+    /// Returns the jobs that have an attempt that is, or may be, on a machine.
     pub(super) fn jobs_on_machines(&self) -> FxHashSet<JobIndex> {
         self.attempts.values().filter(|a| a.occupies_capacity()).map(|a| a.job).collect()
     }
 
-    /// Divides the tasks that found no free capacity among the shards whose machines could
-    /// run them, so that the shard owners count them in their projection of load.
+    /// Divides the tasks for which there is no free capacity among the shards whose machines could
+    /// run them, so that the shard owners include them in their load projection.
     fn distribute_waiting_tasks(
         &mut self,
         context: &NodeContext,
@@ -229,14 +232,15 @@
                 }
             }
         }
-        // Not urgent: sent along with the next desired state, whenever that is due.
+        // This is not urgent, so the shards are not marked dirty: the next desired state carries
+        // the waiting tasks whenever it is due.
         for (shard, waiting) in self.shards.iter_mut().zip(by_shard) {
             shard.waiting = waiting;
         }
     }
 }
 
-/// Instances by class and shard.
+/// Counts the instances by class and shard.
 fn count_machines(free_capacity: &FreeCapacity) -> BTreeMap<(usize, ShardIndex), u32> {
     let mut counts: BTreeMap<(usize, ShardIndex), u32> = BTreeMap::new();
     for machine in &free_capacity.machines {
@@ -247,8 +251,8 @@
     counts
 }
 
-/// Divides `count` in proportion to the weights. Shares are rounded up, the last ones get
-/// what is left; all are 0 if all weights are.
+/// Divides `count` in proportion to the weights. Shares are rounded up, so that the last ones get
+/// the remainder; all shares are 0 if all weights are.
 fn divide(count: u32, weights: &[u32]) -> Vec<u32> {
     let sum: u32 = weights.iter().sum();
     let mut remaining = count;
--- a/src/core/leader/shards.rs
+++ b/src/core/leader/shards.rs
@@ -1,8 +1,9 @@
-//! Assignment of shards to nodes: each shard has one owner, and is moved when that node is
-//! lost or when its home node is back.
+//! Assignment of shards to nodes: each shard has one owner, and is reassigned when that node is
+//! lost or when the shard's home node is back.
 //!
-//! The leader decides and writes the record; a node becomes the owner by seeing the record. Its
-//! version is the fencing token. Called from the leader's poll.
+//! The leader chooses the owner and writes the shard record; a node becomes the owner when it
+//! sees the record. The version of the record is the fencing token. The leader's poll runs the
+//! assignment.
 
 use super::scheduling_cycle::WaitingJob;
 use super::write_state::WriteState;
@@ -15,16 +16,17 @@
 use crate::wire::encoded::Encoded;
 use crate::wire::store::{Compare, CompareAndSwap, Mutation, ShardRecord};
 
-/// How long a new leader waits to hear from the recorded owners before it replaces them.
+/// Grace period in which a new leader waits for the recorded owners before it replaces them.
 const OWNER_GRACE_MS: Ms = 2_500;
-/// How long a node must have been heard before shards move back to it.
+/// Time that a node must have been heard continuously before shards move back to it.
 const STABLE_AFTER_MS: Ms = 6_000;
-/// A node that the store has not answered for this long, while it answers the leader, can't
-/// own shards, as it can record no placement.
+/// Time after which a node that the store does not answer can't own shards, as it can't record
+/// placements. It applies only while the store answers the leader.
 const OWNER_STORE_SILENCE_MS: Ms = 4_000;
-/// Silence of the store towards the leader beyond which that says nothing about a node.
+/// Time without an answer from the store to the leader after which the silence of the store
+/// towards a node no longer indicates a fault of that node.
 const LEADER_STORE_SILENCE_MS: Ms = 1_500;
-/// Pause after a write of an assignment.
+/// Delay after a write of a shard's assignment before the next one.
 const ASSIGNMENT_GAP_MS: Ms = 300;
 
 /// An instance whose termination the cloud has confirmed.
@@ -36,33 +38,33 @@
     pub confirmed_at: Ms,
 }
 
-/// What the leader knows of a shard, and what it has sent to the owner.
+/// The leader's state of a shard, including the desired state last sent to the owner.
 #[derive(Debug)]
 pub(crate) struct ShardAssignment {
     /// Serial of the last desired state.
     pub(super) serial: u64,
     /// Whether the desired state has changed since it was last sent.
     pub dirty: bool,
-    /// When the desired state was last sent, if it was.
+    /// When the desired state was last sent; `None` before the first time.
     pub(super) sent_at: Option<Ms>,
-    /// Attempts in the last desired state.
+    /// Number of attempts in the last desired state.
     pub(super) attempts_sent: usize,
     /// Fencing token of the shard's owner, if it has one.
     pub(super) fencing_token: Option<FencingToken>,
     /// Whether the owner with this token has reported its whole state.
     pub has_reported: bool,
-    /// What each team uses in the last reported state, by index of the team.
+    /// Usage of each team according to the last reported state, by index of the team.
     pub(super) reported_usage: Vec<Resources>,
     /// Instances whose termination the cloud has confirmed.
     pub gone: Vec<GoneInstance>,
-    /// Waiting tasks that the owner counts in its projection of load.
+    /// Waiting tasks that the owner includes in its load projection.
     pub waiting: Vec<WaitingJob>,
-    /// The write of the shard's record.
+    /// State of the write of the shard's record.
     pub(super) write: WriteState,
 }
 
 impl ShardAssignment {
-    /// A shard of which nothing is known yet, at the start of a term.
+    /// Creates the state of a shard at the start of a term, when nothing is known about it.
     pub(super) fn new() -> ShardAssignment {
         ShardAssignment {
             serial: 0,
@@ -80,8 +82,8 @@
 }
 
 impl Leader {
-    /// Assigns shards that have no owner, a lost one, or one that is not their home, to nodes
-    /// that are alive.
+    /// Assigns shards to live nodes if they have no owner, if their owner is lost, or if it is not
+    /// their home node.
     pub(super) fn assign_shards(&mut self, context: &mut NodeContext) {
         for shard in (0..self.shards.len()).map(ShardIndex::at) {
             let owner = context.shards.owner(shard.place()).cloned();
@@ -103,8 +105,8 @@
         }
     }
 
-    /// Notes the fencing token of a shard. With a new one the owner knows only what is in the
-    /// records, so that everything is sent again.
+    /// Updates the fencing token of a shard. An owner with a new token knows only the contents of
+    /// the records, so the whole state is exchanged again.
     fn update_fencing_token(&mut self, index: ShardIndex, fencing_token: Option<FencingToken>) {
         let shard = &mut self.shards[index.place()];
         if shard.fencing_token == fencing_token {
@@ -120,7 +122,7 @@
         }
     }
 
-    /// The node that a shard should be assigned to now; `None` to leave it as it is.
+    /// Returns the node that a shard should be assigned to now, or `None` to keep its owner.
     fn choose_reassignment(
         &self,
         context: &NodeContext,
@@ -169,8 +171,8 @@
         );
     }
 
-    /// Takes in that the write of a shard's record has been answered. The outcome is seen in
-    /// the record.
+    /// Handles the answer to a write of a shard's record. The outcome is taken from the record
+    /// itself.
     pub(super) fn on_shard_assigned(&mut self, context: &mut NodeContext, shard: ShardIndex) {
         let pause = context.jitter(ASSIGNMENT_GAP_MS);
         if let Some(shard) = self.shards.get_mut(shard.place()) {
@@ -178,7 +180,8 @@
         }
     }
 
-    /// Whether a node, in a certain incarnation if one is given, is able to own shards.
+    /// Whether a node is able to own shards; if an incarnation is given, the node must still be in
+    /// that incarnation.
     fn is_node_alive(&self, context: &NodeContext, node: &str, incarnation: Option<u64>) -> bool {
         if node == context.node {
             return incarnation.is_none_or(|expected| expected == context.incarnation);
@@ -204,20 +207,20 @@
             && peer.is_some_and(|peer| peer.heard_since + STABLE_AFTER_MS < context.clock.now())
     }
 
-    /// The node that should own a shard, among those that are alive: its home, then nodes in
-    /// the shard's zone, then those that own the fewest shards.
+    /// Chooses the owner of a shard among the live nodes: its home node first, then nodes in the
+    /// shard's zone, then those that own the fewest shards. `excluded` is never chosen.
     fn choose_owner(
         &self,
         context: &NodeContext,
         shard: ShardIndex,
-        except: Option<&str>,
+        excluded: Option<&str>,
     ) -> Option<String> {
         let shard = &context.shards[shard.place()];
         let peers = context.platform.peers.iter().map(|p| (p.node.as_str(), p.zone.as_str()));
         let this_node = (context.node.as_str(), context.platform.zone.as_str());
         peers
             .chain([this_node])
-            .filter(|(node, _)| Some(*node) != except && self.is_node_alive(context, node, None))
+            .filter(|(node, _)| Some(*node) != excluded && self.is_node_alive(context, node, None))
             .min_by_key(|(node, zone)| {
                 let is_home = shard.home.as_deref() == Some(*node);
                 let is_in_zone = *zone == shard.zone;
--- a/src/core/leader/task_counts.rs
+++ b/src/core/leader/task_counts.rs
@@ -1,5 +1,5 @@
-//! Announces how many tasks of each live job are done and running. All nodes answer users by
-//! that; it goes along with the leader's heartbeats.
+//! Announces how many tasks of each live job are done and running. The counts are sent with the
+//! leader's heartbeats, and all nodes use them to answer users.
 
 use super::Leader;
 use super::live_jobs::JobLocation;
@@ -11,11 +11,11 @@
 
 /// Time between two counts.
 const COUNT_INTERVAL_MS: Ms = 500;
-/// Jobs whose counts are announced at most.
+/// Maximum number of jobs whose counts are announced.
 const MAX_TASK_COUNTS: usize = 2_000;
 
 impl Leader {
-    /// Counts the tasks anew, if that is due, for the next heartbeat.
+    /// Counts the tasks again for the next heartbeat, if a count is due.
     pub(super) fn announce_task_counts(&mut self, context: &mut NodeContext) {
         let now = context.clock.now();
         if !self.task_count_timer.is_due(now) {
--- a/src/core/leader/zones.rs
+++ b/src/core/leader/zones.rs
@@ -1,6 +1,6 @@
-//! Constraints on the zones of a job's tasks: all in one zone, or spread over several.
+//! Zone constraints of a job: all its tasks in one zone, or spread over several.
 //!
-//! Built for one job each time that the leader places or plans tasks of it.
+//! They are built each time that the leader places or plans tasks of the job.
 
 use super::Leader;
 use crate::core::common::context::NodeContext;
@@ -8,18 +8,18 @@
 use crate::wire::peer::ReportedPhase;
 use rustc_hash::FxHashMap;
 
-/// In which zones further tasks of a job may be placed, given where its tasks are.
+/// The zones in which further tasks of a job may be placed, given the zones of its current tasks.
 pub(super) struct ZoneConstraints {
     /// Whether all tasks must be in the same zone.
     is_one_zone: bool,
-    /// How many tasks may be in one zone, if that is limited.
+    /// Maximum number of tasks in one zone, if there is a limit.
     max_per_zone: Option<u32>,
-    /// Tasks in each zone; not counted for a job without constraints.
+    /// Number of tasks in each zone; empty for a job without constraints.
     tasks_by_zone: FxHashMap<String, u32>,
 }
 
 impl ZoneConstraints {
-    /// The constraints of a job, with all its attempts that are not done counted in.
+    /// Returns the constraints of a job, with all its attempts counted that are not done.
     pub(super) fn for_job(
         context: &NodeContext,
         leader: &Leader,
@@ -34,8 +34,8 @@
         if !zones.is_constrained() {
             return zones;
         }
-        // A shard lies in one zone and is always known; the instance of an attempt may be
-        // unknown to a leader whose term has just begun.
+        // The zone is taken from the shard, which is always known and lies in one zone: a leader
+        // whose term has just begun may not know the instance of an attempt.
         let placed = leader.attempts.values().filter(|a| a.job == job && a.state != ReportedPhase::Done);
         for attempt in placed {
             if let Some(shard) = context.shards.get(attempt.shard.place()) {
@@ -58,8 +58,8 @@
 
     /// Whether one more task may be placed in a zone.
     pub(super) fn allows(&self, zone: &str) -> bool {
-        // A new leader may count tasks in several zones, as records also list what has ended.
-        // Which of them is the job's own is known once all others are proven gone.
+        // A new leader may count tasks in several zones, as records also list attempts that have
+        // ended. The job's actual zone is known once the attempts in all others are proven gone.
         let is_elsewhere = || self.tasks_by_zone.keys().any(|other| other != zone);
         if self.is_one_zone && is_elsewhere() {
             return false;
