--- a/src/core/leader/progress/completion.rs
+++ b/src/core/leader/progress/completion.rs
@@ -10,21 +10,21 @@
 use crate::wire::encoded::Encoded;
 use crate::wire::store::{Compare, CompareAndSwap, JobRecord, Mutation};
 
-/// Pause after a write of a final state that failed.
+/// Delay before a failed write of a final state is retried.
 const RETRY_MS: Ms = 250;
 
-/// A write of a final state.
+/// A write of a job's final state, kept while it is in flight.
 #[derive(Debug)]
 pub struct FinalStateWrite {
     job: JobIndex,
-    /// Time of day that the record has for the end of the job.
+    /// Time of day that the record gives for the end of the job.
     done_ms: u64,
-    /// Records of progress that the same request deletes.
+    /// Progress records that the same request deletes.
     deleted: Vec<ProgressSegment>,
 }
 
 impl Leader {
-    /// Writes the final state of each job that is complete.
+    /// Writes the final state of each complete job that has no such write in flight.
     pub(super) fn write_final_states(&mut self, context: &mut NodeContext) {
         let now = context.clock.now();
         let mut complete = Vec::new();
@@ -39,8 +39,8 @@
         }
     }
 
-    /// Writes the final state of a job, and deletes as many of its records of progress as fit
-    /// into the same request.
+    /// Writes the final state of a job, and deletes as many of its progress records as fit into
+    /// the same request.
     fn write_final_state(&mut self, context: &mut NodeContext, job: JobIndex) {
         let Some(live) = self.jobs.get(&job) else { return };
         let id = context.jobs.id(job);
@@ -65,8 +65,9 @@
         );
     }
 
-    /// Takes in the outcome of a write of a final state. Once it is committed, the job leaves
-    /// with its record, and no further write is started before.
+    /// Handles the result of a write of a final state. A committed record is applied, which
+    /// removes the job from the live jobs. Until then the write counts as in flight, so that no
+    /// second one is started. After a failure the write is retried.
     pub(in crate::core::leader) fn on_final_state_written(
         &mut self,
         context: &mut NodeContext,
--- a/src/core/leader/progress/deletion.rs
+++ b/src/core/leader/progress/deletion.rs
@@ -1,6 +1,6 @@
-//! Deletes records of progress that nobody needs any more: those of final jobs.
+//! Deletes obsolete progress records: those of jobs in a final state.
 
-use super::recording::RECORD_GAP_MS;
+use super::recording::MIN_WRITE_INTERVAL_MS;
 use crate::core::common::context::NodeContext;
 use crate::core::leader::write_state::WriteState;
 use crate::core::leader::{Leader, LeaderCall};
@@ -9,10 +9,10 @@
 use crate::wire::store::{CompareAndSwap, Mutation};
 use std::collections::VecDeque;
 
-/// Pause after a deletion that failed.
+/// Delay before a failed deletion is retried.
 const RETRY_MS: Ms = 500;
 
-/// Keys of records to be deleted, a request's worth at a time.
+/// Backlog of keys to delete, in batches of at most one request.
 #[derive(Debug, Default)]
 pub struct DeletionQueue {
     keys: VecDeque<String>,
@@ -20,14 +20,14 @@
 }
 
 impl DeletionQueue {
-    /// Adds keys of records to be deleted.
+    /// Adds the keys of records to delete.
     pub fn extend(&mut self, keys: impl Iterator<Item = String>) {
         self.keys.extend(keys);
     }
 }
 
 impl Leader {
-    /// Deletes some of the records in the queue.
+    /// Deletes one batch of records from the queue, unless a deletion is in flight.
     pub(super) fn delete_obsolete_progress(&mut self, context: &mut NodeContext) {
         let queue = &mut self.deletions;
         if queue.keys.is_empty() || !queue.write.is_ready(context.clock.now()) {
@@ -41,14 +41,15 @@
         let keys: Vec<String> = queue.keys.drain(..count).collect();
         let mutations = keys.iter().map(|key| Mutation::Delete { key: key.clone() }).collect();
         let request = CompareAndSwap { compares: vec![self.compare_term()], mutations };
-        self.record_timer.set(context.clock.now() + RECORD_GAP_MS);
+        self.record_timer.set(context.clock.now() + MIN_WRITE_INTERVAL_MS);
         context.send_store_request(
             StoreCallOwner::Leader(LeaderCall::DeleteProgress { keys }),
             StoreRequest::CompareAndSwap(request),
         );
     }
 
-    /// Takes in the outcome of a deletion.
+    /// Handles the result of a deletion. The keys return to the queue if the request was not
+    /// executed or its outcome is unknown.
     pub(in crate::core::leader) fn on_progress_deleted(
         &mut self,
         context: &mut NodeContext,
--- a/src/core/leader/progress/mod.rs
+++ b/src/core/leader/progress/mod.rs
@@ -1,7 +1,7 @@
-//! Progress of jobs in the store: which tasks are done while a job runs, and its final state.
+//! Progress of jobs in the store: which tasks of a running job are done, and its final state.
 //!
-//! Only a task whose success is on record is cleared from its machine. Until then the success
-//! is safe there, so that records of progress may lag behind.
+//! A successful task is cleared from its machine only once its success is recorded in the store.
+//! Until then the machine retains the success, so progress records may lag behind.
 
 mod completion;
 mod deletion;
--- a/src/core/leader/progress/recording.rs
+++ b/src/core/leader/progress/recording.rs
@@ -1,4 +1,4 @@
-//! Records the progress of jobs that are not complete yet.
+//! Writes the progress of incomplete jobs to the store.
 
 use super::{JobProgress, ProgressSegment};
 use crate::core::common::context::NodeContext;
@@ -11,31 +11,31 @@
 use crate::wire::store::{Compare, CompareAndSwap, Mutation};
 use std::collections::BTreeSet;
 
-/// Least time between two writes of progress.
-pub(super) const RECORD_GAP_MS: Ms = 150;
-/// Pause after a write that failed.
+/// Minimum interval between two writes of progress.
+pub(super) const MIN_WRITE_INTERVAL_MS: Ms = 150;
+/// Delay before a failed write or reread is retried.
 pub(super) const RETRY_MS: Ms = 250;
-/// Pause after the store has rejected a write as malformed.
+/// Delay before the next write after the store has rejected one as malformed.
 const MALFORMED_RETRY_MS: Ms = 1_000;
-/// Mutations of one write at most.
+/// Maximum number of mutations in one write.
 const MAX_MUTATIONS: usize = 8;
-/// Share of the store's write rate that progress of unfinished jobs may take. It only spares
-/// work if the leader and a machine are lost together; meanwhile a success is safe on its
-/// machine.
+/// Share of the store's write rate limit that the progress of unfinished jobs may use. These
+/// writes only save repeated work if the leader and a machine are lost together; otherwise the
+/// machine retains the success.
 const WRITE_RATE_SHARE: f64 = 0.12;
 
-/// What one write records of a job.
+/// The part of a write that records the progress of one job.
 #[derive(Debug)]
 pub struct SegmentWrite {
     job: JobIndex,
-    /// Tasks that had not been on record.
+    /// Tasks that the write records for the first time.
     tasks: Vec<u32>,
     segments: BTreeSet<ProgressSegment>,
 }
 
 impl Leader {
-    /// Writes what is done: final states first, as users wait for just these, then progress,
-    /// and with nothing else to write, deletions.
+    /// Writes final states first, because users wait for these; then progress; and, if there is
+    /// no progress to write, deletes obsolete progress records.
     pub(in crate::core::leader) fn record(&mut self, context: &mut NodeContext) {
         self.write_final_states(context);
         let now = context.clock.now();
@@ -53,14 +53,14 @@
         }
         let writes_per_s = context.platform.cluster.state.write_rps * WRITE_RATE_SHARE;
         let cost_ms = request.mutations.len() as f64 * 1000.0 / writes_per_s;
-        self.record_timer.set(now + RECORD_GAP_MS.max(cost_ms as Ms));
+        self.record_timer.set(now + MIN_WRITE_INTERVAL_MS.max(cost_ms as Ms));
         context.send_store_request(
             StoreCallOwner::Leader(LeaderCall::Record { writes }),
             StoreRequest::CompareAndSwap(request),
         );
     }
 
-    /// Adds the unrecorded progress of as many jobs as fit to a request.
+    /// Adds the unrecorded progress of as many jobs to the request as fit into it.
     fn collect_progress(
         &mut self,
         context: &NodeContext,
@@ -78,7 +78,7 @@
             if exceeds_limit && !writes.is_empty() {
                 break;
             }
-            // A job that exceeds the limit alone is recorded in several writes.
+            // A job that exceeds the limit on its own is recorded in several writes.
             segments = segments.into_iter().take(max_mutations).collect();
             let tasks = live.progress.take_unrecorded(&segments, in_parts);
             add_segments(&mut live.progress, &live.done, context.jobs.id(job), &segments, request);
@@ -90,7 +90,7 @@
         writes
     }
 
-    /// Jobs with progress to be recorded; those with the most new tasks first.
+    /// Returns the jobs with unrecorded progress, those with the most unrecorded tasks first.
     fn jobs_to_record(&self) -> Vec<JobIndex> {
         let is_due = |live: &LiveJob| {
             let progress = &live.progress;
@@ -106,7 +106,7 @@
         due.into_iter().map(|(_, job)| job).collect()
     }
 
-    /// Takes in the outcome of a write of progress.
+    /// Handles the result of a write of progress.
     pub(in crate::core::leader) fn on_recorded(
         &mut self,
         context: &mut NodeContext,
@@ -138,13 +138,15 @@
             self.record_timer.postpone(context.clock.now() + context.retry_ms(RETRY_MS));
         }
         if matches!(response, StoreResponse::Malformed) {
-            // In parts the progress fits. What else may be wrong is not tried at each poll.
+            // Progress fits once it is written in parts. The longer delay avoids a retry at each
+            // poll if the write was malformed for another reason.
             self.has_lowered_limits = true;
             self.record_timer.set(context.clock.now() + MALFORMED_RETRY_MS);
         }
     }
 
-    /// Stops attempts whose success is on record, so that they are cleared from the machines.
+    /// Stops the attempts of a job whose success is recorded, so that they are cleared from
+    /// their machines.
     pub(in crate::core::leader) fn stop_recorded_attempts(&mut self, job: JobIndex) {
         let Some(live) = self.jobs.get(&job) else { return };
         for id in self.attempts.ids_of_job(job) {
@@ -157,8 +159,9 @@
     }
 }
 
-/// Whether progress of a job with this number of tasks is written in parts: a whole segment may
-/// exceed the limit on values, the present one or the lower one once that is in force.
+/// Whether the progress of a job with this number of tasks must be written in parts, because a
+/// whole segment exceeds the store's limit on the size of a value: the present limit, or the
+/// lower one once it is in force.
 fn must_write_parts(context: &NodeContext, tasks: u32, has_lowered_limits: bool) -> bool {
     let text_len = ProgressSegment::whole_text_len(tasks);
     let state = &context.platform.cluster.state;
@@ -166,7 +169,7 @@
     text_len > state.value_bytes() && (has_lowered_limits || exceeds_present_limit)
 }
 
-/// Adds segments of a job's progress to a request.
+/// Adds the given segments of a job's progress to a request.
 fn add_segments(
     progress: &mut JobProgress,
     done: &TaskSet,
@@ -177,11 +180,11 @@
     progress.is_write_pending = true;
     for segment in segments {
         let first_word = segment.first_word();
-        // Compared with its own version: executed late, after a newer write, it would take
-        // back tasks that have long been cleared from the machines.
+        // The write is conditional on the record's version. Executed late, after a newer write,
+        // it would otherwise revert tasks that have already been cleared from their machines.
         let version = *progress.segments.entry(*segment).or_insert(Some(0));
         let key = segment.key(id);
-        let value = Encoded::new(&done.to_hex(first_word, first_word + segment.words()));
+        let value = Encoded::new(&done.to_hex(first_word, first_word + segment.word_count()));
         request.compares.push(Compare { key: key.clone(), version: version.unwrap_or(0) });
         request.mutations.push(Mutation::Put { key, value, lease: None });
     }
--- a/src/core/leader/progress/rereads.rs
+++ b/src/core/leader/progress/rereads.rs
@@ -1,4 +1,4 @@
-//! Rereads records of progress whose last write has had no answer.
+//! Rereads progress records after a write whose outcome is unknown.
 
 use super::ProgressSegment;
 use super::recording::RETRY_MS;
@@ -7,17 +7,17 @@
 use crate::core::{StoreCallOwner, StoreRequest, StoreResponse};
 use crate::model::JobIndex;
 
-/// Records read at once.
+/// Maximum number of records requested in one poll.
 const MAX_REREADS: usize = 8;
 
 impl Leader {
-    /// Reads one segment in doubt of each of some jobs.
+    /// Rereads one segment of unknown version for each of up to [`MAX_REREADS`] jobs.
     pub(super) fn reread_segments(&mut self, context: &mut NodeContext) {
         let due: Vec<(JobIndex, ProgressSegment)> = self
             .jobs
             .iter()
             .filter(|(_, live)| live.progress.is_write_pending && !live.progress.is_rereading)
-            .filter_map(|(job, live)| Some((*job, live.progress.segment_in_doubt()?)))
+            .filter_map(|(job, live)| Some((*job, live.progress.segment_with_unknown_version()?)))
             .take(MAX_REREADS)
             .collect();
         for (job, segment) in due {
@@ -32,7 +32,7 @@
         }
     }
 
-    /// Takes in a record that was read because it was in doubt.
+    /// Handles the result of a reread.
     pub(in crate::core::leader) fn on_reread(
         &mut self,
         context: &mut NodeContext,
--- a/src/core/leader/progress/segment.rs
+++ b/src/core/leader/progress/segment.rs
@@ -1,22 +1,23 @@
-//! The segments that a job's progress is divided into, one record each.
+//! The segments that a job's progress is divided into. Each is stored in a record of its own.
 
-/// Tasks of a whole segment: up to 4 KiB of hexadecimal digits.
-const SEGMENT_TASKS: u32 = 16_384;
-/// Tasks of a part of a segment: half a KiB, below any limit on values that the settings
-/// accept.
-const PART_TASKS: u32 = 2_048;
-/// Parts of a whole segment.
-const PARTS_PER_SEGMENT: u32 = SEGMENT_TASKS / PART_TASKS;
-/// Tasks of one word of a [`TaskSet`](crate::model::TaskSet).
+/// Number of tasks in a whole segment, which takes up to 4 KiB of hexadecimal digits.
+const TASKS_PER_SEGMENT: u32 = 16_384;
+/// Number of tasks in a part of a segment. A part takes half a KiB, which is below any limit on
+/// the size of values that the settings accept.
+const TASKS_PER_PART: u32 = 2_048;
+/// Number of parts in a whole segment.
+const PARTS_PER_SEGMENT: u32 = TASKS_PER_SEGMENT / TASKS_PER_PART;
+/// Number of tasks in one word of a [`TaskSet`](crate::model::TaskSet).
 const TASKS_PER_WORD: u32 = 64;
 
-/// One record of a job's progress: `progress/<id>/<n>`, or a part of that,
-/// `progress/<id>/<n>.<part>`.
+/// Identifies one progress record of a job: a whole segment with the key `progress/<id>/<n>`, or
+/// a part of a segment with the key `progress/<id>/<n>.<part>`.
 ///
-/// Versions before the lower limits on values read whole segments only. So parts are written
-/// only once the store has refused a whole segment. That shows that its limits have fallen,
-/// which happens after the last process of such a version has ended. Both are always read. Bits
-/// are only ever added, so that both together are right.
+/// Software versions that predate the lower limits on the size of values read whole segments
+/// only. Parts are therefore written only once the store has rejected a whole segment. The
+/// rejection shows that the lower limits are in force, which happens only after the last process
+/// of such a version has ended. Both kinds of record are always read. Bits are only ever added,
+/// so the union of both is correct.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ProgressSegment {
     number: u32,
@@ -24,39 +25,39 @@
 }
 
 impl ProgressSegment {
-    /// The segment, or the part of it, that a task belongs to.
+    /// Returns the segment, or the part of a segment, that a task belongs to.
     pub(super) fn of(task: u32, in_parts: bool) -> ProgressSegment {
         ProgressSegment {
-            number: task / SEGMENT_TASKS,
-            part: in_parts.then_some(task % SEGMENT_TASKS / PART_TASKS),
+            number: task / TASKS_PER_SEGMENT,
+            part: in_parts.then_some(task % TASKS_PER_SEGMENT / TASKS_PER_PART),
         }
     }
 
-    /// Length of a whole segment's JSON text, in bytes, for a job with this number of tasks.
+    /// Length in bytes of the JSON text of a whole segment, for a job with this number of tasks.
     pub(super) fn whole_text_len(tasks: u32) -> usize {
-        let digits = tasks.min(SEGMENT_TASKS).div_ceil(4) as usize;
+        let digits = tasks.min(TASKS_PER_SEGMENT).div_ceil(4) as usize;
         let quotes = 2;
         digits + quotes
     }
 
-    /// Whether it is a part of a segment.
+    /// Whether this is a part of a segment.
     pub fn is_part(self) -> bool {
         self.part.is_some()
     }
 
-    /// Its first word in the job's set of tasks.
+    /// Index of the segment's first word in the job's task set.
     pub fn first_word(self) -> usize {
-        let first_task = self.number * SEGMENT_TASKS + self.part.unwrap_or(0) * PART_TASKS;
+        let first_task = self.number * TASKS_PER_SEGMENT + self.part.unwrap_or(0) * TASKS_PER_PART;
         (first_task / TASKS_PER_WORD) as usize
     }
 
-    /// Number of its words in the job's set of tasks.
-    pub(super) fn words(self) -> usize {
-        let tasks = if self.is_part() { PART_TASKS } else { SEGMENT_TASKS };
+    /// Number of words of the job's task set that the segment covers.
+    pub(super) fn word_count(self) -> usize {
+        let tasks = if self.is_part() { TASKS_PER_PART } else { TASKS_PER_SEGMENT };
         (tasks / TASKS_PER_WORD) as usize
     }
 
-    /// Key of its record, for the job with this id.
+    /// Key of the segment's record for the job with this id.
     pub fn key(self, id: &str) -> String {
         match self.part {
             None => format!("progress/{id}/{}", self.number),
@@ -64,7 +65,8 @@
         }
     }
 
-    /// The job's id and the segment that a key stands for; `None` if it is no such key.
+    /// Parses the key of a progress record into the job's id and the segment. Returns `None` if
+    /// it is not such a key.
     pub fn of_key(key: &str) -> Option<(&str, ProgressSegment)> {
         let (id, segment) = key.strip_prefix("progress/")?.split_once('/')?;
         let (number, part) = match segment.split_once('.') {
@@ -73,7 +75,7 @@
             }
             None => (segment, None),
         };
-        let number = number.parse().ok().filter(|number| *number < u32::MAX / SEGMENT_TASKS)?;
+        let number = number.parse().ok().filter(|number| *number < u32::MAX / TASKS_PER_SEGMENT)?;
         Some((id, ProgressSegment { number, part }))
     }
 }
