--- a/src/core/leader/fleet/cloud_calls/instance_list.rs
+++ b/src/core/leader/fleet/cloud_calls/instance_list.rs
@@ -1,4 +1,4 @@
-//! Reads of the cloud's list of instances, page by page.
+//! Reads the cloud's list of instances, page by page.
 
 use super::{CallPurpose, DueCall, Timer};
 use crate::core::common::context::NodeContext;
@@ -8,31 +8,31 @@
 use crate::wire::cloud::{ListedMachine, MachinePage};
 use rustc_hash::FxHashSet;
 
-/// Pause between a complete list and the next.
-const LIST_GAP_MS: Ms = 3_000;
-/// Time after which a page that was not answered is requested again.
+/// Delay between the last page of a list and the first page of the next list.
+const LIST_INTERVAL_MS: Ms = 3_000;
+/// Time after which an unanswered request for a page is sent again.
 const ANSWER_TIMEOUT_MS: Ms = 30_000;
-/// Pause after a page that could not be read.
+/// Delay before a page that could not be read is requested again.
 const RETRY_MS: Ms = 500;
 
-/// How far the list is read.
+/// Position in the list, and the instances on the pages before it.
 #[derive(Debug, Default)]
 pub(in crate::core::leader::fleet) struct InstanceListPoll {
     next_page: Timer,
-    /// Name of the last instance on the page before; none for the first page.
+    /// Name of the last instance on the previous page; `None` before the first page.
     last_name: Option<String>,
-    /// Instances on the pages that have been read.
+    /// Instances on the pages read so far.
     seen: FxHashSet<InstanceIndex>,
     has_completed: bool,
 }
 
 impl InstanceListPoll {
-    /// Whether the whole list has been read at least once.
+    /// Whether a whole list has been read at least once.
     pub(in crate::core::leader::fleet) fn has_completed(&self) -> bool {
         self.has_completed
     }
 
-    /// The request for the next page, if it is due.
+    /// Returns the call that reads the next page, if it is due.
     pub(super) fn due_call(&mut self, now: Ms) -> Option<DueCall> {
         if !self.next_page.is_due(now) {
             return None;
@@ -42,17 +42,17 @@
         Some(DueCall { request, purpose: CallPurpose::InstanceList })
     }
 
-    /// Ends the list. Returns all instances on it.
+    /// Completes the list, schedules the next one, and returns all instances on it.
     fn complete(&mut self, now: Ms) -> FxHashSet<InstanceIndex> {
         self.last_name = None;
-        self.next_page.set(now + LIST_GAP_MS);
+        self.next_page.set(now + LIST_INTERVAL_MS);
         self.has_completed = true;
         std::mem::take(&mut self.seen)
     }
 }
 
 impl Fleet {
-    /// Takes in a page of the list.
+    /// Handles the result of a read of one page.
     pub(super) fn on_instance_list(&mut self, context: &NodeContext, result: CloudResponse) {
         let now = context.clock.now();
         let CloudResponse::Page(page) = result else {
--- a/src/core/leader/fleet/cloud_calls/mod.rs
+++ b/src/core/leader/fleet/cloud_calls/mod.rs
@@ -1,6 +1,6 @@
-//! Calls to the cloud: which one is due, and what its result means for the fleet.
+//! Calls to the cloud: selects the next one, and applies its result to the fleet.
 //!
-//! One call is sent at a time of polling, within the cloud's rate limit, by order of worth: the
+//! Each poll sends at most one call, within the cloud's rate limit. In order of priority: the
 //! catalog ([`catalog`]), scale-out requests ([`scale_out`]), terminations ([`termination`]), the
 //! list of instances ([`instance_list`]).
 
@@ -19,14 +19,15 @@
 use instance_list::InstanceListPoll;
 use rustc_hash::FxHashMap;
 
-/// Share of the cloud's rate limit that is used; a former leader's calls may still count.
+/// Share of the cloud's rate limit that is used. The rest is left because calls of the previous
+/// leader may still count towards the limit.
 const RATE_LIMIT_SHARE: f64 = 0.85;
-/// Tokens that one call costs.
+/// Tokens that one call takes from the rate limit's bucket.
 const CALL_COST: f64 = 1.0;
-/// Pause after a call that was not carried out.
+/// Pause before the next call after one that the cloud did not execute.
 const NOT_EXECUTED_PAUSE_MS: Ms = 700;
 
-/// What a call in flight is for.
+/// Purpose of a call.
 #[derive(Debug)]
 enum CallPurpose {
     Catalog,
@@ -37,30 +38,30 @@
     Termination(Vec<InstanceIndex>),
 }
 
-/// A call that is to be sent now.
+/// A call that is due.
 #[derive(Debug)]
 struct DueCall {
     request: CloudRequest,
     purpose: CallPurpose,
 }
 
-/// The calls in flight, and what limits further ones.
+/// The calls in flight, and the timers and limits of further ones.
 #[derive(Debug)]
 pub(super) struct CloudCalls {
     in_flight: FxHashMap<u64, CallPurpose>,
     rate_limit: TokenBucket,
-    /// Nothing is sent before it is due: the cloud did not carry out a call.
+    /// Nothing is sent until this is due. Set after a call that the cloud did not execute.
     pause: Timer,
     /// Reads of the catalog.
     pub(super) catalog: CatalogPoll,
     /// Reads of the list of instances.
     pub(super) list: InstanceListPoll,
-    /// The next look for instances to terminate.
+    /// The next scan for instances to terminate.
     termination: Timer,
 }
 
 impl CloudCalls {
-    /// Nothing is in flight, and everything is due.
+    /// Creates the state with no call in flight and all timers due.
     pub(super) fn new(context: &NodeContext) -> CloudCalls {
         let rps = context.platform.cluster.cloud.rps;
         CloudCalls {
@@ -85,7 +86,8 @@
 }
 
 impl Leader {
-    /// Sends the call that is due, if any. A new catalog is put on record first.
+    /// Sends the next call that is due. If a catalog is still to be recorded, it is recorded
+    /// instead and no call is sent.
     pub(super) fn send_due_cloud_call(&mut self, context: &mut NodeContext) {
         if let Some(types) = self.fleet.cloud.catalog.take_unsaved() {
             self.save_catalog(context, types);
@@ -108,7 +110,7 @@
         }
     }
 
-    /// Takes in the result of a call to the cloud.
+    /// Handles the result of a call to the cloud.
     pub(crate) fn on_cloud_response(
         &mut self,
         context: &mut NodeContext,
--- a/src/core/leader/fleet/cloud_calls/scale_out.rs
+++ b/src/core/leader/fleet/cloud_calls/scale_out.rs
@@ -1,4 +1,4 @@
-//! Scale-out requests as calls to the cloud.
+//! Sends scale-out requests to the cloud and handles their results.
 
 use super::{CallPurpose, DueCall};
 use crate::core::common::context::NodeContext;
@@ -10,15 +10,16 @@
 use crate::model::{InstanceIndex, Ms};
 use crate::wire::cloud::CreateInstancesRequest;
 
-/// Pause before a request is sent again.
+/// Delay before a request is sent again.
 const RETRY_MS: Ms = 1_000;
 
 impl Leader {
-    /// The oldest scale-out request that is to be sent now.
+    /// Returns the call for the oldest scale-out request that is due, and marks the request as
+    /// sent.
     pub(super) fn due_scale_out(&mut self, context: &NodeContext) -> Option<DueCall> {
         let request = self.fleet.scale_out.next_due(context.clock.now())?;
         request.mark_sent();
-        let rent = CreateInstancesRequest {
+        let create = CreateInstancesRequest {
             request: format!("r-{}-{}", self.term, request.number),
             machine_type: context.machine_types[request.offer.machine_type].name.clone(),
             zone: request.offer.zone.clone(),
@@ -26,12 +27,12 @@
             count: request.count,
         };
         let purpose = CallPurpose::ScaleOut(request.number);
-        Some(DueCall { request: CloudRequest::CreateInstances(rent), purpose })
+        Some(DueCall { request: CloudRequest::CreateInstances(create), purpose })
     }
 }
 
 impl Fleet {
-    /// Takes in the result of a scale-out request.
+    /// Handles the result of a scale-out request.
     pub(super) fn on_scale_out_result(
         &mut self,
         context: &mut NodeContext,
@@ -50,13 +51,13 @@
                 tracing::info!(
                     machine_type = machine_type_label(context, offer.machine_type, offer.is_spot),
                     zone = offer.zone,
-                    "no capacity"
+                    "cloud refused scale-out request"
                 );
                 self.on_offer_refused(context.clock.now(), &offer);
             }
-            // Nothing was created, and what was needed then may not be needed later: the next
-            // plan asks anew. But a request whose outcome was unknown before must be settled
-            // by its name.
+            // No instance was created. The request is dropped, as demand may have changed: the
+            // next plan requests what is still needed. A request whose outcome was unknown
+            // before must instead be repeated under its name until the cloud has answered it.
             CloudResponse::NotExecuted if !request.is_outcome_unknown() => {
                 self.scale_out.remove(number);
             }
@@ -67,8 +68,8 @@
         }
     }
 
-    /// Takes in the instances that a request has brought. Fewer than requested: the cloud has
-    /// no more of the offer.
+    /// Adds the instances that a request has created. If there are fewer than requested, the
+    /// cloud has no more capacity for the offer.
     fn on_instances_created(
         &mut self,
         context: &NodeContext,
@@ -93,8 +94,8 @@
         self.assign_to_overloaded(request.number, created);
     }
 
-    /// Notes with the overloaded machines that a request was made for which of the new
-    /// instances each of them got.
+    /// Assigns the new instances, one each, to the overloaded machines that the request was made
+    /// for.
     fn assign_to_overloaded(&mut self, number: u64, created: Vec<InstanceIndex>) {
         let requested = Some(OverloadScaleOut::Requested(number));
         let mut created = created.into_iter();
--- a/src/core/leader/fleet/cloud_calls/termination.rs
+++ b/src/core/leader/fleet/cloud_calls/termination.rs
@@ -1,4 +1,4 @@
-//! Terminations of drained instances as calls to the cloud.
+//! Requests the termination of drained instances from the cloud and handles the results.
 
 use super::{CallPurpose, DueCall};
 use crate::core::common::context::{MAX_TERMINATIONS, NodeContext};
@@ -9,16 +9,17 @@
 use crate::model::{InstanceIndex, Ms};
 use crate::wire::cloud::TerminateInstancesRequest;
 
-/// Pause between two looks for instances to terminate, as the look is at all of them.
-const LOOK_GAP_MS: Ms = 100;
+/// Interval between two scans for instances to terminate. Each scan visits the whole fleet.
+const SCAN_INTERVAL_MS: Ms = 100;
 
 impl Fleet {
-    /// The termination of drained instances, as many as one call takes, if there are any.
+    /// Returns the call that terminates drained instances, as many as one call can take, or
+    /// `None` if there are none or no scan is due.
     pub(super) fn due_termination(&mut self, now: Ms) -> Option<DueCall> {
         if !self.cloud.termination.is_due(now) {
             return None;
         }
-        self.cloud.termination.set(now + LOOK_GAP_MS);
+        self.cloud.termination.set(now + SCAN_INTERVAL_MS);
         let mut indices = Vec::new();
         let mut machines = Vec::new();
         let instances = self.machines.iter_mut();
@@ -37,8 +38,8 @@
 }
 
 impl Leader {
-    /// Takes in the result of a termination. Only a confirmed one proves that the instances,
-    /// and with them their tasks, are gone; else it is tried again.
+    /// Handles the result of a termination. Only a confirmed termination proves that the
+    /// instances, and with them their tasks, are gone; otherwise it is retried.
     pub(super) fn on_terminated(
         &mut self,
         context: &NodeContext,
@@ -55,7 +56,8 @@
         }
     }
 
-    /// Removes a terminated instance, and lets the owner of its shard be told.
+    /// Removes a terminated instance from the fleet, and marks its shard so that the shard owner
+    /// is informed.
     fn remove_instance(&mut self, context: &NodeContext, index: InstanceIndex) {
         let Some(instance) = self.fleet.machines.remove(index) else { return };
         self.fleet.terminated.insert(&instance.name);
--- a/src/core/leader/fleet/directives.rs
+++ b/src/core/leader/fleet/directives.rs
@@ -1,35 +1,35 @@
-//! What the leader wants of the machines of each shard, as the shard owners are told.
+//! The leader's directives to the shard owners on cordoned, quarantined and draining machines.
 
 use super::instance::InstancePhase;
 use super::{Fleet, Instance};
 use crate::core::common::context::NodeContext;
 use crate::wire::peer::Decommission;
 
-/// What the leader wants of the machines of a shard.
+/// The leader's directives for the machines of one shard.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct MachineDirectives {
-    /// Machines that get no new tasks until they are drained.
+    /// Machines that must get no new tasks and are drained once idle.
     pub cordoned: Vec<String>,
-    /// Machines to be made ready for their termination.
+    /// Machines to prepare for termination.
     pub decommission: Vec<Decommission>,
-    /// Machines that must not get new tasks for now.
+    /// Machines that must get no new tasks for now, because tasks failed on them.
     pub quarantined: Vec<String>,
 }
 
 impl Fleet {
-    /// The directives for all shards, in their order.
+    /// Returns the directives for all shards, in the order of the shards.
     pub(crate) fn directives(&self, context: &NodeContext) -> Vec<MachineDirectives> {
         let mut directives = vec![MachineDirectives::default(); context.shards.len()];
         for instance in self.machines.values() {
-            let Some(of_shard) = directives.get_mut(instance.shard.place()) else { continue };
+            let Some(for_shard) = directives.get_mut(instance.shard.place()) else { continue };
             if instance.cordoned {
-                of_shard.cordoned.push(instance.name.clone());
+                for_shard.cordoned.push(instance.name.clone());
             }
             if instance.is_quarantined(context.clock.now()) {
-                of_shard.quarantined.push(instance.name.clone());
+                for_shard.quarantined.push(instance.name.clone());
             }
             if instance.phase >= InstancePhase::Draining {
-                of_shard.decommission.push(decommission(context, instance));
+                for_shard.decommission.push(decommission(context, instance));
             }
         }
         directives
--- a/src/core/leader/fleet/forecast_window.rs
+++ b/src/core/leader/fleet/forecast_window.rs
@@ -1,14 +1,14 @@
-//! The current forecast window: the bookings sampled since it began, and the history of those
-//! before it. The rule that is applied at its start is in [`super::window_rule`].
+//! The current forecast window: the bookings sampled since its start, and the history of the
+//! windows before it. The rule that is applied at its start is in [`super::window_rule`].
 
 use crate::core::leader::forecast::History;
 use crate::model::Ms;
 use std::collections::BTreeMap;
 
-/// Bookings of one kind of instance, sampled over the window.
+/// Bookings of one kind of instance, sampled during the window.
 #[derive(Debug, Clone, Copy, Default)]
 struct BookingSamples {
-    /// Sum over all samples, in whole instances' worth of bookings.
+    /// Sum of the bookings over all samples, in units of one whole instance.
     sum: f64,
     samples: u32,
 }
@@ -19,19 +19,19 @@
     }
 }
 
-/// The window that has begun last.
+/// The current forecast window and the history of earlier ones.
 #[derive(Debug, Default)]
 pub(in crate::core::leader) struct ForecastWindow {
     history: History,
-    /// By the label of the kind, see [`super::machine_type_label`].
+    /// Samples of this window by the label of the kind, see [`super::machine_type_label`].
     bookings: BTreeMap<String, BookingSamples>,
-    /// None before the first window.
+    /// `None` before the first window.
     started_at: Option<Ms>,
     is_record_in_flight: bool,
 }
 
 impl ForecastWindow {
-    /// Adds bookings of a kind to the sample that is being taken.
+    /// Adds bookings of a kind, in units of one whole instance, to the sample being taken.
     pub(in crate::core::leader) fn add_bookings(&mut self, label: String, instances: f64) {
         self.bookings.entry(label).or_default().sum += instances;
     }
@@ -41,18 +41,18 @@
         self.bookings.entry(label).or_default().samples += 1;
     }
 
-    /// Goes on with the window that a former leader began.
+    /// Continues the window that a previous leader started.
     pub(super) fn resume(&mut self, started_at: Ms, history: History) {
         self.history = history;
         self.started_at = Some(started_at);
     }
 
-    /// Whether the next window is due. True before the first.
+    /// Whether the window has lasted for `length`, or there has been no window yet.
     pub(super) fn is_over(&self, now: Ms, length: Ms) -> bool {
         self.started_at.is_none_or(|started_at| now >= started_at + length)
     }
 
-    /// Begins a window; the averages of the one before go into the history.
+    /// Starts a window, and adds the averages of the previous one to the history.
     pub(super) fn begin(&mut self, now: Ms, season: usize) {
         self.started_at = Some(now);
         let sampled = std::mem::take(&mut self.bookings).into_iter();
@@ -60,17 +60,18 @@
         self.history.record(&averages, season);
     }
 
-    /// Bookings of former windows.
+    /// History of the bookings in earlier windows.
     pub(super) fn history(&self) -> &History {
         &self.history
     }
 
-    /// Whether the window may be put on record now; if so, the write is taken to be under way.
-    pub(super) fn begin_record(&mut self) -> bool {
+    /// Marks a write of the window's record as in flight. Returns false if one already is.
+    pub(super) fn try_start_record_write(&mut self) -> bool {
         !std::mem::replace(&mut self.is_record_in_flight, true)
     }
 
-    /// The write of the record has ended. If it failed, the next window's record makes it good.
+    /// Marks the write of the record as ended. A failed write is not retried: the record of the
+    /// next window replaces it.
     pub(super) fn on_record_written(&mut self) {
         self.is_record_in_flight = false;
     }
--- a/src/core/leader/fleet/health_checks.rs
+++ b/src/core/leader/fleet/health_checks.rs
@@ -1,5 +1,5 @@
-//! Health checks: instances that are drained whatever the window rule says, and tasks that
-//! leave a machine which the cloud is about to take back.
+//! Health checks: drains instances that are unhealthy or no longer needed, independently of the
+//! window rule, and preempts tasks on machines that the cloud is about to reclaim.
 
 use super::instance::{Instance, InstancePhase};
 use super::mark_changed;
@@ -8,15 +8,17 @@
 use crate::model::{InstanceIndex, Ms};
 use rustc_hash::FxHashSet;
 
-/// A boot that takes this many times the usual is given up.
-const BOOT_FACTOR: f64 = 3.5;
-/// Usual boot time of a type that is not known.
+/// Multiple of the usual boot time after which a boot has failed.
+const BOOT_TIMEOUT_FACTOR: f64 = 3.5;
+/// Boot time that is assumed for an unknown machine type.
 const DEFAULT_BOOT_S: f64 = 60.0;
-/// No boot time is taken to be shorter than this.
+/// Lower bound on the usual boot time of a machine type.
 const MIN_BOOT_S: f64 = 10.0;
-/// Silence beyond a worker's lease after which an instance is given up.
+/// Time without a heartbeat, beyond the duration of a worker's lease, after which an instance is
+/// drained.
 const SILENCE_MARGIN_MS: Ms = 5_000;
-/// Time beyond a worker's lease after which a new leader has heard of all that are up.
+/// Time beyond the duration of a worker's lease after which a new leader has received a heartbeat
+/// of each instance that is up.
 const FIRST_HEARTBEAT_MARGIN_MS: Ms = 10_000;
 
 /// Why an instance is drained.
@@ -26,33 +28,33 @@
     Vanished,
     Silent,
     Unreachable,
-    /// It was cordoned, and nothing runs on it any more.
+    /// The instance was cordoned, and no task runs on it any more.
     Cordoned,
 }
 
 impl DrainReason {
-    /// Its name in the log.
+    /// Name of the reason in the log.
     fn name(self) -> &'static str {
         match self {
             DrainReason::NotBooted => "did not boot",
             DrainReason::Vanished => "vanished",
             DrainReason::Silent => "silent",
             DrainReason::Unreachable => "unreachable",
-            DrainReason::Cordoned => "drained",
+            DrainReason::Cordoned => "cordoned and idle",
         }
     }
 }
 
-/// What an instance is judged by, the same for all.
+/// Inputs of the health check that are the same for all instances.
 #[derive(Debug, Clone, Copy)]
 struct HealthCheck {
     now: Ms,
     /// When this leader became active.
     activated_at: Ms,
-    /// Since when workers can be answered.
+    /// When it last became possible to answer workers.
     control_lease_valid_since: Ms,
     worker_lease_ms: Ms,
-    /// Age up to which a heartbeat shows that a machine is up.
+    /// Maximum age of a heartbeat that shows that a machine is up.
     fresh_ms: Ms,
 }
 
@@ -67,14 +69,14 @@
         }
     }
 
-    /// Why the instance is to be drained; none if it is not.
+    /// Returns why the instance must be drained, or `None` if it need not be.
     fn drain_reason(&self, instance: &Instance, boot_s: f64, is_busy: bool) -> Option<DrainReason> {
         let silent_ms = self.silent_ms(instance);
         let was_heard = instance.last_heartbeat_at.is_some();
         if self.is_boot_overdue(instance, boot_s) {
             Some(DrainReason::NotBooted)
         } else if instance.is_missing_from_lists() && silent_ms > self.fresh_ms {
-            // Its termination, once confirmed, proves that it is gone.
+            // The list proves nothing; a confirmed termination proves that the instance is gone.
             Some(DrainReason::Vanished)
         } else if was_heard && silent_ms > self.worker_lease_ms + SILENCE_MARGIN_MS {
             Some(DrainReason::Silent)
@@ -87,21 +89,22 @@
         }
     }
 
-    /// Whether an instance has failed to boot. A new leader knows nothing yet of those that
-    /// are well up: only the cloud's word that it is starting speaks against it, or silence
-    /// for longer than any lease.
+    /// Whether an instance has failed to boot. A new leader has not yet received heartbeats of
+    /// instances that are up. An instance is therefore only considered not booted if the cloud
+    /// lists it as starting, or if it has been silent for longer than any lease.
     fn is_boot_overdue(&self, instance: &Instance, boot_s: f64) -> bool {
         let first_heartbeat_ms = self.worker_lease_ms + FIRST_HEARTBEAT_MARGIN_MS;
         let is_silent_for_long = self.now > self.activated_at + first_heartbeat_ms;
-        let boot_limit_ms = (boot_s * BOOT_FACTOR * 1000.0) as Ms;
+        let boot_limit_ms = (boot_s * BOOT_TIMEOUT_FACTOR * 1000.0) as Ms;
         instance.phase == InstancePhase::Booting
             && self.now > instance.created_at + boot_limit_ms
             && instance.last_heartbeat_at.is_none()
             && (instance.is_starting() || is_silent_for_long)
     }
 
-    /// For how long an instance has been silent. One that this leader never heard of has been
-    /// so since it leads; and while no worker could be answered, none was there to hear.
+    /// Time since the last heartbeat of an instance. If this leader has never received one, the
+    /// time counts from the start of its term or from the instance's creation, whichever is later.
+    /// Time before workers could be answered never counts, because no heartbeats could be received.
     fn silent_ms(&self, instance: &Instance) -> Ms {
         let known_since = self.activated_at.max(instance.created_at);
         let heard_at = instance.last_heartbeat_at.unwrap_or(known_since);
@@ -110,13 +113,14 @@
 }
 
 impl Leader {
-    /// Drains unhealthy instances and has tasks leave those that the cloud takes back.
+    /// Drains unhealthy instances, and preempts tasks on those that the cloud reclaims.
     pub(super) fn check_health(&mut self, context: &NodeContext) {
         self.drain_unhealthy(context);
         self.preempt_on_notice();
     }
 
-    /// Drains instances that don't boot, have vanished, are lost or were cordoned and are idle.
+    /// Drains instances that failed to boot, are missing from the cloud's list, are silent or
+    /// unreachable, or are cordoned and idle.
     fn drain_unhealthy(&mut self, context: &NodeContext) {
         let check = HealthCheck::new(self, context);
         let busy: FxHashSet<InstanceIndex> =
@@ -135,7 +139,8 @@
         }
     }
 
-    /// Tasks that save checkpoints leave a machine under preemption notice in time to do so.
+    /// Preempts tasks that save checkpoints on machines under preemption notice, early enough to
+    /// save one.
     fn preempt_on_notice(&mut self) {
         let on_machines = self.attempts.values_mut();
         for attempt in on_machines.filter(|a| a.is_wanted && a.occupies_capacity() && !a.may_bind) {
--- a/src/core/leader/fleet/instance.rs
+++ b/src/core/leader/fleet/instance.rs
@@ -1,5 +1,5 @@
-//! One instance of the leader's fleet: what the cloud, the records and the owner of its shard
-//! have said of it.
+//! One instance of the leader's fleet: its state as known from the cloud, the records and the
+//! owner of its shard.
 
 use super::InstanceOffer;
 use super::offer::InstanceKind;
@@ -9,38 +9,39 @@
 use crate::wire::peer::ReportedMachine;
 use rustc_hash::FxHashSet;
 
-/// Complete lists in a row that lack an instance before it is taken to be gone. The list lags,
-/// so a single one proves nothing.
+/// Number of consecutive complete lists without an instance after which the instance is considered
+/// missing. The list lags, so a single one proves nothing.
 const MISSED_LISTS_LIMIT: u32 = 2;
-/// Quarantine after tasks of one job have failed.
+/// Duration of the quarantine after tasks of one job have failed.
 const QUARANTINE_MS: Ms = 45_000;
-/// The same after tasks of several jobs. Nothing may keep work from a machine with free
-/// capacity for as long as 90 s.
+/// Duration of the quarantine after tasks of several jobs have failed. It must stay below 90 s,
+/// because nothing may keep work from a machine with free capacity for that long.
 const LONG_QUARANTINE_MS: Ms = 75_000;
-/// An instance is charged for at least a minute, so a younger one is kept.
+/// Minimum time that the cloud charges for an instance. Younger instances are kept.
 const MIN_CHARGE_MS: Ms = 60_000;
-/// Time that draining and termination take; surplus instances are cordoned as much earlier.
+/// Time that draining and termination take. Surplus instances are cordoned this long before the
+/// end of their minimum charge.
 const DRAIN_LEAD_MS: Ms = 8_000;
 
-/// How far an instance is, in the order of its life.
+/// Phase of an instance's lifecycle. The variants are in chronological order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum InstancePhase {
-    /// Requested or listed; none of its heartbeats has been reported yet.
+    /// Requested or listed, but none of its heartbeats has been reported yet.
     Booting,
-    /// Up: it may get tasks.
+    /// Up, and may get tasks.
     Ready,
-    /// The shard owner has been asked to make it ready for its termination.
+    /// The shard owner has been asked to prepare its termination.
     Draining,
-    /// The shard owner has put its termination on record; the cloud may be called.
+    /// The shard owner has recorded its termination, so the cloud may be asked to terminate it.
     Drained,
-    /// The cloud has been called.
+    /// The cloud has been asked to terminate it.
     Terminating,
 }
 
 /// An instance of the fleet.
 #[derive(Debug)]
 pub(crate) struct Instance {
-    /// Its name at the cloud.
+    /// Name that the cloud gave it.
     pub name: String,
     /// Index of its machine type.
     pub machine_type: usize,
@@ -50,42 +51,43 @@
     pub is_spot: bool,
     /// The shard that it belongs to.
     pub shard: ShardIndex,
-    /// The latest time at which it can have been created: by its request, its age in the list,
-    /// or when it was first seen.
+    /// Upper bound on its creation time: the earliest of when it was requested, when it was first
+    /// seen, and its creation according to its age in the list.
     pub(super) created_at: Ms,
-    /// When its last heartbeat reached a shard owner.
+    /// When its last known heartbeat reached a shard owner.
     pub(super) last_heartbeat_at: Option<Ms>,
-    /// The cloud is about to take it back.
+    /// Whether the cloud has announced that it will reclaim the instance.
     pub preemption_notice: bool,
-    /// It gets no new tasks, and is drained once nothing runs on it.
+    /// Whether it must get no new tasks and is drained once nothing runs on it.
     pub cordoned: bool,
-    /// How far it is.
+    /// Phase of its lifecycle.
     pub phase: InstancePhase,
-    /// Some complete list of this term has shown it.
+    /// Whether a complete list has included it during this term.
     was_listed: bool,
-    /// A record names it, so it was up, and listed, in an earlier term.
+    /// Whether a record names it, which means that it was up, and listed, in an earlier term.
     pub recorded: bool,
-    /// The cloud, a record or an echo of our fencing token says that it exists. A heartbeat
-    /// alone may be a late copy from one that was terminated long ago.
+    /// Whether the cloud, a record or an echo of our fencing token confirms that it exists. A
+    /// heartbeat alone is no proof: it may be a delayed copy from an instance that was terminated
+    /// long ago.
     pub confirmed: bool,
-    /// Since when its heartbeats arrive but no answer reaches it.
+    /// Since when its heartbeats have arrived while no answer has reached it.
     unreachable_since: Option<Ms>,
-    /// The newest list says that it is starting.
+    /// Whether the newest list entry has it as starting.
     is_starting: bool,
-    /// Complete lists in a row that did not show it any more.
+    /// Number of consecutive complete lists that no longer included it.
     missed_lists: u32,
-    /// It is projected to be overloaded.
+    /// Whether it is projected to be overloaded.
     pub(super) is_overloaded: bool,
-    /// Projected peak share of its capacity.
+    /// Projected peak use, as a share of its capacity.
     pub(super) projected_peak: f64,
-    /// What has become of the scale-out that its overload asked for.
+    /// State of the scale-out that its overload caused.
     pub(super) overload_scale_out: Option<OverloadScaleOut>,
-    /// Jobs whose tasks failed here since the last success.
+    /// Jobs whose tasks have failed here since the last success.
     failed_jobs: FxHashSet<JobIndex>,
     quarantined_until: Ms,
 }
 
-/// How far the scale-out for an overloaded machine is.
+/// State of the scale-out for an overloaded machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum OverloadScaleOut {
     /// Part of the scale-out request with this number.
@@ -95,7 +97,7 @@
 }
 
 impl Instance {
-    /// An instance that was just seen or requested for the first time.
+    /// Creates an instance that has been seen or requested for the first time.
     pub(super) fn new(name: &str, offer: InstanceOffer, shard: ShardIndex, now: Ms) -> Instance {
         Instance {
             name: name.into(),
@@ -122,17 +124,17 @@
         }
     }
 
-    /// Its machine type, as spot or on-demand instance.
+    /// Its kind: the machine type, as spot or on-demand instance.
     pub(in crate::core::leader) fn kind(&self) -> InstanceKind {
         InstanceKind { machine_type: self.machine_type, is_spot: self.is_spot }
     }
 
-    /// The offer that it was requested from.
+    /// The offer that it belongs to.
     pub(super) fn offer(&self) -> InstanceOffer {
         InstanceOffer { machine_type: self.machine_type, zone: self.zone.clone(), is_spot: self.is_spot }
     }
 
-    /// Whether it is of this kind and not on its way to termination.
+    /// Whether it is of this kind and neither draining nor being terminated.
     pub(super) fn is_live(&self, kind: InstanceKind) -> bool {
         self.kind() == kind && self.phase < InstancePhase::Draining
     }
@@ -150,17 +152,17 @@
             && self.last_heartbeat_at.is_some_and(|at| at + context.fresh_ms > now)
     }
 
-    /// Whether it must get no new tasks for now, as tasks failed on it.
+    /// Whether it must get no new tasks for now, because tasks failed on it.
     pub(super) fn is_quarantined(&self, now: Ms) -> bool {
         self.quarantined_until > now
     }
 
-    /// Whether it was listed once and the newest lists lack it.
+    /// Whether it was listed, or recorded, before and the newest lists don't include it.
     pub(super) fn is_missing_from_lists(&self) -> bool {
         self.missed_lists >= MISSED_LISTS_LIMIT
     }
 
-    /// Whether the newest list says that it is starting.
+    /// Whether the newest list entry has it as starting.
     pub(super) fn is_starting(&self) -> bool {
         self.is_starting
     }
@@ -170,14 +172,14 @@
         self.unreachable_since.is_some_and(|since| now > since + limit)
     }
 
-    /// Whether it is so old that its minimum charge is spent by the time it is terminated.
+    /// Whether its minimum charge will be used up by the time it is terminated.
     pub(super) fn is_past_minimum_charge(&self, now: Ms) -> bool {
         now > self.created_at + MIN_CHARGE_MS - DRAIN_LEAD_MS
     }
 
-    /// Takes in what the owner of its shard says of it.
+    /// Applies a report of the shard owner.
     pub(super) fn on_reported(&mut self, reported: &ReportedMachine, now: Ms) {
-        // The owner has had no heartbeat of it if this is the largest number.
+        // The maximum value means that the owner has received no heartbeat from it.
         if reported.silent_ms != u64::MAX {
             let heartbeat_at = now.saturating_sub(reported.silent_ms);
             self.last_heartbeat_at = self.last_heartbeat_at.max(Some(heartbeat_at));
@@ -195,7 +197,7 @@
         }
     }
 
-    /// Takes in its entry in a page of the cloud's list.
+    /// Applies its entry in the cloud's list.
     pub(super) fn on_listed(&mut self, listed: &ListedMachine, now: Ms) {
         let age = (listed.age_s.max(0.0) * 1000.0) as Ms;
         self.confirmed = true;
@@ -207,7 +209,7 @@
         }
     }
 
-    /// Takes in whether a complete list has shown it.
+    /// Updates the count of missed lists after a list has been read completely.
     pub(super) fn on_list_complete(&mut self, is_in_list: bool) {
         if is_in_list {
             self.was_listed = true;
@@ -217,18 +219,18 @@
         }
     }
 
-    /// A scale-out request that was made at `requested_at` has brought it.
+    /// Records that it was created by a scale-out request made at `requested_at`.
     pub(super) fn on_created(&mut self, requested_at: Ms) {
         self.created_at = self.created_at.min(requested_at);
         self.confirmed = true;
     }
 
-    /// A task has succeeded on it.
+    /// Clears the failures counted so far, because a task has succeeded on it.
     pub(super) fn on_task_succeeded(&mut self) {
         self.failed_jobs.clear();
     }
 
-    /// A task of this job has failed on it.
+    /// Quarantines it, because a task of this job has failed on it.
     pub(super) fn on_task_failed(&mut self, job: JobIndex, now: Ms) {
         self.failed_jobs.insert(job);
         let has_several = self.failed_jobs.len() > 1;
--- a/src/core/leader/fleet/mod.rs
+++ b/src/core/leader/fleet/mod.rs
@@ -1,13 +1,14 @@
-//! The fleet: the instances that exist, the scale-out and scale-in that the leader decides on,
-//! and all calls to the cloud. Only the leader has one.
+//! The fleet: the existing instances, the leader's decisions on scale-out and scale-in, and all
+//! calls to the cloud. Only the leader has one.
 //!
-//! The cloud's list of instances lags and may step back, so it never proves that an instance is
-//! gone; only a confirmed termination does, or the end of its lease.
+//! The cloud's list of instances lags and may revert to an older state, so it never proves that an
+//! instance is gone. Only a confirmed termination or the end of the instance's lease does.
 //!
-//! [`Leader::poll_fleet`] drives all of it: the cloud calls that are due ([`cloud_calls`]), then,
-//! at intervals, health checks ([`health_checks`]), the plan for the waiting tasks
-//! (`leader::scale_out_plan`), and from it either the window rule ([`window_rule`]) or one instance for
-//! each overloaded machine ([`overload_scale_out`]). Nothing here binds tasks to machines.
+//! [`Leader::poll_fleet`] drives all of this: it sends the cloud call that is due
+//! ([`cloud_calls`]) and, at intervals, runs the health checks ([`health_checks`]), makes the plan
+//! for the waiting tasks (`leader::scale_out_plan`), and applies either the window rule
+//! ([`window_rule`]) or requests one instance for each overloaded machine
+//! ([`overload_scale_out`]). Nothing here binds tasks to machines.
 
 mod cloud_calls;
 mod directives;
@@ -42,35 +43,37 @@
 use rustc_hash::FxHashMap;
 use scale_out_requests::ScaleOutRequests;
 
-/// The index of a machine that is not part of the fleet, or not yet.
+/// Index that stands for a machine that is not part of the fleet, or not yet.
 pub(in crate::core::leader) const NO_INSTANCE: InstanceIndex = InstanceIndex::new(u32::MAX);
-/// Pause between two looks at the whole fleet; more where it is large.
-const POLL_GAP_MS: Ms = 500;
-/// Attempts or instances that are looked at in the time that one item of a message to a shard
-/// owner takes.
+/// Interval between two polls of the whole fleet, extended for a large fleet.
+const POLL_INTERVAL_MS: Ms = 500;
+/// Number of attempts or instances that a poll inspects in the time that one item of a message
+/// to a shard owner takes.
 const INSPECTED_PER_ITEM: usize = 8;
-/// Pause between two looks for overloaded machines or a surge.
-const OVERLOAD_GAP_MS: Ms = 1_000;
-/// Pause between two windows that begin before their time.
-const EARLY_WINDOW_GAP_MS: Ms = 4_000;
-/// A plan for more instances than the fleet has, divided by this, opens a window early.
+/// Interval between two checks for overloaded machines or a surge.
+const OVERLOAD_CHECK_INTERVAL_MS: Ms = 1_000;
+/// Minimum interval between two windows that start early.
+const EARLY_WINDOW_INTERVAL_MS: Ms = 4_000;
+/// A plan is a surge, which starts a window early, if it has more instances than the size of the
+/// fleet divided by this.
 const SURGE_DIVISOR: usize = 4;
-/// A plan for no more instances than this opens none: they come soon enough one by one.
-const SURGE_MIN: usize = 16;
+/// A plan for at most this many instances is no surge: requested one by one, they are still
+/// created soon enough.
+const MAX_NON_SURGE_INSTANCES: usize = 16;
 
-/// Timers of what the leader does with the whole fleet.
+/// Timers of the periodic work on the whole fleet.
 #[derive(Debug, Default)]
 struct FleetTimers {
-    /// The next look at the whole fleet.
+    /// The next poll of the whole fleet.
     poll: Timer,
-    /// The next look for overloaded machines or a surge.
+    /// The next check for overloaded machines or a surge.
     overload: Timer,
-    /// Before this no window begins ahead of its time.
+    /// No window starts early until this is due.
     early_window: Timer,
 }
 
 impl FleetTimers {
-    /// Makes everything due now.
+    /// Makes all timers due now.
     fn expire(&mut self, now: Ms) {
         self.poll.set(now);
         self.overload.set(now);
@@ -78,29 +81,29 @@
     }
 }
 
-/// The leader's view of the fleet, and what it has under way at the cloud.
+/// The leader's view of the fleet, and its outstanding requests to the cloud.
 pub(crate) struct Fleet {
-    /// The instances that exist, as far as is known.
+    /// The known instances.
     pub machines: NamedTable<InstanceIndex, Instance>,
-    /// Terminated instances; late lists and heartbeats must not bring them back.
+    /// Names of terminated instances, so that stale lists and heartbeats don't add them again.
     terminated: RecentNames,
     /// Jobs with tasks that found no capacity in the last scheduling cycle.
     pub waiting: Vec<WaitingJob>,
-    /// What is asked of the cloud.
+    /// Scale-out requests to the cloud that are not settled.
     pub(in crate::core::leader) scale_out: ScaleOutRequests,
-    /// What the cloud does not have at present.
+    /// Offers that the cloud has refused recently.
     pub(in crate::core::leader) refused_offers: RefusedOffers,
-    /// The forecast window.
+    /// The current forecast window.
     pub(in crate::core::leader) window: ForecastWindow,
-    /// When all that the former leader requested is in the list; none before the records are
-    /// read.
+    /// When all instances that the previous leader requested are in the list; `None` until the
+    /// records have been read.
     predecessor_settled_at: Option<Ms>,
     cloud: CloudCalls,
     timers: FleetTimers,
 }
 
 impl Fleet {
-    /// A fleet of which nothing is known yet.
+    /// Creates a fleet with no known instances.
     pub(crate) fn new(context: &NodeContext) -> Fleet {
         Fleet {
             machines: NamedTable::default(),
@@ -115,12 +118,12 @@
         }
     }
 
-    /// A first leader has no predecessor whose requests could still show up.
+    /// Marks that there is no previous leader whose requested instances could still appear.
     pub(crate) fn start_without_predecessor(&mut self, context: &NodeContext) {
         self.predecessor_settled_at = Some(context.clock.now());
     }
 
-    /// Goes on with the window that began at `at_ms`, a time of day, under a former leader.
+    /// Continues the window that a previous leader started at `at_ms`, a time of day.
     pub(crate) fn resume(&mut self, context: &NodeContext, at_ms: u64, history: History) {
         let now = context.clock.now();
         let age = context.clock.wall().saturating_sub(at_ms);
@@ -129,20 +132,21 @@
         self.predecessor_settled_at = Some(now + list_lag);
     }
 
-    /// The write of the window's record has ended, with whatever result.
+    /// Handles the end of the write of the window's record, whatever its result.
     pub(crate) fn on_window_record_written(&mut self) {
         self.window.on_record_written();
     }
 
-    /// The write of the catalog's record has ended. If it failed the catalog is read again.
-    pub(crate) fn catalog_saved(&mut self, now: Ms, ok: bool) {
-        if !ok {
+    /// Handles the end of the write of the catalog's record. If it failed, the catalog is read
+    /// again.
+    pub(crate) fn catalog_saved(&mut self, now: Ms, is_saved: bool) {
+        if !is_saved {
             self.cloud.catalog.on_save_failed(now);
         }
     }
 
-    /// The index of an instance, which is added if it is new. [`NO_INSTANCE`] if it was
-    /// terminated, or if its type or zone is not known.
+    /// Returns the index of an instance, and adds the instance if it is new. Returns
+    /// [`NO_INSTANCE`] if it was terminated, or if its type or zone is unknown.
     pub(crate) fn find_or_add(
         &mut self,
         context: &NodeContext,
@@ -151,7 +155,7 @@
         zone: &str,
         is_spot: bool,
     ) -> InstanceIndex {
-        // Nearly always it is known: each reported state names every machine.
+        // The instance is nearly always known, because each reported state names every machine.
         if let Some(index) = self.machines.index_of(name) {
             return index;
         }
@@ -168,7 +172,7 @@
         index
     }
 
-    /// Takes in what a shard owner says of a machine. Returns its index, see
+    /// Applies a shard owner's report on a machine. Returns the machine's index, see
     /// [`Fleet::find_or_add`].
     pub(crate) fn on_reported_machine(
         &mut self,
@@ -184,43 +188,45 @@
         index
     }
 
-    /// A task has succeeded on a machine, so earlier failures there say nothing of it.
+    /// Handles the success of a task on a machine, which shows that earlier failures there were
+    /// not due to the machine.
     pub(crate) fn on_task_succeeded(&mut self, machine: InstanceIndex) {
         if let Some(instance) = self.machines.get_mut(machine) {
             instance.on_task_succeeded();
         }
     }
 
-    /// A task of a job that has succeeded nowhere else has failed on a machine: the machine is
-    /// quarantined, for longer if tasks of several jobs failed on it in a row.
+    /// Handles the failure of a task on a machine, unless its job itself is considered at fault:
+    /// the machine is quarantined, for longer if tasks of several jobs have failed on it in a row.
     pub(crate) fn on_task_failed(&mut self, now: Ms, machine: InstanceIndex, job: JobIndex) {
         if let Some(instance) = self.machines.get_mut(machine) {
             instance.on_task_failed(job, now);
         }
     }
 
-    /// The cloud has no more of an offer: what else was to be asked of it would only spend
-    /// calls, and the next best is planned for at once. A first demand of hundreds of
-    /// instances goes through a dozen offers this way.
+    /// Handles a refusal that shows that the cloud has no more capacity for an offer. Unsent
+    /// requests for the offer are dropped, because they would only use up calls, and the next best
+    /// offer is planned for at once. An initial demand of hundreds of instances goes through a
+    /// dozen offers this way.
     fn on_offer_refused(&mut self, now: Ms, offer: &InstanceOffer) {
         self.scale_out.drop_unsent(offer);
         self.timers.expire(now);
         self.refused_offers.record_refusal(offer, now);
     }
 
-    /// Whether all instances that exist are known, so that none is requested twice.
+    /// Whether all existing instances are known, so that none is requested twice.
     fn is_complete(&self, now: Ms) -> bool {
         self.predecessor_settled_at.is_some_and(|at| now >= at) && self.cloud.list.has_completed()
     }
 
-    /// Whether a plan is so far beyond the fleet that one request for each overloaded machine
-    /// would take minutes to meet it.
+    /// Whether a plan is so large compared with the fleet that requesting one instance for each
+    /// overloaded machine would take minutes to meet it.
     fn is_surge(&self, plan: &ScaleOutPlan) -> bool {
         let missing = plan.machines() as usize;
-        missing > SURGE_MIN && missing * SURGE_DIVISOR > self.machines.len()
+        missing > MAX_NON_SURGE_INSTANCES && missing * SURGE_DIVISOR > self.machines.len()
     }
 
-    /// Of the offers of a kind that are not refused now, the one with the fewest instances.
+    /// Returns the offer of a kind with the fewest instances, among those not refused now.
     fn least_used_offer(
         &self,
         context: &NodeContext,
@@ -238,7 +244,7 @@
 }
 
 impl Leader {
-    /// Does what is due: cloud calls, health checks, scale-out and scale-in.
+    /// Runs what is due: cloud calls, health checks, scale-out and scale-in.
     pub(crate) fn poll_fleet(&mut self, context: &mut NodeContext) {
         self.send_due_cloud_call(context);
         let now = context.clock.now();
@@ -246,7 +252,7 @@
             return;
         }
         let inspected = self.fleet.machines.len() + self.attempts.len();
-        let gap = context.load_adjusted_gap(POLL_GAP_MS, inspected / INSPECTED_PER_ITEM);
+        let gap = context.load_adjusted_gap(POLL_INTERVAL_MS, inspected / INSPECTED_PER_ITEM);
         self.fleet.timers.poll.set(now + gap);
         self.check_health(context);
         self.plans += 1;
@@ -257,26 +263,26 @@
         }
     }
 
-    /// Begins a forecast window if one is due, or else requests what overloaded machines need.
+    /// Starts a forecast window if one is due, or else scales out for overloaded machines.
     fn scale(&mut self, context: &mut NodeContext, plan: ScaleOutPlan) {
         let now = context.clock.now();
-        let may_begin_early = self.fleet.timers.early_window.is_due(now);
-        // A waiting task that no machine could ever take can't overload one, so it opens a
-        // window of its own.
-        let is_unschedulable = may_begin_early && self.has_unschedulable_job(context);
+        let may_start_early = self.fleet.timers.early_window.is_due(now);
+        // A waiting task that no present machine could ever run can't overload any, so it
+        // causes an early window instead.
+        let is_unschedulable = may_start_early && self.has_unschedulable_job(context);
         let length = (context.operator.window_s * 1000.0) as Ms;
         if is_unschedulable || self.fleet.window.is_over(now, length) {
             if is_unschedulable {
-                self.fleet.timers.early_window.set(now + EARLY_WINDOW_GAP_MS);
+                self.fleet.timers.early_window.set(now + EARLY_WINDOW_INTERVAL_MS);
             }
             return self.start_window(context, plan);
         }
         if !self.fleet.timers.overload.is_due(now) {
             return;
         }
-        self.fleet.timers.overload.set(now + OVERLOAD_GAP_MS);
-        if may_begin_early && self.fleet.is_surge(&plan) {
-            self.fleet.timers.early_window.set(now + EARLY_WINDOW_GAP_MS);
+        self.fleet.timers.overload.set(now + OVERLOAD_CHECK_INTERVAL_MS);
+        if may_start_early && self.fleet.is_surge(&plan) {
+            self.fleet.timers.early_window.set(now + EARLY_WINDOW_INTERVAL_MS);
             self.start_window(context, plan);
         } else {
             self.scale_out_for_overload(context, plan);
@@ -284,7 +290,7 @@
     }
 }
 
-/// Lets the owner of a shard be told of changes to its machines soon.
+/// Marks a shard as changed, so that its owner is informed of changes to its machines soon.
 fn mark_changed(shards: &mut [ShardAssignment], shard: ShardIndex) {
     if let Some(assignment) = shards.get_mut(shard.place()) {
         assignment.dirty = true;
--- a/src/core/leader/fleet/offer.rs
+++ b/src/core/leader/fleet/offer.rs
@@ -1,29 +1,28 @@
-//! What can be requested from the cloud: instances of a machine type, in a zone, as spot or
-//! on-demand instances.
+//! Offers of the cloud: spot or on-demand instances of a machine type in a zone.
 
 use crate::core::common::context::NodeContext;
 
-/// What one scale-out request can ask for: spot or on-demand instances of a machine type in
-/// one zone.
+/// Spot or on-demand instances of a machine type in one zone. A scale-out request is for exactly
+/// one offer.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(crate) struct InstanceOffer {
     /// Index of the machine type.
     pub machine_type: usize,
-    /// The zone.
+    /// Name of the zone.
     pub zone: String,
-    /// Whether it is for spot instances.
+    /// Whether the instances are spot instances.
     pub is_spot: bool,
 }
 
 impl InstanceOffer {
-    /// The kind of the instances that it is for.
+    /// The kind of the offered instances.
     pub(in crate::core::leader) fn kind(&self) -> InstanceKind {
         InstanceKind { machine_type: self.machine_type, is_spot: self.is_spot }
     }
 }
 
-/// A machine type together with how it is paid for, in any zone. The forecast and the targets
-/// of the window rule are per kind.
+/// A machine type as spot or on-demand instance, in any zone. The forecast and the targets of the
+/// window rule are per kind.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(in crate::core::leader) struct InstanceKind {
     /// Index of the machine type.
@@ -33,8 +32,8 @@
 }
 
 impl InstanceKind {
-    /// All kinds of the first `machine_types` types, the on-demand one of a type before the
-    /// spot one.
+    /// Returns all kinds of the first `machine_types` types. The on-demand kind of each type comes
+    /// before its spot kind.
     pub(in crate::core::leader) fn all(machine_types: usize) -> impl Iterator<Item = InstanceKind> {
         (0..machine_types)
             .flat_map(|machine_type| [false, true].map(|is_spot| InstanceKind { machine_type, is_spot }))
@@ -46,8 +45,9 @@
     }
 }
 
-/// The name of a machine type, with `+spot` for spot instances. It is a key of the fleet's
-/// record and must stay as it is. `?` stands for a type that is not known.
+/// Returns the name of a machine type, with the suffix `+spot` for spot instances, or `?` as the
+/// name of an unknown type. The label is a key in the stored fleet record, so its format must not
+/// change.
 pub(crate) fn machine_type_label(context: &NodeContext, machine_type: usize, is_spot: bool) -> String {
     let name = context.machine_types.get(machine_type).map_or("?", |t| t.name.as_str());
     format!("{name}{}", if is_spot { "+spot" } else { "" })
--- a/src/core/leader/fleet/overload_scale_out.rs
+++ b/src/core/leader/fleet/overload_scale_out.rs
@@ -1,4 +1,4 @@
-//! One more instance for each overloaded machine, between the starts of forecast windows.
+//! Adds one instance for each overloaded machine, between the starts of forecast windows.
 
 use super::instance::{InstancePhase, OverloadScaleOut};
 use super::offer::InstanceKind;
@@ -9,8 +9,9 @@
 use rustc_hash::{FxHashMap, FxHashSet};
 
 impl Leader {
-    /// Gets one instance of the plan for each machine that is projected to be overloaded, and
-    /// none more while that instance is requested or boots. Never more than the plan holds.
+    /// Adds one instance of the plan for each machine that is projected to be overloaded. A machine
+    /// gets no further one while its instance is requested or booting. The total never exceeds the
+    /// plan.
     pub(super) fn scale_out_for_overload(&mut self, context: &NodeContext, mut plan: ScaleOutPlan) {
         let overloaded = self.overloaded_machines();
         if overloaded.is_empty() || plan.is_empty() {
@@ -19,7 +20,7 @@
         let mut spares = self.cordoned_by_kind();
         for index in overloaded {
             let Some(offer) = plan.take_first() else { break };
-            // Rather one that is cordoned than a new one.
+            // A cordoned instance is preferred to a new one.
             let spare = spares.get_mut(&offer.kind()).and_then(Vec::pop);
             if let Some(spare) = spare {
                 if let Some(instance) = self.fleet.machines.get_mut(spare) {
@@ -34,7 +35,7 @@
         }
     }
 
-    /// Overloaded machines for which nothing is requested or boots.
+    /// Returns the overloaded machines for which no instance is requested or booting.
     fn overloaded_machines(&mut self) -> Vec<InstanceIndex> {
         let requested: FxHashSet<u64> =
             self.fleet.scale_out.iter().map(|request| request.number).collect();
@@ -62,7 +63,7 @@
         overloaded
     }
 
-    /// Cordoned machines that are up, by kind; the oldest last.
+    /// Returns the cordoned machines that are up, by kind, with the oldest last.
     fn cordoned_by_kind(&self) -> FxHashMap<InstanceKind, Vec<InstanceIndex>> {
         let mut by_kind: FxHashMap<InstanceKind, Vec<InstanceIndex>> = FxHashMap::default();
         for (index, instance) in self.fleet.machines.iter() {
--- a/src/core/leader/fleet/refused_offers.rs
+++ b/src/core/leader/fleet/refused_offers.rs
@@ -1,16 +1,16 @@
-//! Offers that the cloud has refused of late. They are not requested again until a backoff has
+//! Offers that the cloud has refused recently. They are not requested again until a backoff has
 //! passed.
 
 use super::InstanceOffer;
 use crate::model::Ms;
 use rustc_hash::FxHashMap;
 
-/// Backoff after a first refusal; it doubles with each further one.
+/// Backoff after the first refusal. It doubles with each further refusal.
 const INITIAL_BACKOFF_MS: Ms = 5_000;
-/// Longest backoff.
+/// Maximum backoff.
 const MAX_BACKOFF_MS: Ms = 15_000;
 
-/// How long an offer is left alone.
+/// The period during which a refused offer is not requested.
 #[derive(Debug, Clone, Copy)]
 struct Backoff {
     until: Ms,
@@ -29,7 +29,7 @@
         self.backoffs.get(offer).is_some_and(|backoff| backoff.until > now)
     }
 
-    /// Begins the backoff of an offer, or a longer one if it was refused before.
+    /// Starts the backoff of an offer, with a longer duration if it was refused before.
     pub(super) fn record_refusal(&mut self, offer: &InstanceOffer, now: Ms) {
         let previous = self.backoffs.get(offer);
         let duration =
@@ -37,7 +37,7 @@
         self.backoffs.insert(offer.clone(), Backoff { until: now + duration, duration });
     }
 
-    /// Forgets the refusals of an offer that the cloud has met in full.
+    /// Clears the refusals of an offer after the cloud has fulfilled a request for it completely.
     pub(super) fn clear(&mut self, offer: &InstanceOffer) {
         self.backoffs.remove(offer);
     }
--- a/src/core/leader/fleet/scale_out_requests.rs
+++ b/src/core/leader/fleet/scale_out_requests.rs
@@ -1,7 +1,8 @@
-//! Scale-out requests: what the leader has asked, or is about to ask, the cloud for.
+//! Scale-out requests: instances that the leader has requested, or is about to request, from the
+//! cloud.
 //!
-//! A request has a name of its own (the term and its number), which is never used for another
-//! one: the cloud answers a repeated name as it answered the first time. So a request whose
+//! Each request has a unique name, made of the term and its number, that serves as an idempotency
+//! key: the cloud answers a repeated name as it answered the first time. So a request whose
 //! outcome is unknown is repeated under its name until the cloud has answered it.
 
 use super::InstanceOffer;
@@ -9,23 +10,23 @@
 use crate::core::leader::timer::Timer;
 use crate::model::Ms;
 
-/// Instances that one request asks for at the most.
+/// Maximum number of instances in one request.
 const MAX_INSTANCES_PER_REQUEST: u32 = 50;
 
 /// A request for instances of one offer.
 #[derive(Debug)]
 pub(in crate::core::leader) struct ScaleOutRequest {
-    /// Its number, unique within the term.
+    /// Number of the request, unique within the term.
     pub(super) number: u64,
-    /// What is asked for.
+    /// The requested offer.
     pub(in crate::core::leader) offer: InstanceOffer,
-    /// How many instances.
+    /// Number of requested instances.
     pub(in crate::core::leader) count: u32,
-    /// When it was first wanted; no instance that it brings is older.
+    /// When the request was added; no instance that it creates is older.
     pub(super) requested_at: Ms,
     is_in_flight: bool,
-    /// It was sent at least once with unknown outcome: it must be repeated until the cloud
-    /// answers.
+    /// Whether it was sent at least once with unknown outcome. It must then be repeated until the
+    /// cloud answers.
     is_outcome_unknown: bool,
     retry: Timer,
 }
@@ -36,29 +37,30 @@
         self.is_outcome_unknown
     }
 
-    /// It has been sent, and an answer is awaited.
+    /// Marks the request as in flight.
     pub(super) fn mark_sent(&mut self) {
         self.is_in_flight = true;
     }
 
-    /// It is to be sent again at this time.
+    /// Ends the call in flight and schedules a retry at this time.
     pub(super) fn retry_at(&mut self, at: Ms) {
         self.is_in_flight = false;
         self.retry.set(at);
     }
 
-    /// It may have been carried out, so it must not be dropped.
+    /// Marks that the cloud may have executed the request, so that it is not dropped.
     pub(super) fn mark_outcome_unknown(&mut self) {
         self.is_outcome_unknown = true;
     }
 
-    /// Whether it can still be changed or dropped: the cloud can't have seen it.
+    /// Whether the cloud can't have received the request, so that it can still be changed or
+    /// dropped.
     fn is_unsent(&self) -> bool {
         !self.is_in_flight && !self.is_outcome_unknown
     }
 }
 
-/// The requests of this term that are not settled, the oldest first.
+/// The unsettled requests of this term, the oldest first.
 #[derive(Debug, Default)]
 pub(in crate::core::leader) struct ScaleOutRequests {
     requests: Vec<ScaleOutRequest>,
@@ -66,13 +68,13 @@
 }
 
 impl ScaleOutRequests {
-    /// Asks for one more instance of an offer, with an unsent request for the same offer if
-    /// there is one. Returns the number of the request.
+    /// Requests one more instance of an offer: adds it to an unsent request for the same offer if
+    /// one has room for it, or else to a new one. Returns the number of the request.
     pub(super) fn add(&mut self, offer: InstanceOffer, now: Ms) -> u64 {
-        let has_capacity = |request: &&mut ScaleOutRequest| {
+        let has_room = |request: &&mut ScaleOutRequest| {
             request.offer == offer && request.is_unsent() && request.count < MAX_INSTANCES_PER_REQUEST
         };
-        if let Some(request) = self.requests.iter_mut().find(has_capacity) {
+        if let Some(request) = self.requests.iter_mut().find(has_room) {
             request.count += 1;
             return request.number;
         }
@@ -89,17 +91,17 @@
         self.last_number
     }
 
-    /// All unsettled requests.
+    /// Returns all unsettled requests.
     pub(in crate::core::leader) fn iter(&self) -> impl Iterator<Item = &ScaleOutRequest> {
         self.requests.iter()
     }
 
-    /// The oldest request that is to be sent now.
+    /// Returns the oldest request that is due to be sent.
     pub(super) fn next_due(&mut self, now: Ms) -> Option<&mut ScaleOutRequest> {
         self.requests.iter_mut().find(|request| !request.is_in_flight && request.retry.is_due(now))
     }
 
-    /// The request with this number.
+    /// Returns the request with this number.
     pub(super) fn get_mut(&mut self, number: u64) -> Option<&mut ScaleOutRequest> {
         self.requests.iter_mut().find(|request| request.number == number)
     }
@@ -110,12 +112,12 @@
         Some(self.requests.remove(position))
     }
 
-    /// Drops all requests for an offer that the cloud can't have seen.
+    /// Drops all requests for an offer that the cloud can't have received.
     pub(super) fn drop_unsent(&mut self, offer: &InstanceOffer) {
         self.requests.retain(|request| request.offer != *offer || !request.is_unsent());
     }
 
-    /// Number of instances of a kind that are requested.
+    /// Number of requested instances of a kind.
     pub(super) fn count_instances(&self, kind: InstanceKind) -> u32 {
         let requests = self.requests.iter().filter(|request| request.offer.kind() == kind);
         requests.map(|request| request.count).sum()
--- a/src/core/leader/fleet/window_rule.rs
+++ b/src/core/leader/fleet/window_rule.rs
@@ -1,5 +1,5 @@
-//! The window rule: at the start of each forecast window the instances of each kind are brought
-//! to a target, and idle ones below the drain level are cordoned.
+//! The window rule: at the start of each forecast window, scales the instances of each kind to a
+//! target, and cordons instances while all machines are below the drain level.
 
 use super::instance::InstancePhase;
 use super::offer::InstanceKind;
@@ -11,22 +11,22 @@
 use rustc_hash::{FxHashMap, FxHashSet};
 use std::collections::BTreeMap;
 
-/// What one application of the window rule works with.
+/// Working state of one application of the window rule.
 struct WindowScaling {
-    /// What the waiting tasks need; requested instances are taken out of it.
+    /// Instances that the waiting tasks need. Requested and restored ones are removed from it.
     plan: ScaleOutPlan,
-    /// Present bookings in whole instances' worth, by the label of the kind.
+    /// Present bookings in units of one whole instance, by the label of the kind.
     bookings: BTreeMap<String, f64>,
-    /// Instances that tasks run on.
+    /// Instances that tasks run on, or may run on.
     busy: FxHashSet<InstanceIndex>,
-    /// Instances by offer, those that this window requests among them.
+    /// Number of instances by offer, including those that this window requests.
     instances: FxHashMap<InstanceOffer, u32>,
 }
 
 impl Leader {
-    /// Begins a window: the target of each kind is its forecast, or its present demand if that
-    /// is more. Cordoned instances are restored first, the rest is requested; a surplus is
-    /// cordoned.
+    /// Starts a window. The target of each kind is its forecast, or its present demand if that is
+    /// higher. Cordoned instances are restored first, and the rest is requested. Surplus instances
+    /// are cordoned.
     pub(super) fn start_window(&mut self, context: &mut NodeContext, plan: ScaleOutPlan) {
         self.fleet.window.begin(context.clock.now(), context.operator.season);
         let mut scaling = WindowScaling {
@@ -45,8 +45,8 @@
         self.record_window(context, counts);
     }
 
-    /// Brings one kind to its target. Returns its usable instances without those that are
-    /// newly requested or cordoned.
+    /// Scales one kind to its target. Returns the number of its usable instances, not counting
+    /// newly requested ones but still counting newly cordoned ones.
     fn scale_kind(
         &mut self,
         context: &NodeContext,
@@ -58,8 +58,8 @@
         let booked = scaling.bookings.get(&label).copied().unwrap_or(0.0);
         let target = self.fleet.target(context, kind, booked + f64::from(waiting));
         let mut usable = self.fleet.count_usable(kind);
-        // Waiting tasks may need instances that bookings don't show, as capacity is free in
-        // pieces too small for them.
+        // Waiting tasks may need instances although the bookings don't show it, because the free
+        // capacity is too fragmented for them.
         let missing = target.max(usable + waiting) - usable;
         let restored = self.uncordon(kind, missing);
         for _ in 0..restored {
@@ -67,8 +67,8 @@
         }
         usable += restored;
         self.request_instances(context, kind, missing - restored, scaling);
-        // Right after an outage nothing is known of what machines could take: idle ones may
-        // only not have been heard yet.
+        // Right after an outage the load of the machines is unknown: machines that seem idle may
+        // only not have been heard from yet.
         let control_lease_since = context.control_lease.valid_since();
         let is_well_informed = context.clock.now() > control_lease_since + context.fresh_ms;
         if usable > target && waiting == 0 && is_well_informed {
@@ -77,8 +77,8 @@
         usable
     }
 
-    /// Requests instances of a kind: first what the plan names, then wherever there are the
-    /// fewest.
+    /// Requests instances of a kind: first from the offers in the plan, then from the offer that
+    /// has the fewest instances.
     fn request_instances(
         &mut self,
         context: &NodeContext,
@@ -96,13 +96,13 @@
         }
     }
 
-    /// Instances that tasks run on, or may run on.
+    /// Returns the instances that tasks run on, or may run on.
     fn busy_instances(&self) -> FxHashSet<InstanceIndex> {
         let running = self.attempts.values().filter(|attempt| attempt.occupies_capacity());
         running.filter_map(|attempt| attempt.machine).collect()
     }
 
-    /// Takes at most `limit` cordoned instances into use again. Returns how many.
+    /// Uncordons at most `limit` instances of a kind. Returns how many.
     fn uncordon(&mut self, kind: InstanceKind, limit: u32) -> u32 {
         let mut restored = 0;
         let instances = self.fleet.machines.values_mut();
@@ -137,8 +137,9 @@
         }
     }
 
-    /// If all machines are below the drain level, cordons as many as leaves the projected
-    /// peaks of all to fill the rest up to that level, those with the lowest peaks first.
+    /// Cordons machines if the projected peaks of all machines are below the drain level. The
+    /// fewest machines are kept that can carry the sum of all peaks at that level; those with the
+    /// lowest peaks are cordoned first.
     fn cordon_below_drain_level(&mut self, context: &NodeContext) {
         let level = context.operator.drain_level;
         if level <= 0.0 || !self.fleet.waiting.is_empty() {
@@ -162,9 +163,9 @@
         }
     }
 
-    /// Puts the window on record, unless the record of an earlier one is still being written.
+    /// Records the window, unless the record of an earlier one is still being written.
     fn record_window(&mut self, context: &mut NodeContext, counts: BTreeMap<String, u32>) {
-        if !self.fleet.window.begin_record() {
+        if !self.fleet.window.try_start_record_write() {
             return;
         }
         let record = FleetRecord {
@@ -178,30 +179,30 @@
 }
 
 impl Fleet {
-    /// Instances of a kind that the window rule wants, given the present demand for them.
+    /// Target number of instances of a kind, given the present demand for them.
     fn target(&self, context: &NodeContext, kind: InstanceKind, demand: f64) -> u32 {
         let (season, smoothing) = (context.operator.season, context.operator.smoothing);
         let label = kind.label(context);
         let history = self.window.history();
         let mut forecast = history.expect(&label, season, smoothing);
-        // Spot instances are kept for what demand strays by.
+        // Spot instances cover deviations of the demand from its forecast.
         if kind.is_spot
             && let Some(forecast) = &mut forecast
         {
             *forecast += context.operator.headroom * history.deviation(&label, smoothing);
         }
-        // A forecast of a small part of an instance is no reason to request one; present
-        // demand is.
+        // The forecast is rounded to the nearest integer, because a small fraction of an instance
+        // is no reason to request one. Present demand is rounded up, because it always is.
         (demand.ceil() as u32).max(forecast.unwrap_or(0.0).round() as u32)
     }
 
-    /// Instances of a kind that are up, boot or are requested; cordoned ones left out.
+    /// Number of instances of a kind that are up, booting or requested, without cordoned ones.
     fn count_usable(&self, kind: InstanceKind) -> u32 {
         let in_use = self.machines.values().filter(|m| m.is_live(kind) && !m.cordoned);
         in_use.count() as u32 + self.scale_out.count_instances(kind)
     }
 
-    /// All instances by the offer that they come from.
+    /// Number of all instances by the offer that they belong to.
     fn count_by_offer(&self) -> FxHashMap<InstanceOffer, u32> {
         let mut counts: FxHashMap<InstanceOffer, u32> = FxHashMap::default();
         for instance in self.machines.values() {
