--- a/src/core/leader/cells/acceptance.rs
+++ b/src/core/leader/cells/acceptance.rs
@@ -1,11 +1,11 @@
-//! Jobs that another cell lists as forwarded to this one: accepted or refused, and what their
-//! cell is told of them.
+//! Handles the jobs that another cell lists as forwarded to this one: accepts or refuses them, and
+//! determines their status for the reply to that cell.
 
 use super::capacity::shape_of;
 use super::hosted_jobs::{OriginState, RunningTasks};
 use super::move_log::log_record;
 use super::record_writes::{CellCall, WriteState, put_if_unchanged, send_write};
-use super::{Cells, RECORD_SLACK};
+use super::{Cells, RECORD_SLACK_BYTES};
 use crate::core::StoreResponse;
 use crate::core::common::context::NodeContext;
 use crate::core::common::feasibility::can_run;
@@ -21,13 +21,14 @@
 use woadlever_cells::message::{ForwardedJob, HostedJob};
 use woadlever_cells::record::Origin;
 
-/// Time after which an origin should offer a job again.
+/// Delay after which an origin cell may offer a refused job again.
 const REFUSED_RETRY_MS: Ms = 5_000;
 
 impl Cells {
-    /// Takes the next step with a job that the newest message of its cell lists. Returns what
-    /// that cell is told of it.
-    pub(super) fn follow_listed(
+    /// Reconciles the record of a job with its entry in the newest message of its origin cell.
+    /// Returns the job's status for the reply to that cell; `None` while there is nothing to
+    /// report.
+    pub(super) fn reconcile_listed_job(
         &mut self,
         leader: &mut Leader,
         context: &mut NodeContext,
@@ -39,13 +40,14 @@
         let record = host_record(leader, context, &origin.cell, job, running);
         let is_new = record == HostRecord::Unknown && listing == Listing::Active;
         if is_new && job.spec.is_none() {
-            // Its description comes with a later message.
+            // The job's description follows in a later message.
             return None;
         }
-        // None as well if this version can't read it: then it can't be hosted.
+        // Also `None` if this software version can't parse the description: the job can't be
+        // hosted then.
         let spec = job.spec.as_deref().and_then(|json| serde_json::from_slice(json).ok());
         if is_new && self.creations.contains_key(&job.id) {
-            // Accepted already, as far as this leader is concerned.
+            // This leader has already decided to accept the job, so only the write is retried.
             self.create_record(leader, context, &origin.cell, job, spec);
             return None;
         }
@@ -59,14 +61,15 @@
                 self.create_record(leader, context, &origin.cell, job, spec);
             }
             HostStep::Tombstone => self.create_record(leader, context, &origin.cell, job, None),
-            // A live job that is recalled is cancelled with the others of its cell.
+            // A live job that is recalled is cancelled together with the other hosted jobs of its
+            // cell.
             HostStep::Wait | HostStep::Cancel => {}
         }
         let done = done_bits(leader, context, &job.id, record);
         phase.map(|phase| HostedJob { id: job.id.clone(), epoch: job.epoch, phase, done })
     }
 
-    /// Whether a job of another cell is taken on now.
+    /// Decides whether a job of another cell can be accepted now.
     fn admission(
         &self,
         context: &NodeContext,
@@ -89,8 +92,8 @@
         }
     }
 
-    /// Writes the first record of a job: accepted if its description is given, or else a
-    /// tombstone.
+    /// Writes the first record of another cell's job: a hosted job if its description is given, or
+    /// else a tombstone.
     fn create_record(
         &mut self,
         leader: &Leader,
@@ -101,16 +104,16 @@
     ) {
         let state = self.creations.get(&job.id);
         let is_due = state.is_none_or(|state| state.is_due(context.clock.now()));
-        if !is_due || !self.may_write(context) {
+        if !is_due || !self.try_take_write_token(context) {
             return;
         }
         let origin = Origin { cell: cell.to_string(), epoch: job.epoch, done: String::new() };
         let record = match accepted {
             Some(spec) => JobRecord::hosted(spec, origin),
-            // Tasks of a tombstone are never counted.
+            // The number of tasks in a tombstone is never used.
             None => JobRecord::tombstone(0, origin),
         };
-        // The tombstone of an earlier epoch is replaced.
+        // If there is a record, it is the tombstone of an earlier epoch, which is replaced.
         let version = context.job_index(&job.id).map_or(0, |index| context.job(index).version);
         let write = put_if_unchanged(leader, job_key(&job.id), version, Encoded::new(&record));
         self.creations.insert(job.id.clone(), WriteState::InFlight);
@@ -118,7 +121,7 @@
         send_write(context, call, write);
     }
 
-    /// Takes in the result of the write of a first record.
+    /// Handles the result of the write of a first record.
     pub(super) fn on_created(
         &mut self,
         context: &mut NodeContext,
@@ -136,7 +139,7 @@
             }
             StoreResponse::Conflict(_) => {
                 self.creations.remove(&id);
-                // There is one already: it is read if it is not in memory.
+                // The job already has a record, which is read if it is not in memory.
                 context.job_index_or_lookup(&id);
             }
             _ => {
@@ -146,17 +149,17 @@
     }
 }
 
-/// Whether a job of another cell could run here and be kept on record.
+/// Whether a job of another cell could run here, and its record fits into a value of the store.
 fn can_be_hosted(context: &NodeContext, id: &str, spec: &JobSpec) -> bool {
-    // The record's origin comes on top of the job itself.
-    let bytes = Encoded::new(&JobRecord::live(spec.clone(), &[])).len() + RECORD_SLACK;
+    // The slack covers the record's origin, which is stored in addition to the job itself.
+    let bytes = Encoded::new(&JobRecord::live(spec.clone(), &[])).len() + RECORD_SLACK_BYTES;
     valid_id(id)
         && (1..=MAX_TASKS).contains(&u64::from(spec.tasks))
         && bytes <= context.platform.cluster.state.value_bytes()
         && can_run(context, spec).is_ok()
 }
 
-/// What the record here says of a job that another cell lists.
+/// Returns the state of this cell's record of a job that another cell lists.
 fn host_record(
     leader: &Leader,
     context: &NodeContext,
@@ -187,7 +190,7 @@
     }
 }
 
-/// The tasks of a hosted job that are done, as hexadecimal bits.
+/// Returns the completed tasks of a hosted job, as a bit set in hexadecimal digits.
 fn done_bits(leader: &Leader, context: &NodeContext, id: &str, record: HostRecord) -> String {
     let Some(index) = context.job_index(id) else { return String::new() };
     match record {
--- a/src/core/leader/cells/capacity.rs
+++ b/src/core/leader/cells/capacity.rs
@@ -1,4 +1,4 @@
-//! What this cell has capacity for, as it tells the others.
+//! Counts the capacity that this cell reports to the other cells.
 
 use super::Cells;
 use crate::core::common::context::NodeContext;
@@ -9,18 +9,19 @@
 use crate::model::{JobSpec, Ms, Resources};
 use woadlever_cells::routing::{Amount, ClassCapacity, JobShape};
 
-/// Instances of each class that may be requested, as is told to other cells, at the least: as
-/// many as one call asks for. A larger fleet is taken to be able to double.
-const MIN_REQUESTABLE: u32 = 50;
-/// Pause between two counts, which look at all machines; more where there are many.
-const REFRESH_MS: Ms = 1_000;
+/// Lower bound on the number of instances of each class that this cell reports as requestable:
+/// the maximum of one call to the cloud. A larger fleet is assumed to be able to double.
+const MIN_REQUESTABLE_INSTANCES: u32 = 50;
+/// Interval between two counts. It is extended for a large fleet, because each count visits all
+/// machines.
+const REFRESH_INTERVAL_MS: Ms = 1_000;
 
-/// An amount of resources as cells speak of it.
+/// Converts an amount of resources to the form used in messages between cells.
 fn amount(resources: &Resources) -> Amount {
     Amount { cpus: resources.cpus, gpus: resources.gpus, memory_gb: resources.mem }
 }
 
-/// What a job demands, as cells speak of it.
+/// Returns the resource demand and placement constraints of a job, in the form used between cells.
 pub(super) fn shape_of(spec: &JobSpec) -> JobShape<'_> {
     JobShape {
         demand: amount(&spec.demand()),
@@ -34,17 +35,18 @@
 }
 
 impl Cells {
-    /// Counts the capacity anew. What waits here has the first claim on it.
+    /// Recounts the capacity. Jobs that wait in this cell take precedence: their demand is reserved
+    /// first.
     pub(super) fn refresh_capacity(&mut self, leader: &Leader, context: &NodeContext) {
         let instances = leader.fleet.machines.len();
-        let gap = context.load_adjusted_gap(REFRESH_MS, instances);
+        let gap = context.load_adjusted_gap(REFRESH_INTERVAL_MS, instances);
         self.timers.capacity.set(context.clock.now() + gap);
         self.team_use = leader.team_use(context);
         self.capacity.clear();
         if !context.operator.cells.accept || context.machine_types.is_empty() {
             return;
         }
-        let requestable = MIN_REQUESTABLE.max(instances as u32);
+        let requestable = MIN_REQUESTABLE_INSTANCES.max(instances as u32);
         self.capacity = upcoming_class_capacity(leader, context, requestable);
         for waiting in &leader.fleet.waiting {
             let Some(job) = leader.jobs.get(&waiting.job) else { continue };
@@ -53,7 +55,7 @@
         }
     }
 
-    /// Whether there is capacity for a job of another cell, within its team's quota.
+    /// Whether there is capacity for a job of another cell within its team's quota.
     pub(super) fn has_capacity_for(&self, context: &NodeContext, spec: &JobSpec) -> bool {
         let teams = &context.platform.cluster.teams;
         let Some(team) = teams.iter().position(|team| team.name == spec.team) else { return false };
@@ -63,8 +65,8 @@
     }
 }
 
-/// Capacity by class: free, or on instances that boot or are requested, and `requestable`
-/// instances beside them where the cloud has not refused some a moment ago.
+/// Returns the capacity by class: the free capacity, that of booting or requested instances, and
+/// that of `requestable` further instances in each class that the cloud has not refused recently.
 pub(super) fn upcoming_class_capacity(
     leader: &Leader,
     context: &NodeContext,
@@ -100,7 +102,7 @@
     }
 }
 
-/// Instances that the cloud may have, by class.
+/// Returns the instances that may be requested from the cloud, by class, with no free capacity.
 fn requestable_capacity(leader: &Leader, context: &NodeContext, requestable: u32) -> Vec<ClassCapacity> {
     let mut capacity = Vec::new();
     for (machine_type, known_type) in context.machine_types.iter().enumerate() {
--- a/src/core/leader/cells/forward_writes.rs
+++ b/src/core/leader/cells/forward_writes.rs
@@ -1,12 +1,12 @@
-//! The write that forwards a job to another cell, until it is certain what became of it.
+//! Tracks the write that forwards a job to another cell until its outcome is known.
 //!
-//! Until then no task of the job may be admitted here, nor may the job be offered again: the
-//! write may yet be carried out.
+//! Until then no task of the job may be admitted here and the job may not be offered again,
+//! because the write may still be executed.
 
 use super::capacity::shape_of;
 use super::move_log::log_record;
 use super::record_writes::{CellCall, RETRY_MS, record_change, send_write};
-use super::{Cells, RECORD_SLACK};
+use super::{Cells, RECORD_SLACK_BYTES};
 use crate::core::StoreResponse;
 use crate::core::common::context::NodeContext;
 use crate::core::common::job_records::RecordSource;
@@ -17,32 +17,32 @@
 use woadlever_cells::event::MoveEvent;
 use woadlever_cells::record::Forwarding;
 
-/// A write that forwards a job.
+/// A write that forwards a job, tracked until it is settled.
 #[derive(Debug)]
 pub(super) struct PendingForward {
     record: JobRecord,
     /// Version of the job's record that the write is conditional on.
     version: u64,
-    state: ForwardWrite,
-    /// One of the attempts at it may yet be carried out.
-    is_uncertain: bool,
+    state: ForwardWriteState,
+    /// Whether the outcome of an earlier attempt is unknown, so that it may still be executed.
+    is_outcome_unknown: bool,
 }
 
-/// How far that write is.
+/// State of a write that forwards a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum ForwardWrite {
+enum ForwardWriteState {
     InFlight,
-    /// To be repeated from this time on: with the same condition, so that the repeat settles
-    /// what became of the first.
+    /// The write is retried from this time on, under the same condition, so that the result of the
+    /// retry shows whether an earlier attempt was executed.
     RetryAt(Ms),
-    /// It will never be carried out: the job is as it was.
+    /// The write will never be executed, so the job is unchanged.
     NotExecuted,
-    /// Another version is on record; the watch will tell which.
+    /// The record has another version, which the watch on the store will deliver.
     Superseded,
 }
 
 impl Cells {
-    /// Begins to forward a job. False: its record would be too large.
+    /// Starts to forward a job. Returns false if its record would be too large.
     pub(super) fn forward(
         &mut self,
         leader: &mut Leader,
@@ -54,7 +54,9 @@
         let job = context.job(index);
         let forwarding = Forwarding::begin(cell, job.version, job.forwarding());
         let record = JobRecord::forwarded(spec.clone(), &dependency_ids(context, index), forwarding);
-        if Encoded::new(&record).len() + RECORD_SLACK > context.platform.cluster.state.value_bytes() {
+        if Encoded::new(&record).len() + RECORD_SLACK_BYTES
+            > context.platform.cluster.state.value_bytes()
+        {
             return false;
         }
         if let Some(neighbor) = self.neighbors.get_mut(cell) {
@@ -63,14 +65,14 @@
         if let Some(live) = leader.jobs.get_mut(&index) {
             live.backoff_until = Ms::MAX;
         }
-        let state = ForwardWrite::InFlight;
-        let pending = PendingForward { version: job.version, record, state, is_uncertain: false };
+        let state = ForwardWriteState::InFlight;
+        let pending = PendingForward { version: job.version, record, state, is_outcome_unknown: false };
         send_forward(leader, context, index, &pending);
         self.pending_forwards.insert(index, pending);
         true
     }
 
-    /// Takes in the result of the write.
+    /// Handles the result of the write that forwards a job.
     pub(super) fn on_forward_written(
         &mut self,
         context: &mut NodeContext,
@@ -84,30 +86,31 @@
                 let id = context.jobs.id(index).to_string();
                 log_record(&id, &record, MoveEvent::Forwarded);
                 context.apply_job_record(&id, record, *revision, RecordSource::Single);
-                ForwardWrite::Superseded
+                ForwardWriteState::Superseded
             }
-            StoreResponse::Conflict(_) => ForwardWrite::Superseded,
-            StoreResponse::NotExecuted | StoreResponse::Malformed if !pending.is_uncertain => {
-                ForwardWrite::NotExecuted
+            StoreResponse::Conflict(_) => ForwardWriteState::Superseded,
+            StoreResponse::NotExecuted | StoreResponse::Malformed if !pending.is_outcome_unknown => {
+                ForwardWriteState::NotExecuted
             }
             _ => {
-                pending.is_uncertain = true;
-                ForwardWrite::RetryAt(context.clock.now() + context.retry_ms(RETRY_MS))
+                pending.is_outcome_unknown = true;
+                ForwardWriteState::RetryAt(context.clock.now() + context.retry_ms(RETRY_MS))
             }
         };
     }
 
-    /// Repeats writes that are uncertain, and lets go of jobs whose forwarding is settled.
-    pub(super) fn follow_pending_forwards(&mut self, leader: &mut Leader, context: &mut NodeContext) {
+    /// Retries writes whose outcome is unknown. Stops tracking settled ones, and ends the backoff of
+    /// their jobs.
+    pub(super) fn advance_pending_forwards(&mut self, leader: &mut Leader, context: &mut NodeContext) {
         let now = context.clock.now();
         let mut settled = Vec::new();
         for (index, pending) in &mut self.pending_forwards {
             let job = context.job(*index);
             let is_superseded = job.version > pending.version || job.state != JobState::Live;
-            if is_superseded || pending.state == ForwardWrite::NotExecuted {
+            if is_superseded || pending.state == ForwardWriteState::NotExecuted {
                 settled.push(*index);
-            } else if matches!(pending.state, ForwardWrite::RetryAt(at) if now >= at) {
-                pending.state = ForwardWrite::InFlight;
+            } else if matches!(pending.state, ForwardWriteState::RetryAt(at) if now >= at) {
+                pending.state = ForwardWriteState::InFlight;
                 send_forward(leader, context, *index, pending);
             }
         }
@@ -125,7 +128,8 @@
     send_write(context, CellCall::Forward { job: index }, write);
 }
 
-/// The jobs that a job depends on; all of them are done, but the record keeps them.
+/// Returns the ids of the jobs that a job depends on. They are all done, but the job's record
+/// still contains them.
 pub(super) fn dependency_ids(context: &NodeContext, index: JobIndex) -> Vec<String> {
     let dependencies = context.job(index).links.dependencies.iter();
     dependencies.map(|dependency| context.jobs.id(*dependency).to_string()).collect()
--- a/src/core/leader/cells/forwarded_jobs.rs
+++ b/src/core/leader/cells/forwarded_jobs.rs
@@ -1,4 +1,4 @@
-//! Jobs of this cell that others host: followed until they are done or back.
+//! Tracks the jobs of this cell that other cells host, until they are done or returned.
 
 use super::Cells;
 use super::forward_writes::dependency_ids;
@@ -14,25 +14,25 @@
 use woadlever_cells::origin::{ForwardView, OriginLimits, OriginStep, next_step};
 use woadlever_cells::record::Forwarding;
 
-/// Since when a forwarded job has been as it is, as far as this leader has seen.
+/// How long a forwarded job has been in its present state, as observed by this leader.
 #[derive(Debug)]
-pub(super) struct Observed {
+pub(super) struct ForwardObservation {
     /// Version of the job's record.
     version: u64,
-    /// Since when the record has had it.
+    /// When this leader first saw that version.
     since: Ms,
-    /// Since when the host has shown nothing of it running or done.
+    /// When the host last reported running tasks, or else when the observation started.
     idle_since: Ms,
-    /// The host's refusal has been counted.
+    /// Whether the host's refusal has been counted.
     is_refusal_counted: bool,
 }
 
-impl Observed {
-    fn new(version: u64, now: Ms) -> Observed {
-        Observed { version, since: now, idle_since: now, is_refusal_counted: false }
+impl ForwardObservation {
+    fn new(version: u64, now: Ms) -> ForwardObservation {
+        ForwardObservation { version, since: now, idle_since: now, is_refusal_counted: false }
     }
 
-    /// Takes in the version that the record has now.
+    /// Updates the version, and restarts the time in it if it has changed.
     fn update(&mut self, version: u64, now: Ms) {
         if self.version != version {
             self.version = version;
@@ -42,8 +42,8 @@
 }
 
 impl Cells {
-    /// Takes in what a host says of one of our jobs.
-    pub(super) fn on_hosted_elsewhere(
+    /// Applies a host's report on one of this cell's jobs.
+    pub(super) fn on_host_report(
         &mut self,
         leader: &mut Leader,
         context: &NodeContext,
@@ -71,13 +71,13 @@
         }
         job.location = JobLocation::Away { running: running_now };
         if running_now > 0 {
-            self.note_running(context, index, cell);
+            self.record_running(context, index, cell);
         }
     }
 
-    /// A host runs tasks of one of our jobs.
-    fn note_running(&mut self, context: &NodeContext, index: JobIndex, cell: &str) {
-        if let Some(observed) = self.observed.get_mut(&index) {
+    /// Records that a host runs tasks of one of this cell's jobs.
+    fn record_running(&mut self, context: &NodeContext, index: JobIndex, cell: &str) {
+        if let Some(observed) = self.observations.get_mut(&index) {
             observed.idle_since = context.clock.now();
         }
         if let Some(neighbor) = self.neighbors.get_mut(cell) {
@@ -85,15 +85,16 @@
         }
     }
 
-    /// Takes the next step with each job that another cell hosts.
-    pub(super) fn follow_forwarded(&mut self, leader: &mut Leader, context: &mut NodeContext) {
+    /// Reconciles each job that another cell hosts: waits for it, finishes it, recalls it or takes
+    /// it back.
+    pub(super) fn reconcile_forwarded_jobs(&mut self, leader: &mut Leader, context: &mut NodeContext) {
         let away = leader.jobs.iter().filter(|(_, job)| job.is_away()).map(|(index, _)| *index);
         for index in away.collect::<Vec<JobIndex>>() {
             let Some(forwarding) = context.job(index).forwarding().cloned() else { continue };
             let (forwarding, event) = match self.next_step(leader, context, index, &forwarding) {
                 OriginStep::Wait => continue,
                 OriginStep::Finish => {
-                    // The scheduler writes the end of a job all of whose tasks are done.
+                    // The scheduler writes the final state of a job once all its tasks are done.
                     if let Some(job) = leader.jobs.get_mut(&index) {
                         job.take_all_done_elsewhere();
                     }
@@ -134,7 +135,7 @@
         next_step(&view, &limits)
     }
 
-    /// A forwarded job as it is known now.
+    /// Returns the present state of a forwarded job, as input of the next decision.
     fn forward_view(
         &mut self,
         leader: &Leader,
@@ -144,12 +145,13 @@
     ) -> ForwardView {
         let now = context.clock.now();
         let version = context.job(index).version;
-        let observed = self.observed.entry(index).or_insert_with(|| Observed::new(version, now));
+        let observed =
+            self.observations.entry(index).or_insert_with(|| ForwardObservation::new(version, now));
         observed.update(version, now);
         let has_begun = leader.jobs.get(&index).is_some_and(|job| !job.done.is_empty());
         let neighbor = self.neighbors.get(&forwarding.cell);
         let id = context.jobs.id(index);
-        // A cell that the settings no longer name is silent from the start of the term.
+        // A cell that is no longer in the settings counts as silent since the start of the term.
         let host_silent_ms =
             neighbor.map_or(now - leader.activated_at, |neighbor| neighbor.silent_ms(now));
         ForwardView {
@@ -161,9 +163,10 @@
         }
     }
 
-    /// Counts the refusal of a job, once, with the cell that refused it.
+    /// Counts the refusal of a job towards the backoff of the cell that refused it, at most once.
+    /// A cell that can never run the job gets no backoff, because other jobs may be offered to it.
     fn count_refusal(&mut self, context: &NodeContext, index: JobIndex, cell: &str, retry_after_ms: Ms) {
-        let Some(observed) = self.observed.get_mut(&index) else { return };
+        let Some(observed) = self.observations.get_mut(&index) else { return };
         let Some(neighbor) = self.neighbors.get_mut(cell) else { return };
         let is_counted = std::mem::replace(&mut observed.is_refusal_counted, true);
         if !is_counted && retry_after_ms != NEVER_RETRY {
--- a/src/core/leader/cells/hosted_jobs.rs
+++ b/src/core/leader/cells/hosted_jobs.rs
@@ -1,5 +1,5 @@
-//! Jobs of other cells that this one hosts: run while the newest message of their cell lists
-//! them, and cancelled here when it does not.
+//! Manages the jobs of other cells that this one hosts. A job runs while the newest message of its
+//! origin cell lists it as active, and is cancelled here otherwise.
 
 use super::Cells;
 use super::record_writes::{RecordChange, WriteState};
@@ -18,51 +18,51 @@
 use woadlever_cells::neighbor::Neighbor;
 use woadlever_cells::record::Origin;
 
-/// Bits of tasks that are done, in one message: a quarter of what a frame takes. Jobs for
-/// which none are left are told of without them, until they are done.
+/// Maximum total size of the bit sets of completed tasks in one message: a quarter of a frame.
+/// Jobs whose bit set exceeds what is left are reported without it until they are done.
 const MAX_DONE_BYTES: usize = MAX_FRAME / 4;
-/// A hosted job whose cell's lease ended this long ago is cancelled here. Its tasks have long
-/// been stopped.
+/// Time after the end of the origin cell's lease at which a hosted job is cancelled here. Its
+/// tasks have been stopped long before.
 const ABANDONED_AFTER_MS: Ms = 600_000;
 
-/// What the newest message of an origin cell says.
+/// Content of the newest message of an origin cell.
 #[derive(Debug)]
 pub(super) struct OriginState {
-    /// The origin cell.
+    /// Name of the origin cell.
     pub(super) cell: String,
-    /// What it has forwarded to this cell.
+    /// Jobs that it has forwarded to this cell, with the lease for them.
     pub(super) forwarded: ForwardedState,
-    /// Revision of its records that this rests on.
+    /// Revision of its key-value store that the message is based on.
     pub(super) revision: u64,
 }
 
-/// A live job that this cell hosts, and how the newest message of its cell lists it.
+/// A live job that this cell hosts, and its status in the newest message of its origin cell.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct HostedEntry {
     /// The job.
     pub(super) job: JobIndex,
-    /// What the message says of it.
+    /// Its status in the message.
     pub(super) listing: Listing,
 }
 
-/// Numbers of tasks that run here, by job.
+/// Number of tasks that run in this cell, by job.
 pub(super) type RunningTasks = FxHashMap<JobIndex, u32>;
 
 impl Cells {
-    /// Follows what each other cell has forwarded to this one.
-    pub(super) fn follow_hosted(&mut self, leader: &mut Leader, context: &mut NodeContext) {
+    /// Reconciles the jobs here with what each other cell has forwarded to this one.
+    pub(super) fn reconcile_hosted_jobs(&mut self, leader: &mut Leader, context: &mut NodeContext) {
         let running = count_running(leader);
         self.forget_creations();
         for cell in self.neighbors.keys().cloned().collect::<Vec<_>>() {
             let Some(origin) = self.origin_state(context, &cell) else { continue };
             let hosted = list_hosted(leader, context, &origin);
             for entry in &hosted {
-                self.follow_live(leader, context, *entry);
+                self.reconcile_live_job(leader, context, *entry);
             }
             let mut statuses = Vec::new();
             let mut bytes_left = MAX_DONE_BYTES;
             for job in &origin.forwarded.jobs {
-                let status = self.follow_listed(leader, context, &origin, job, &running);
+                let status = self.reconcile_listed_job(leader, context, &origin, job, &running);
                 statuses.extend(status.map(|status| limit_done(status, &mut bytes_left)));
             }
             self.hosted.insert(cell, statuses);
@@ -70,8 +70,8 @@
         }
     }
 
-    /// What the newest message of a cell says; none before the first, or if it is older than
-    /// the one that the lease on record rests on.
+    /// Returns the content of the newest message of a cell. Returns `None` before the first
+    /// message, or if the message is older than the one that the recorded lease is based on.
     fn origin_state(&self, context: &NodeContext, cell: &str) -> Option<OriginState> {
         let forwarded = self.neighbors[cell].forwarded()?;
         let lease = context.cell_leases.get(cell).lease;
@@ -83,7 +83,7 @@
         })
     }
 
-    /// Forgets first records that were not written in time and that nobody lists any more.
+    /// Forgets first records whose write is not in flight and whose jobs no cell lists any more.
     fn forget_creations(&mut self) {
         let neighbors = self.neighbors.values().filter_map(Neighbor::forwarded);
         let listed: HashSet<&str> =
@@ -92,19 +92,24 @@
             .retain(|id, state| *state == WriteState::InFlight || listed.contains(id.as_str()));
     }
 
-    /// Cancels hosted jobs whose cell has not been heard for very long, or is no longer named
-    /// in the settings.
+    /// Cancels hosted jobs whose origin cell has been silent for very long, or is no longer in the
+    /// settings.
     pub(super) fn cancel_abandoned(&mut self, leader: &mut Leader, context: &mut NodeContext) {
         let hosted = leader.jobs.iter().filter(|(_, job)| job.is_hosted()).map(|(index, _)| *index);
         let abandoned: Vec<JobIndex> = hosted.filter(|job| is_abandoned(context, *job)).collect();
         for job in abandoned {
-            self.follow_live(leader, context, HostedEntry { job, listing: Listing::Absent });
+            self.reconcile_live_job(leader, context, HostedEntry { job, listing: Listing::Absent });
         }
     }
 
-    /// A hosted job that is live on record: its tasks may be admitted while it is listed as
-    /// active, and it is cancelled here when it is not.
-    fn follow_live(&mut self, leader: &mut Leader, context: &mut NodeContext, entry: HostedEntry) {
+    /// Reconciles a hosted job whose record is live: lets its tasks be admitted while it is listed
+    /// as active, and cancels it here otherwise.
+    fn reconcile_live_job(
+        &mut self,
+        leader: &mut Leader,
+        context: &mut NodeContext,
+        entry: HostedEntry,
+    ) {
         let is_listed = entry.listing == Listing::Active;
         let Some(job) = leader.jobs.get_mut(&entry.job) else { return };
         let location = JobLocation::Hosted { is_listed };
@@ -120,7 +125,7 @@
         let Some(origin) = context.job(entry.job).origin().cloned() else { return };
         let mut record = JobRecord::tombstone(tasks, Origin { done, ..origin.clone() });
         if Encoded::new(&record).len() > context.platform.cluster.state.value_bytes() {
-            // Some tasks are then run again by the origin.
+            // Without the completed tasks, the origin cell runs some tasks again.
             record = JobRecord::tombstone(tasks, origin);
         }
         let change = RecordChange { job: entry.job, record, event: MoveEvent::Tombstoned };
@@ -128,17 +133,17 @@
     }
 }
 
-/// Whether the cell of a hosted job has been silent for very long.
+/// Whether the lease of a hosted job's origin cell ended so long ago that the job is abandoned.
 fn is_abandoned(context: &NodeContext, index: JobIndex) -> bool {
     let job = context.job(index);
     let Some(origin) = job.origin() else { return false };
     let lease = context.cell_leases.get(&origin.cell).lease;
     let is_lease_long_over = lease.until_ms + ABANDONED_AFTER_MS < context.clock.wall();
-    // One accepted a moment ago may have no lease yet.
+    // A job that was accepted recently may have no lease yet.
     is_lease_long_over && job.state_since + ABANDONED_AFTER_MS < context.clock.now()
 }
 
-/// Leaves out what would make a message too long.
+/// Removes the completed tasks from a job's status if they would make the message too long.
 fn limit_done(status: HostedJob, bytes_left: &mut usize) -> HostedJob {
     match bytes_left.checked_sub(status.done.len()) {
         Some(left) => {
@@ -157,7 +162,7 @@
     running
 }
 
-/// The live jobs that this cell hosts for another.
+/// Returns the live jobs that this cell hosts for another, with their status in its message.
 fn list_hosted(leader: &Leader, context: &NodeContext, origin_state: &OriginState) -> Vec<HostedEntry> {
     let forwarded = origin_state.forwarded.jobs.iter();
     let listed: HashMap<&str, &ForwardedJob> = forwarded.map(|job| (job.id.as_str(), job)).collect();
@@ -169,7 +174,7 @@
         let listing = match forwarded {
             Some(job) if job.is_recalled => Listing::Recalled,
             Some(_) => Listing::Active,
-            // The message may be older than the forwarding: the next one will tell.
+            // The message may be older than the forwarding, so the next message decides.
             None if origin.epoch >= origin_state.revision => continue,
             None => Listing::Absent,
         };
--- a/src/core/leader/cells/lease_extension.rs
+++ b/src/core/leader/cells/lease_extension.rs
@@ -1,4 +1,4 @@
-//! Extensions of the lease under which this cell runs the jobs of another one.
+//! Extends the lease under which this cell runs the jobs of another cell.
 
 use super::Cells;
 use super::hosted_jobs::{HostedEntry, OriginState};
@@ -13,13 +13,13 @@
 use woadlever_cells::host::{HostRecord, ListedRecord, Listing, may_extend_lease};
 use woadlever_cells::record::CellLease;
 
-/// A lease is written anew when the origin has extended it by this much, so that it costs one
-/// write in some seconds whatever the number of jobs.
+/// Minimum extension by the origin cell for which the lease is written again. It limits the cost
+/// to one write every few seconds, independently of the number of jobs.
 const MIN_EXTENSION_MS: Ms = 4_000;
 
 impl Cells {
-    /// Puts a later end of the lease on record, once nothing runs any more that the message
-    /// does not list as active.
+    /// Records a later end of the lease, provided that no hosted job is live any more that the
+    /// message doesn't list as active.
     pub(super) fn extend_lease(
         &mut self,
         leader: &Leader,
@@ -44,7 +44,7 @@
         send_write(context, CellCall::ExtendLease { cell: origin.cell.clone(), lease }, write);
     }
 
-    /// Takes in the result of the write of a lease.
+    /// Handles the result of the write of a lease.
     pub(super) fn on_lease_written(
         &mut self,
         context: &mut NodeContext,
@@ -61,7 +61,7 @@
     }
 }
 
-/// Whether the lease is needed, and the message has been met by what is on record.
+/// Whether the lease is needed, and the records agree with the origin cell's message.
 fn is_extension_allowed(hosted: &[HostedEntry]) -> bool {
     let is_needed = hosted.iter().any(|entry| entry.listing == Listing::Active);
     let record = HostRecord::Live { done: 0, running: 0 };
--- a/src/core/leader/cells/messages.rs
+++ b/src/core/leader/cells/messages.rs
@@ -1,5 +1,5 @@
-//! Messages to and from the leaders of other cells. Each carries the sender's whole state, so
-//! what is lost is made good by the next one.
+//! Messages to and from the leaders of other cells. Each message carries the sender's whole state,
+//! so the next message makes up for a lost one.
 
 use super::Cells;
 use crate::core::common::context::NodeContext;
@@ -9,20 +9,20 @@
 use woadlever_cells::message::{CellMessage, ForwardedJob, ForwardedState, HostedState};
 use woadlever_cells::record::ForwardPhase;
 
-/// Pause between two messages to the other cells.
-const SEND_GAP_MS: Ms = 500;
-/// Descriptions of jobs that go along with one message; the rest follows with the next.
-const MAX_SPECS: usize = 64;
+/// Interval between two messages to the other cells.
+const SEND_INTERVAL_MS: Ms = 500;
+/// Maximum number of job descriptions in one message. The rest follows in the next messages.
+const MAX_SPECS_PER_MESSAGE: usize = 64;
 
 impl Cells {
-    /// Sends the whole state to each other cell, if that is due.
+    /// Sends this cell's whole state to each other cell, if it is due.
     pub(super) fn send_state(&mut self, leader: &Leader, context: &mut NodeContext) {
         let Some(revision) = context.jobs.watched_revision() else { return };
         let now = context.clock.now();
         if !self.timers.send.is_due(now) {
             return;
         }
-        self.timers.send.set(now + SEND_GAP_MS);
+        self.timers.send.set(now + SEND_INTERVAL_MS);
         for cell in self.neighbors.keys() {
             let message = CellMessage {
                 cell: context.operator.cells.name.clone(),
@@ -35,7 +35,7 @@
         }
     }
 
-    /// What is told to a cell of the jobs of its own that this one hosts.
+    /// Returns the state of a cell's jobs that this one hosts, for the message to that cell.
     fn hosted_state(&self, context: &NodeContext, cell: &str) -> HostedState {
         HostedState {
             stop_within_ms: context.cell_leases.timing().stop_within_ms(),
@@ -44,10 +44,10 @@
         }
     }
 
-    /// What is told to a cell of the jobs that it hosts for this one.
+    /// Returns the state of this cell's jobs that are forwarded to a cell, for the message to it.
     fn forwarded_state(&self, leader: &Leader, context: &NodeContext, cell: &str) -> ForwardedState {
         let neighbor = &self.neighbors[cell];
-        let mut specs_left = MAX_SPECS;
+        let mut specs_left = MAX_SPECS_PER_MESSAGE;
         let mut jobs = Vec::new();
         for (index, job) in leader.jobs.iter().filter(|(_, job)| job.is_away()) {
             let forwarding = context.job(*index).forwarding();
@@ -69,7 +69,8 @@
         ForwardedState { lease_until_ms: self.lease_until_ms(context, cell), jobs }
     }
 
-    /// Time of day until which the cell may run jobs of this one; 0 if not at all.
+    /// Returns the time of day until which a cell may run jobs of this one, or 0 if it may not run
+    /// any.
     fn lease_until_ms(&self, context: &NodeContext, cell: &str) -> u64 {
         let Some(hosted) = self.neighbors[cell].hosted() else { return 0 };
         let Some(renewed_at) = context.control_lease.renewed_at() else { return 0 };
@@ -79,24 +80,24 @@
         timing.lease_until_ms(renewed_wall_ms, hosted.stop_within_ms).unwrap_or(0)
     }
 
-    /// Takes in the message of another cell.
+    /// Handles a message from another cell.
     pub(super) fn receive(&mut self, leader: &mut Leader, context: &NodeContext, message: CellMessage) {
         let cell = message.cell.clone();
         let Some(neighbor) = self.neighbors.get_mut(&cell) else {
-            tracing::warn!(cell, "message of an unknown cell");
+            tracing::warn!(cell, "message from an unknown cell");
             return;
         };
         let Some(jobs) = neighbor.receive(message, context.clock.now()) else { return };
         for job in jobs {
-            self.on_hosted_elsewhere(leader, context, &cell, &job);
+            self.on_host_report(leader, context, &cell, &job);
         }
-        // What it asks for is not left until the next turn.
-        self.timers.step.set(context.clock.now());
+        // The message is acted on at once instead of at the next interval.
+        self.timers.poll.set(context.clock.now());
     }
 }
 
-/// The description of a job (JSON) that goes to the host: with the priority of the jobs that
-/// depend on this one.
+/// Encodes the description of a job for its host, as JSON. Its priority is the job's effective
+/// one, which takes the jobs that depend on it into account.
 fn encoded_spec(job: &LiveJob) -> Option<Vec<u8>> {
     let spec = JobSpec { priority: job.priority, ..(*job.spec).clone() };
     serde_json::to_vec(&spec).ok()
--- a/src/core/leader/cells/mod.rs
+++ b/src/core/leader/cells/mod.rs
@@ -1,15 +1,16 @@
-//! Cells that share load: the leader's side of `crates/cells`.
+//! Load sharing between cells: the leader's side of `crates/cells`.
 //!
-//! The decisions are made there; here they meet the records, the scheduler and the other
-//! cells. See docs/cells.md.
+//! `crates/cells` makes the decisions. This module supplies their inputs from the records, the
+//! scheduler and the other cells, and carries them out. See docs/cells.md.
 //!
-//! - Jobs of this cell: [`offers`] picks jobs and the cells they go to, [`forward_writes`] puts
-//!   that on record, [`forwarded_jobs`] follows them until they are done or back.
-//! - Jobs of other cells: [`hosted_jobs`] follows what the others have forwarded to this one,
-//!   [`acceptance`] takes jobs on or refuses them, [`lease_extension`] keeps the lease on record
-//!   that they run under.
-//! - Both: [`capacity`] counts what this cell has capacity for, [`messages`] exchanges states
-//!   with the other cells, [`record_writes`] changes records, [`move_log`] logs the steps.
+//! - Jobs of this cell: [`offers`] selects the jobs to forward and their host cells,
+//!   [`forward_writes`] records the forwarding, [`forwarded_jobs`] tracks the jobs until they are
+//!   done or returned.
+//! - Jobs of other cells: [`hosted_jobs`] reconciles the jobs forwarded to this cell,
+//!   [`acceptance`] accepts or refuses them, [`lease_extension`] records the extensions of the
+//!   lease that they run under.
+//! - Both: [`capacity`] counts the capacity of this cell, [`messages`] exchanges states with the
+//!   other cells, [`record_writes`] changes records, [`move_log`] logs the steps.
 
 mod acceptance;
 mod capacity;
@@ -32,7 +33,7 @@
 use crate::core::common::token_bucket::TokenBucket;
 use crate::model::{JobIndex, Ms, Resources};
 use forward_writes::PendingForward;
-use forwarded_jobs::Observed;
+use forwarded_jobs::ForwardObservation;
 use record_writes::WriteState;
 use rustc_hash::FxHashMap;
 use std::collections::{BTreeMap, HashMap};
@@ -40,52 +41,53 @@
 use woadlever_cells::neighbor::Neighbor;
 use woadlever_cells::routing::ClassCapacity;
 
-/// Pause between two looks at what is to be done.
-const STEP_GAP_MS: Ms = 250;
-/// The same where load is not shared: jobs may be left that were forwarded before.
-const IDLE_STEP_GAP_MS: Ms = 2_000;
-/// Share of the writes to the key-value store that moving jobs between cells may take.
+/// Interval between two polls of the jobs that move between cells.
+const POLL_INTERVAL_MS: Ms = 250;
+/// Interval between two polls while load sharing is disabled. Jobs that were forwarded before may
+/// remain.
+const IDLE_POLL_INTERVAL_MS: Ms = 2_000;
+/// Share of the key-value store's write rate limit that moving jobs between cells may use.
 const WRITE_SHARE: f64 = 0.2;
-/// Bytes by which the record of a job may grow while it moves: names of cells and numbers.
-const RECORD_SLACK: usize = 256;
+/// Upper bound on the growth of a job's record while the job moves, due to cell names and numbers.
+const RECORD_SLACK_BYTES: usize = 256;
 
-/// What the leader knows of other cells and of the jobs that move between them.
+/// The leader's state on other cells and on the jobs that move between cells.
 pub(super) struct Cells {
     neighbors: BTreeMap<String, Neighbor>,
-    /// Rate limit for the first records of other cells' jobs and for forwardings.
+    /// Rate limit of the writes that forward jobs or create records of other cells' jobs.
     write_limit: TokenBucket,
     timers: CellTimers,
-    /// Jobs whose forwarding is not settled; none of their tasks may be admitted.
+    /// Unsettled writes that forward jobs. No task of these jobs may be admitted.
     pending_forwards: FxHashMap<JobIndex, PendingForward>,
-    /// Since when a forwarded job has been as it is.
-    observed: FxHashMap<JobIndex, Observed>,
-    /// Changes of the records of jobs that are not committed.
+    /// How long each forwarded job has been in its present state.
+    observations: FxHashMap<JobIndex, ForwardObservation>,
+    /// Uncommitted changes of job records.
     record_changes: FxHashMap<JobIndex, WriteState>,
-    /// First records of other cells' jobs that are not settled, by the job's id.
+    /// Uncommitted first records of other cells' jobs, by the job's id.
     creations: HashMap<String, WriteState>,
-    /// Extensions of leases that are not committed, by the origin cell.
+    /// Uncommitted extensions of leases, by origin cell.
     lease_writes: HashMap<String, WriteState>,
-    /// What each cell is told of its jobs.
+    /// Status of the hosted jobs in the next message to each origin cell.
     hosted: HashMap<String, Vec<HostedJob>>,
-    /// What this cell has capacity for, as the others are told.
+    /// Capacity by class that this cell reports to the others.
     capacity: Vec<ClassCapacity>,
-    /// Use per team when the capacity was counted.
+    /// Resource use of each team at the last count of the capacity.
     team_use: Vec<Resources>,
 }
 
 /// Timers of the periodic work.
 #[derive(Debug, Default)]
 struct CellTimers {
-    /// The next look at the jobs that move.
-    step: Timer,
+    /// The next poll of the jobs that move.
+    poll: Timer,
     /// The next message to the other cells.
     send: Timer,
-    /// The next count of capacity, after which jobs are offered.
+    /// The next count of the capacity, after which waiting jobs are offered to other cells.
     capacity: Timer,
 }
 
 impl Cells {
-    /// Nothing is known yet. If load is not shared there are no other cells.
+    /// Creates the state of a new leader. It contains no other cells if load sharing is disabled.
     pub(super) fn new(context: &NodeContext) -> Cells {
         let now = context.clock.now();
         let settings = &context.operator.cells;
@@ -96,7 +98,7 @@
             write_limit: TokenBucket::new(rate, rate.max(1.0), now),
             timers: CellTimers::default(),
             pending_forwards: FxHashMap::default(),
-            observed: FxHashMap::default(),
+            observations: FxHashMap::default(),
             record_changes: FxHashMap::default(),
             creations: HashMap::new(),
             lease_writes: HashMap::new(),
@@ -106,14 +108,14 @@
         }
     }
 
-    /// Takes the next steps with the jobs that move.
-    fn step(&mut self, leader: &mut Leader, context: &mut NodeContext) {
+    /// Advances the jobs that move between cells.
+    fn poll(&mut self, leader: &mut Leader, context: &mut NodeContext) {
         let is_sharing = context.operator.cells.enabled;
-        let gap = if is_sharing { STEP_GAP_MS } else { IDLE_STEP_GAP_MS };
-        let gap = context.load_adjusted_gap(gap, leader.jobs.len());
-        self.timers.step.set(context.clock.now() + gap);
-        self.follow_pending_forwards(leader, context);
-        self.follow_forwarded(leader, context);
+        let interval = if is_sharing { POLL_INTERVAL_MS } else { IDLE_POLL_INTERVAL_MS };
+        let interval = context.load_adjusted_gap(interval, leader.jobs.len());
+        self.timers.poll.set(context.clock.now() + interval);
+        self.advance_pending_forwards(leader, context);
+        self.reconcile_forwarded_jobs(leader, context);
         self.cancel_abandoned(leader, context);
         self.forget_ended(leader);
         if is_sharing {
@@ -121,25 +123,25 @@
         }
     }
 
-    /// What is done only while load is shared.
+    /// Runs the work that is only done while load sharing is enabled.
     fn share_load(&mut self, leader: &mut Leader, context: &mut NodeContext) {
         if self.timers.capacity.is_due(context.clock.now()) {
             self.refresh_capacity(leader, context);
             self.offer_waiting_jobs(leader, context);
         }
-        self.follow_hosted(leader, context);
+        self.reconcile_hosted_jobs(leader, context);
         self.send_state(leader, context);
     }
 
-    /// Forgets jobs that have ended or are back.
+    /// Forgets jobs that have ended or been returned.
     fn forget_ended(&mut self, leader: &Leader) {
         let jobs = &leader.jobs;
         let is_live = |job: &JobIndex| jobs.contains_key(job);
         self.record_changes.retain(|job, state| *state == WriteState::InFlight || is_live(job));
-        self.observed.retain(|job, _| jobs.get(job).is_some_and(LiveJob::is_away));
+        self.observations.retain(|job, _| jobs.get(job).is_some_and(LiveJob::is_away));
     }
 
-    /// Takes in the result of a call to the key-value store.
+    /// Handles the result of a call to the key-value store.
     fn on_store_response(&mut self, context: &mut NodeContext, call: CellCall, result: &StoreResponse) {
         match call {
             CellCall::Forward { job } => self.on_forward_written(context, job, result),
@@ -150,20 +152,22 @@
     }
 }
 
-// The cells are taken out of the leader for the time of a call, so that they can change both.
+// `cells` is moved out of the leader for the duration of each call, because its methods borrow
+// both it and the leader mutably.
 impl Leader {
-    /// Takes the next steps with the jobs that move between cells, if they are due.
+    /// Advances the jobs that move between cells, if a poll is due.
     pub(super) fn poll_cells(&mut self, context: &mut NodeContext) {
         let Some(mut cells) = self.cells.take() else { return };
-        if cells.timers.step.is_due(context.clock.now()) {
-            cells.step(self, context);
+        if cells.timers.poll.is_due(context.clock.now()) {
+            cells.poll(self, context);
         }
         self.cells = Some(cells);
     }
 
-    /// Takes in the message of another cell.
+    /// Handles a message from another cell.
     pub(crate) fn on_cell_message(&mut self, context: &mut NodeContext, message: CellMessage) {
-        // Its own jobs are not known yet; the next message comes soon.
+        // An inactive leader does not know the jobs of its own cell yet. The next message follows
+        // soon.
         if !self.is_active {
             return;
         }
@@ -172,7 +176,7 @@
         self.cells = Some(cells);
     }
 
-    /// Takes in the result of a call to the key-value store.
+    /// Handles the result of a call to the key-value store.
     pub(super) fn on_cell_result(
         &mut self,
         context: &mut NodeContext,
--- a/src/core/leader/cells/offers.rs
+++ b/src/core/leader/cells/offers.rs
@@ -1,4 +1,4 @@
-//! Which waiting jobs of this cell are forwarded, and to which cell.
+//! Selects the waiting jobs of this cell to forward, and the cell that each is forwarded to.
 
 use super::Cells;
 use super::capacity::{shape_of, upcoming_class_capacity};
@@ -9,17 +9,17 @@
 use std::collections::BTreeMap;
 use woadlever_cells::routing;
 
-/// A job for which instances boot or are requested here is offered to other cells after this
-/// many times the ordinary wait.
+/// Multiple of the ordinary wait after which a job is offered to other cells although instances
+/// for it are booting or requested here.
 const LONG_WAIT_FACTOR: Ms = 3;
-/// All tasks of a job.
+/// Share of a job's tasks that must fit here: all of them.
 const ALL_TASKS: f64 = 1.0;
 
-/// Numbers of jobs that other cells host for this one, by cell.
+/// Number of jobs that other cells host for this one, by cell.
 type HostedCounts = BTreeMap<String, usize>;
 
 impl Cells {
-    /// Forwards jobs that have waited for long to cells that have capacity for them.
+    /// Forwards jobs that have waited for a long time to cells that have capacity for them.
     pub(super) fn offer_waiting_jobs(&mut self, leader: &mut Leader, context: &mut NodeContext) {
         let mut hosted_counts = count_hosted_elsewhere(leader, context);
         let mut upcoming = upcoming_class_capacity(leader, context, 0);
@@ -38,7 +38,7 @@
             let spec = job.spec.clone();
             let cell = self.choose_cell(context, index, &spec, &hosted_counts);
             let Some(cell) = cell else { continue };
-            if !self.may_write(context) {
+            if !self.try_take_write_token(context) {
                 return;
             }
             if self.forward(leader, context, index, &spec, &cell) {
@@ -47,7 +47,7 @@
         }
     }
 
-    /// The cell that the job is forwarded to, if one has capacity.
+    /// Returns the cell to forward a job to, if one has capacity for it.
     fn choose_cell(
         &self,
         context: &NodeContext,
@@ -83,8 +83,8 @@
     counts
 }
 
-/// Whether a job may be offered to other cells: it has waited for long, no task of it was ever
-/// admitted, and it belongs here.
+/// Whether a job may be offered to other cells: it belongs to this cell, has waited for a long
+/// time, is neither in a backoff nor being stopped, and none of its tasks was ever admitted.
 fn may_be_forwarded(leader: &Leader, context: &NodeContext, index: JobIndex, job: &LiveJob) -> bool {
     job.location == JobLocation::Local
         && waited_ms(context, job) >= context.operator.cells.spill_after_ms
@@ -94,13 +94,13 @@
         && !context.must_stop(index)
 }
 
-/// Whether a job has waited for so long that it is offered to other cells even if this one is
-/// getting instances for it.
+/// Whether a job has waited for so long that it is offered to other cells even if instances for it
+/// are booting or requested here.
 fn is_long_wait(context: &NodeContext, job: &LiveJob) -> bool {
     waited_ms(context, job) >= context.operator.cells.spill_after_ms * LONG_WAIT_FACTOR
 }
 
-/// Time since the job could have begun.
+/// Time since the job has been ready to run.
 fn waited_ms(context: &NodeContext, job: &LiveJob) -> Ms {
     context.clock.wall().saturating_sub(job.ready_at_ms)
 }
--- a/src/core/leader/cells/record_writes.rs
+++ b/src/core/leader/cells/record_writes.rs
@@ -1,5 +1,5 @@
-//! Writes of the records of jobs that move between cells, and of the leases of other cells.
-//! Each one holds only under this leader's term and the version of the record that it knows.
+//! Writes the records of jobs that move between cells, and the leases of other cells. Each write is
+//! conditional on this leader's term and on the last known version of the record.
 
 use super::Cells;
 use super::move_log::log_record;
@@ -14,69 +14,70 @@
 use woadlever_cells::event::MoveEvent;
 use woadlever_cells::record::CellLease;
 
-/// Pause before a write that was not committed is tried again.
+/// Delay before a write that was not committed is retried.
 pub(super) const RETRY_MS: Ms = 500;
 
-/// What a call to the key-value store was for.
+/// Purpose of a call to the key-value store.
 #[derive(Debug)]
 pub(crate) enum CellCall {
-    /// A job of this cell begins to be forwarded.
+    /// Starts to forward a job of this cell.
     Forward {
         /// The job.
         job: JobIndex,
     },
-    /// A later change of the record of a job that moves.
+    /// Changes the record of a moving job later on.
     ChangeRecord(Box<RecordChange>),
-    /// The first record of another cell's job: accepted, or a tombstone.
+    /// Creates the first record of another cell's job: a hosted job or a tombstone.
     CreateRecord {
         /// Id of the job.
         id: String,
-        /// What is written.
+        /// The new record.
         record: Box<JobRecord>,
     },
-    /// The lease of another cell.
+    /// Extends the lease of another cell.
     ExtendLease {
-        /// The origin cell.
+        /// Name of the origin cell.
         cell: String,
-        /// What is written.
+        /// The extended lease.
         lease: CellLease,
     },
 }
 
-/// A change of the record of a job that moves.
+/// A change of the record of a job that moves between cells.
 #[derive(Debug)]
 pub(crate) struct RecordChange {
     /// The job.
     pub(super) job: JobIndex,
-    /// Its new record.
+    /// The job's new record.
     pub(super) record: JobRecord,
-    /// What the change means.
+    /// The event that is logged once the change is committed.
     pub(super) event: MoveEvent,
 }
 
-/// How far the write of a record is that has been tried and is not committed.
+/// State of a record write that has been sent at least once but not committed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum WriteState {
-    /// The result is awaited.
+    /// The write is in flight.
     InFlight,
-    /// It was not committed; it may be tried again from this time on.
+    /// The write was not committed and may be retried from this time on.
     RetryAt(Ms),
 }
 
 impl WriteState {
-    /// Whether the write may be tried now.
+    /// Whether the write may be retried now.
     pub(super) fn is_due(self, now: Ms) -> bool {
         matches!(self, WriteState::RetryAt(at) if now >= at)
     }
 
-    /// The state after a write that was not committed.
+    /// Returns the state after a write that was not committed.
     pub(super) fn after_failure(context: &mut NodeContext) -> WriteState {
         let pause = context.retry_ms(RETRY_MS);
         WriteState::RetryAt(context.clock.now() + pause)
     }
 }
 
-/// Puts a value under a key, if its version is still this one (0: there is none).
+/// Returns a request that puts a value under a key if the key still has this version, where 0
+/// stands for a missing key.
 pub(super) fn put_if_unchanged(
     leader: &Leader,
     key: String,
@@ -89,7 +90,7 @@
     }
 }
 
-/// A change of a job's record that holds only for the version that is known here.
+/// Returns a request that changes a job's record if it still has the last known version.
 pub(super) fn record_change(
     leader: &Leader,
     context: &NodeContext,
@@ -109,17 +110,19 @@
 }
 
 impl Cells {
-    /// Whether a write may be sent now that other cells' demand causes; if so, it is counted.
-    pub(super) fn may_write(&mut self, context: &mut NodeContext) -> bool {
+    /// Takes a token for a write that moves a job between cells. Returns false if no such write may
+    /// be sent now.
+    pub(super) fn try_take_write_token(&mut self, context: &mut NodeContext) -> bool {
         let now = context.clock.now();
-        let may = context.can_write(1) && self.write_limit.has(now, 1.0);
-        if may {
+        let can_send = context.can_write(1) && self.write_limit.has(now, 1.0);
+        if can_send {
             self.write_limit.take(now, 1.0);
         }
-        may
+        can_send
     }
 
-    /// Changes the record of a job, unless an earlier change is under way.
+    /// Writes a change of a job's record, unless an earlier change is in flight or waits for its
+    /// retry.
     pub(super) fn change_record(
         &mut self,
         leader: &Leader,
@@ -136,7 +139,7 @@
         send_write(context, CellCall::ChangeRecord(Box::new(change)), write);
     }
 
-    /// Takes in the result of [`Cells::change_record`].
+    /// Handles the result of the write sent by [`Cells::change_record`].
     pub(super) fn on_record_changed(
         &mut self,
         context: &mut NodeContext,
