--- a/src/core/leader/fleet/health_checks.rs
+++ b/src/core/leader/fleet/health_checks.rs
@@ -76,7 +76,7 @@
         if self.is_boot_overdue(instance, boot_s) {
             Some(DrainReason::NotBooted)
         } else if instance.is_missing_from_lists() && silent_ms > self.fresh_ms {
-            // The list proves nothing; a confirmed termination proves that the instance is gone.
+            // The list doesn't prove that the instance is gone; its confirmed termination will.
             Some(DrainReason::Vanished)
         } else if was_heard && silent_ms > self.worker_lease_ms + SILENCE_MARGIN_MS {
             Some(DrainReason::Silent)
--- a/src/core/leader/fleet/window_rule.rs
+++ b/src/core/leader/fleet/window_rule.rs
@@ -191,8 +191,9 @@
         {
             *forecast += context.operator.headroom * history.deviation(&label, smoothing);
         }
-        // The forecast is rounded to the nearest integer, because a small fraction of an instance
-        // is no reason to request one. Present demand is rounded up, because it always is.
+        // A forecast of a small fraction of an instance is no reason to request one, so the forecast
+        // is rounded to the nearest integer. Any fraction of present demand is, so that is rounded
+        // up.
         (demand.ceil() as u32).max(forecast.unwrap_or(0.0).round() as u32)
     }
 
--- a/src/core/leader/progress/job_progress.rs
+++ b/src/core/leader/progress/job_progress.rs
@@ -54,7 +54,7 @@
         self.unrecorded.push(task);
     }
 
-    /// Adds the tasks that a record marks as done, and remembers the record's version.
+    /// Adds the tasks that a record marks as done, and stores the record's version.
     pub fn apply_record(&mut self, segment: ProgressSegment, bits: &str, version: u64) {
         self.recorded.add_hex(segment.first_word(), bits);
         self.segments.insert(segment, Some(version));
