--- a/crates/recovery/src/attempt.rs
+++ b/crates/recovery/src/attempt.rs
@@ -1,27 +1,27 @@
-//! The verdict on an attempt, and the action that is allowed for it.
+//! Verdicts on attempts, and the commands that a worker may be sent about them.
 
 use crate::worker::{HeartbeatVersion, WorkerLiveness};
 
-/// How far an attempt is, as far as its shard owner knows.
+/// Phase of an attempt, as far as its shard owner knows.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AttemptPhase {
     /// Bound by this shard owner; no heartbeat has listed it yet.
     Bound,
-    /// Recorded by a former shard owner; may or may not be on the machine.
+    /// Recorded by a former shard owner; the attempt may or may not be on the machine.
     Inherited,
-    /// Waits for its image.
+    /// The worker is fetching the image.
     Fetching,
-    /// Runs.
+    /// The task is running.
     Running,
-    /// Was told to stop and saves a checkpoint.
+    /// The task is saving a checkpoint after a stop command.
     Saving,
-    /// Completed.
+    /// The task completed successfully.
     Done,
-    /// Stopped by command.
+    /// The attempt ended because of a stop command.
     Stopped,
-    /// Failed.
+    /// The task failed.
     Failed,
-    /// The machine refused the start.
+    /// The worker refused the start command.
     Refused,
 }
 
@@ -34,113 +34,116 @@
         )
     }
 
-    /// Whether the last heartbeat that listed the attempt has shown it alive.
+    /// Whether the last heartbeat that listed the attempt reported it as not yet ended.
     pub fn is_alive(self) -> bool {
         matches!(self, AttemptPhase::Fetching | AttemptPhase::Running | AttemptPhase::Saving)
     }
 }
 
-/// What the verdict on an attempt rests on, beside what is known about the worker.
+/// State of an attempt, from which its verdict follows together with the worker's liveness.
 #[derive(Debug, Clone, Copy)]
 pub struct AttemptState {
-    /// How far it is.
+    /// Last known phase.
     pub phase: AttemptPhase,
-    /// Whether the leader wants it there.
+    /// Whether the leader wants the attempt on this machine.
     pub is_wanted: bool,
-    /// The heartbeat whose response first carried its start command.
+    /// The heartbeat whose response first carried the attempt's start command.
     pub start_sent: Option<HeartbeatVersion>,
 }
 
-/// What a heartbeat that was accepted proves about an attempt.
+/// What an accepted heartbeat proves about an attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Verdict {
-    /// The heartbeat lists it.
+    /// The heartbeat lists the attempt.
     Present,
-    /// Nothing is proven yet: its start command is on its way, waits to be sent, or may
-    /// have been sent by a former shard owner.
+    /// Nothing is proven yet: the start command is in flight or still to be sent, or a former
+    /// shard owner may have sent one.
     Pending,
-    /// It is not listed, but known to have succeeded; kept until the success is on record.
+    /// The heartbeat does not list the attempt, which is already known to have succeeded. It is
+    /// kept until the success is durably recorded.
     Succeeded,
-    /// It is not on the machine and never will be.
+    /// The attempt is not on the machine and will never be.
     Absent,
-    /// Its start command was sent and never arrived: absent, and responses don't reach the
-    /// machine.
+    /// The start command was sent and never arrived: the attempt is absent, and responses do
+    /// not reach the machine.
     Undelivered,
 }
 
-/// The verdict on an attempt after the newest heartbeat, which lists it or doesn't.
+/// Returns the verdict on an attempt after the worker's newest heartbeat. `is_listed` says
+/// whether that heartbeat lists the attempt.
 pub fn judge(attempt: &AttemptState, is_listed: bool, liveness: &WorkerLiveness) -> Verdict {
     if is_listed {
         return Verdict::Present;
     }
     match attempt.phase {
         AttemptPhase::Done if attempt.is_wanted => Verdict::Succeeded,
-        // Sent in the response to an earlier heartbeat: the worker sends the next one only
-        // after that response, or having given it up, so what this one does not list never
-        // came.
+        // A start command sent in the response to an earlier heartbeat: the worker sends its
+        // next heartbeat only after it has received that response or stopped waiting for it,
+        // so a command whose attempt this heartbeat does not list never arrived.
         AttemptPhase::Bound if attempt.is_wanted => match attempt.start_sent {
             Some(sent) if sent < liveness.newest() => Verdict::Undelivered,
             None if liveness.is_unreachable() => Verdict::Absent,
             _ => Verdict::Pending,
         },
-        // The former owner's response can't be under way any more once the worker knows our
-        // fencing token. A later incarnation proves nothing before that: both heartbeats
-        // may be late copies, older than the start command, and the task would run twice.
+        // Once the worker knows our fencing token, no response of the former owner can still be
+        // in flight. Before that, even a later incarnation proves nothing: both heartbeats may
+        // be late copies, older than the start command, and the task would run twice.
         AttemptPhase::Inherited if !liveness.is_fenced() => Verdict::Pending,
         _ => Verdict::Absent,
     }
 }
 
-/// Whether the end of the worker's lease proves the attempt gone: all but a success that
-/// is still to be recorded.
+/// Whether the end of the worker's lease ends the attempt too. This holds for every attempt
+/// except a success that still has to be recorded.
 pub fn ends_with_lease(attempt: &AttemptState) -> bool {
     attempt.phase != AttemptPhase::Done || !attempt.is_wanted
 }
 
-/// Whether an attempt that the leader no longer wants is gone without a heartbeat: its
-/// start command was never sent, or it ended on a machine whose lease is over.
+/// Whether an attempt that the leader no longer wants is known to be gone without another
+/// heartbeat: its start command was never sent, or it ended on a machine whose lease has ended.
 pub fn ends_when_unwanted(attempt: &AttemptState, lease_ended: bool) -> bool {
     let never_sent = attempt.phase == AttemptPhase::Bound && attempt.start_sent.is_none();
     !attempt.is_wanted && (never_sent || lease_ended && attempt.phase.has_ended())
 }
 
-/// What the job of an attempt allows.
+/// What the state of an attempt's job allows.
 #[derive(Debug, Clone, Copy)]
 pub struct JobEligibility {
-    /// On record and neither done nor cancelled.
+    /// Whether the job is recorded and neither done nor cancelled.
     pub is_live: bool,
-    /// Its cancellation is confirmed, as far as is known here.
+    /// Whether the job's cancellation is known here to be confirmed.
     pub is_cancelled: bool,
-    /// Its tasks can save a checkpoint when they are stopped.
+    /// Whether the job's tasks can save a checkpoint when they are stopped.
     pub can_checkpoint: bool,
 }
 
-/// What the shard owner knows of an attempt and its machine, beside the attempt's state.
+/// Further conditions, known to the shard owner, on which commands about an attempt depend.
 #[derive(Debug, Clone, Copy)]
 pub struct ActionConditions {
-    /// The attempt is durably recorded.
+    /// Whether the attempt is durably recorded.
     pub is_recorded: bool,
-    /// A heartbeat has listed the attempt at least once.
+    /// Whether a heartbeat has listed the attempt at least once.
     pub was_listed: bool,
-    /// Its machine is not being terminated.
+    /// Whether the machine accepts new attempts: it is not being terminated.
     pub starts_allowed: bool,
 }
 
-/// What a worker is to do with an attempt.
+/// Action that a worker is commanded to take on an attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum WorkerAction {
-    /// Start it.
+    /// Start the attempt.
     Start,
-    /// Stop it.
+    /// Stop the attempt.
     Stop {
-        /// Whether it has time to save a checkpoint first.
+        /// Whether the task is given time to save a checkpoint first.
         with_checkpoint: bool,
     },
-    /// Leave it out of later heartbeats.
+    /// Leave the ended attempt out of later heartbeats.
     Forget,
 }
 
-/// The action for an attempt that is allowed in the response to the newest heartbeat.
+/// Returns the action on an attempt that the response to the worker's newest heartbeat may
+/// command.
 ///
 /// There is none for an attempt that no heartbeat has listed and that this shard owner did
 /// not bind.
@@ -152,10 +155,11 @@
 ) -> Option<WorkerAction> {
     let phase = attempt.phase;
     if phase == AttemptPhase::Bound {
-        let is_due = attempt.is_wanted && conditions.is_recorded;
+        let attempt_may_start = attempt.is_wanted && conditions.is_recorded;
         let job_may_start = job.is_live && !job.is_cancelled;
         let worker_may_start = conditions.starts_allowed && liveness.may_start();
-        return (is_due && job_may_start && worker_may_start).then_some(WorkerAction::Start);
+        let may_start = attempt_may_start && job_may_start && worker_may_start;
+        return may_start.then_some(WorkerAction::Start);
     }
     if phase.is_alive() && (job.is_cancelled || !attempt.is_wanted) {
         if phase == AttemptPhase::Saving && !job.is_cancelled {
@@ -164,19 +168,19 @@
         let with_checkpoint = job.can_checkpoint && !job.is_cancelled;
         return Some(WorkerAction::Stop { with_checkpoint });
     }
-    let is_known_end = phase.has_ended() && conditions.was_listed;
-    (is_known_end && !attempt.is_wanted).then_some(WorkerAction::Forget)
+    let has_reported_end = phase.has_ended() && conditions.was_listed;
+    (has_reported_end && !attempt.is_wanted).then_some(WorkerAction::Forget)
 }
 
-/// The action for an attempt that a heartbeat lists and no record does: it is nobody's, so
-/// it must not go on. The records have been read after we became the shard owner, so none
-/// can still appear that lists it.
-pub fn action_for_unrecorded(has_exited: bool) -> WorkerAction {
-    if has_exited { WorkerAction::Forget } else { WorkerAction::Stop { with_checkpoint: false } }
+/// Returns the action on an attempt that a heartbeat lists and no record does. No leader or
+/// shard owner accounts for such an attempt, so it must not continue. The records were read
+/// after we became the shard owner, so a record that lists it can no longer appear.
+pub fn action_for_unrecorded(has_ended: bool) -> WorkerAction {
+    if has_ended { WorkerAction::Forget } else { WorkerAction::Stop { with_checkpoint: false } }
 }
 
-/// Whether a cancelled attempt may be on its machine, so that a direct command has to stop
-/// it. This holds in every phase of recovery.
+/// Whether an attempt of a cancelled job may be on its machine, so that a direct command is
+/// needed to stop it. The answer is the same in every phase of recovery.
 pub fn may_need_direct_stop(attempt: &AttemptState) -> bool {
     match attempt.phase {
         AttemptPhase::Inherited => true,
--- a/crates/recovery/tests/verdicts.rs
+++ b/crates/recovery/tests/verdicts.rs
@@ -1,4 +1,4 @@
-//! What heartbeats prove, in single cases and drawn at random.
+//! Tests of what heartbeats prove, with single examples and with random cases.
 
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic, reason = "a test fails by panicking")]
 
@@ -23,7 +23,7 @@
     HeartbeatHeader { version: HeartbeatVersion { incarnation, sequence }, fencing_token }
 }
 
-/// A worker that was heard once, by a heartbeat with this fencing token.
+/// Returns a worker from which one heartbeat with this fencing token was accepted.
 fn worker_with_token(fencing_token: u64) -> WorkerLiveness {
     let mut worker = WorkerLiveness::default();
     worker.accept(heartbeat(1, 5, fencing_token), TOKEN, false, &TIMING, 1_000).unwrap();
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn only_a_worker_that_knows_our_token_disproves_what_a_former_owner_bound() {
+fn only_a_worker_that_knows_our_token_disproves_an_attempt_bound_by_a_former_owner() {
     assert_eq!(judge(&inherited(), false, &worker_with_token(9)), Verdict::Pending);
     assert_eq!(judge(&inherited(), false, &worker_with_token(TOKEN)), Verdict::Absent);
     assert_eq!(judge(&inherited(), true, &worker_with_token(9)), Verdict::Present);
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn after_its_lease_a_worker_may_start_its_sequence_anew_and_gets_work_only_with_our_token() {
+fn after_its_lease_a_worker_may_restart_its_sequence_and_gets_work_only_with_our_token() {
     let mut worker = worker_with_token(TOKEN);
     worker.note_response(1_000);
     assert!(!worker.lease_is_over(0, &TIMING, 21_000));
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn a_shard_is_reconciled_once_no_attempt_is_left_open() {
+fn a_shard_is_reconciled_once_no_attempt_is_unreconciled() {
     let mut shard = ShardRecovery::new(1_000);
     assert!(!shard.finish_if_reconciled(0), "its records have not been read");
     shard.records_read(77, 3);
@@ -105,7 +105,7 @@
 }
 
 #[test]
-fn a_new_leader_keeps_what_may_run_and_gives_no_task_a_second_attempt() {
+fn a_new_leader_keeps_attempts_of_live_jobs_and_gives_no_task_a_second_attempt() {
     let status = |job_is_live, is_done| TaskStatus { job_is_live, is_done };
     let of_recorded = AttemptDisposition::of_recorded;
     assert_eq!(of_recorded(status(true, false)), AttemptDisposition::Keep);
@@ -122,7 +122,7 @@
     let attempts = attempts.map(|(job, task, attempt)| TaskAttempt { job, task, attempt });
     assert_eq!(superseded(&attempts), [5]);
     assert!(is_proven_gone(false, Some(3), 3));
-    assert!(!is_proven_gone(false, Some(4), 3), "the shard owner had not been told of it");
+    assert!(!is_proven_gone(false, Some(4), 3), "the shard owner may not have known of the attempt");
     assert!(!is_proven_gone(false, None, 9) && !is_proven_gone(true, Some(1), 9));
 }
 
@@ -140,7 +140,8 @@
     ])
 }
 
-/// Fixed seeds, so that each run draws the same; what once failed is kept in the file.
+/// Returns a configuration with a fixed seed, so that each run draws the same cases. Failing
+/// cases are kept in the regressions file.
 fn fixed_seed() -> ProptestConfig {
     ProptestConfig {
         rng_seed: RngSeed::Fixed(20_261_202),
@@ -154,10 +155,11 @@
 proptest! {
     #![proptest_config(fixed_seed())]
 
-    /// No command goes to a machine for an attempt that is not reconciled; a start only for
-    /// what is recorded, wanted and live, and a stop only for what should not go on.
+    /// No command is sent for an attempt that is not reconciled. A start command is sent only for
+    /// a recorded, wanted attempt of a live job, and a stop command only for an attempt that is
+    /// cancelled or no longer wanted.
     #[test]
-    fn commands_rest_on_what_is_reconciled(
+    fn commands_are_sent_only_for_reconciled_attempts(
         phase in any_phase(),
         flags in any::<[bool; 7]>(),
         fencing_token in 8_u64..=TOKEN,
@@ -186,15 +188,15 @@
         }
         if is_cancelled && phase.is_alive() {
             let stop = Some(WorkerAction::Stop { with_checkpoint: false });
-            prop_assert_eq!(action, stop, "a cancellation waits for nothing");
+            prop_assert_eq!(action, stop, "a cancellation takes effect at once");
         }
     }
 
-    /// Whatever heartbeats come in whatever order, with our fencing token or older ones: the
-    /// newest one accepted only rises while the lease lasts, and no attempt of a former
-    /// owner is taken for absent before the worker has shown our token.
+    /// For any heartbeats in any order, with our fencing token or older ones: the newest accepted
+    /// version only increases while the lease lasts, and no attempt of a former owner is
+    /// considered absent before the worker has shown our token.
     #[test]
-    fn no_mix_of_heartbeats_disproves_too_early(
+    fn no_sequence_of_heartbeats_disproves_an_attempt_too_early(
         heartbeats in prop::collection::vec((1_u64..4, 1_u64..30, 7_u64..=TOKEN, 0_u64..4_000), 1..60),
     ) {
         let mut worker = WorkerLiveness::default();
