--- a/crates/cells/src/event.rs
+++ b/crates/cells/src/event.rs
@@ -1,39 +1,39 @@
-//! What is logged of a job that moves between cells.
+//! Log events of a job that moves between cells.
 
 use crate::origin::RecallReason;
 
 /// Target of the log lines.
 pub const LOG_TARGET: &str = "woadlever::cells";
-/// Version of their fields.
+/// Version of the format of the log lines.
 pub const LOG_FORMAT: u64 = 1;
 
-/// A step of a move, as the origin or the host has put it on record.
+/// A step of a job's move between cells that the origin or the host has durably recorded.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum MoveEvent {
-    /// The origin forwards the job.
+    /// The origin forwarded the job.
     Forwarded,
-    /// The host has accepted it.
+    /// The host accepted the job.
     Accepted,
-    /// The host has left a tombstone: it cancelled the job there, or never accepted it.
+    /// The host wrote a tombstone: it cancelled the job on its side, or never accepted it.
     Tombstoned,
-    /// The origin takes the job back, as the host has no capacity for it.
+    /// The origin recalled the job because the host has no capacity for it.
     RecalledRefused,
-    /// The same, as the host can never run it.
+    /// The origin recalled the job because the host can never run it.
     RecalledUnfit,
-    /// The same, as the host cell is silent.
+    /// The origin recalled the job because the host cell is silent.
     RecalledSilent,
-    /// The same, as the host has not begun it.
+    /// The origin recalled the job because the host made no progress with it.
     RecalledIdle,
-    /// The job is at its origin again, as the host released it.
+    /// The job is back at its origin because the host released it.
     Returned,
-    /// The same, as the host's lease must have ended.
+    /// The job is back at its origin because the host's lease must have ended.
     Reclaimed,
-    /// All tasks are done.
+    /// All tasks of the job are done.
     Done,
 }
 
 impl MoveEvent {
-    /// All of them.
+    /// All events.
     pub const ALL: [MoveEvent; 10] = [
         MoveEvent::Forwarded,
         MoveEvent::Accepted,
@@ -47,7 +47,7 @@
         MoveEvent::Done,
     ];
 
-    /// Its name in the log.
+    /// Name of the event in log lines.
     pub fn name(self) -> &'static str {
         match self {
             MoveEvent::Forwarded => "forwarded",
@@ -63,7 +63,7 @@
         }
     }
 
-    /// The step with this name in the log.
+    /// Returns the event with this name in log lines.
     pub fn from_name(name: &str) -> Option<MoveEvent> {
         MoveEvent::ALL.into_iter().find(|event| event.name() == name)
     }
--- a/crates/cells/src/host.rs
+++ b/crates/cells/src/host.rs
@@ -1,40 +1,41 @@
 //! The host's side: whether a job of another cell is accepted, kept or given back.
 //!
-//! Pure decisions; the host's leader carries them out and tells the origin.
+//! The functions only decide; the host's leader executes the decisions and reports to the
+//! origin.
 
 use crate::Millis;
 use crate::message::{HostedPhase, NEVER_RETRY};
 
-/// What the newest message of the origin says of a job.
+/// How the newest message of the origin lists a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Listing {
-    /// The host may run it.
+    /// The host may run the job.
     Active,
-    /// The host must give it back.
+    /// The host must give the job back.
     Recalled,
-    /// It is not listed: it has ended, or the origin does not want it run any more.
+    /// The job is not listed: it has ended, or the origin no longer wants the host to run it.
     Absent,
 }
 
-/// What the host's own record of the job says, for the epoch in question.
+/// State of the host's own record of a job, as it concerns the listed epoch.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum HostRecord {
-    /// None that is known, or the tombstone of an earlier epoch; a write that is conditional
-    /// on it will tell whether there is a newer one.
+    /// No record is known, or only the tombstone of an earlier epoch. A write that is
+    /// conditional on this fails if there is a newer record.
     Unknown,
-    /// There is one of another job, or an earlier epoch of this one has not ended here: the
-    /// job can't be hosted.
+    /// The record belongs to another job, or to an earlier epoch of this job that has not ended
+    /// here, so the job can't be hosted.
     Foreign,
-    /// Accepted and not done.
+    /// The job was accepted and is not done.
     Live {
-        /// Tasks that are done.
+        /// Number of tasks that are done.
         done: u32,
-        /// Tasks that run.
+        /// Number of tasks that are running.
         running: u32,
     },
     /// All tasks are done.
     Done,
-    /// Cancelled here, or never accepted.
+    /// The job was cancelled here, or never accepted.
     Tombstone {
         /// Whether an attempt at one of its tasks may still be on a machine.
         has_attempts: bool,
@@ -46,95 +47,99 @@
 pub enum Admission {
     /// There is capacity.
     Accept,
-    /// It can't be said yet: the lease that the origin offers has ended, or its leader
-    /// has not heard of this cell.
+    /// No decision is possible yet: the lease that the origin offers has ended, or the origin's
+    /// leader has not received a message from this cell.
     Undecided,
     /// There is no capacity now.
     Refuse {
-        /// Time until the origin should offer a job again.
+        /// Time after which the origin should offer a job again.
         retry_after_ms: Millis,
     },
     /// The job can never run here.
     Unfit,
 }
 
-/// What the host writes next.
+/// The host's next write for a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum HostStep {
-    /// Nothing.
+    /// Write nothing.
     Wait,
-    /// The job's record, if there is none or only the tombstone that is known.
+    /// Write the job's record, on condition that there is none or only the known tombstone.
     Accept,
-    /// A tombstone, under the same condition: an offer that is still on its way must not be
-    /// accepted.
+    /// Write a tombstone, on the same condition, so that an offer that is still in flight is
+    /// not accepted.
     Tombstone,
-    /// The end of a live job, as a tombstone.
+    /// End a live job by turning its record into a tombstone.
     Cancel,
 }
 
-/// What the host does about a job that the origin lists.
+/// The host's decision on a job that the origin lists.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct HostDecision {
-    /// What it writes.
+    /// The host's next write.
     pub step: HostStep,
-    /// What it tells the origin; nothing while its own record is not settled.
+    /// Phase that the host reports to the origin; none while its own record is not settled.
     pub phase: Option<HostedPhase>,
 }
 
 impl HostDecision {
-    fn tell(phase: HostedPhase) -> HostDecision {
+    /// A decision that writes nothing and reports `phase` to the origin.
+    fn report(phase: HostedPhase) -> HostDecision {
         HostDecision { step: HostStep::Wait, phase: Some(phase) }
     }
 
-    fn write(step: HostStep) -> HostDecision {
+    /// A decision that takes `step` and reports nothing to the origin.
+    fn step(step: HostStep) -> HostDecision {
         HostDecision { step, phase: None }
     }
 }
 
-/// What the host writes, and what it tells the origin. `admission` counts for jobs of which
-/// there is no record only.
+/// Decides what the host writes for a job and what it reports to the origin. `admission` matters
+/// only if there is no record of the job.
 pub fn decide(listing: Listing, record: HostRecord, admission: Admission) -> HostDecision {
     match (listing, record) {
-        (_, HostRecord::Done) => HostDecision::tell(HostedPhase::Done),
-        (_, HostRecord::Foreign) => HostDecision::tell(HostedPhase::Released),
-        (_, HostRecord::Tombstone { has_attempts: true }) => HostDecision::write(HostStep::Wait),
-        (_, HostRecord::Tombstone { has_attempts: false }) => HostDecision::tell(HostedPhase::Released),
+        (_, HostRecord::Done) => HostDecision::report(HostedPhase::Done),
+        (_, HostRecord::Foreign) => HostDecision::report(HostedPhase::Released),
+        (_, HostRecord::Tombstone { has_attempts: true }) => HostDecision::step(HostStep::Wait),
+        (_, HostRecord::Tombstone { has_attempts: false }) => {
+            HostDecision::report(HostedPhase::Released)
+        }
         (Listing::Active, HostRecord::Live { done, running }) => {
-            HostDecision::tell(HostedPhase::Live { done, running })
+            HostDecision::report(HostedPhase::Live { done, running })
         }
         (Listing::Recalled | Listing::Absent, HostRecord::Live { .. }) => {
-            HostDecision::write(HostStep::Cancel)
+            HostDecision::step(HostStep::Cancel)
         }
         (Listing::Active, HostRecord::Unknown) => admit(admission),
-        (Listing::Recalled, HostRecord::Unknown) => HostDecision::write(HostStep::Tombstone),
-        (Listing::Absent, HostRecord::Unknown) => HostDecision::write(HostStep::Wait),
+        (Listing::Recalled, HostRecord::Unknown) => HostDecision::step(HostStep::Tombstone),
+        (Listing::Absent, HostRecord::Unknown) => HostDecision::step(HostStep::Wait),
     }
 }
 
-/// The decision on a job that was not seen before.
+/// Decides on a listed job of which there is no record.
 fn admit(admission: Admission) -> HostDecision {
     match admission {
-        Admission::Accept => HostDecision::write(HostStep::Accept),
-        Admission::Undecided => HostDecision::write(HostStep::Wait),
+        Admission::Accept => HostDecision::step(HostStep::Accept),
+        Admission::Undecided => HostDecision::step(HostStep::Wait),
         Admission::Refuse { retry_after_ms } => {
-            HostDecision::tell(HostedPhase::Refused { retry_after_ms })
+            HostDecision::report(HostedPhase::Refused { retry_after_ms })
         }
-        Admission::Unfit => HostDecision::tell(HostedPhase::Refused { retry_after_ms: NEVER_RETRY }),
+        Admission::Unfit => HostDecision::report(HostedPhase::Refused { retry_after_ms: NEVER_RETRY }),
     }
 }
 
-/// A hosted job as the newest message of its origin and the host's own record have it.
+/// State of a hosted job according to the origin's newest message and the host's own record.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ListedRecord {
-    /// What the message says.
+    /// How the message lists the job.
     pub listing: Listing,
-    /// What the record says.
+    /// State of the record.
     pub record: HostRecord,
 }
 
-/// Whether the lease of an origin may be extended by its newest message, which `hosted` rests
-/// on: not before every hosted job that the message no longer lists as active is cancelled on
-/// record, as the lease is one for all of them.
+/// Whether the lease of an origin may be extended by its newest message, from which the listings
+/// in `hosted` are taken. One lease covers all hosted jobs of the origin, so it must not be
+/// extended before every job that the message no longer lists as active is durably cancelled.
 pub fn may_extend_lease(mut hosted: impl Iterator<Item = ListedRecord>) -> bool {
     hosted.all(|job| job.listing == Listing::Active || !matches!(job.record, HostRecord::Live { .. }))
 }
--- a/crates/cells/src/message.rs
+++ b/crates/cells/src/message.rs
@@ -1,41 +1,41 @@
 //! Messages between the leaders of two cells.
 //!
-//! Each message carries the whole state of both sides: the jobs that the sender has
-//! forwarded to the receiver, and those of the receiver that the sender hosts.
+//! Each message carries the sender's whole state in both roles: the jobs that it has forwarded
+//! to the receiver, and the receiver's jobs that it hosts.
 
 use crate::Millis;
 use crate::routing::ClassCapacity;
 use bitcode::{Decode, Encode};
 
-/// Version of the messages. Cells are upgraded one by one; messages of a version that
-/// is not known are dropped.
+/// Version of the message format. Cells are upgraded one at a time; messages of an unknown
+/// version are dropped.
 pub const VERSION: u16 = 1;
 
-/// The `retry_after_ms` of a cell that can never run the job. Other jobs may be offered to it
-/// at once.
+/// Value of `retry_after_ms` with which a cell says that it can never run the job. Other jobs
+/// may be offered to the cell at once.
 pub const NEVER_RETRY: Millis = 0;
 
-/// One cell's state, as far as it concerns another.
+/// State of one cell, as far as it concerns another one.
 #[derive(Debug, Clone, PartialEq, Encode, Decode)]
 pub struct CellMessage {
-    /// The cell that sends it.
+    /// Name of the sending cell.
     pub cell: String,
-    /// Term of the leader that sends it.
+    /// Term of the sending leader.
     pub term: u64,
-    /// Revision of the sender's key-value store that the message rests on.
+    /// Revision of the sender's key-value store on which the message is based.
     pub revision: u64,
-    /// What the sender has forwarded to the receiver.
+    /// Jobs that the sender has forwarded to the receiver.
     pub forwarded: ForwardedState,
-    /// What the sender hosts for the receiver.
+    /// Jobs that the sender hosts for the receiver.
     pub hosted: HostedState,
 }
 
 /// Jobs that a cell has forwarded to another.
 #[derive(Debug, Clone, Default, PartialEq, Encode, Decode)]
 pub struct ForwardedState {
-    /// Time of day until which the host may run these jobs.
+    /// Wall-clock time until which the host may run these jobs.
     pub lease_until_ms: Millis,
-    /// All of them. A hosted job that is missing here has ended or was cancelled.
+    /// All forwarded jobs. A hosted job that is missing here has ended or was cancelled.
     pub jobs: Vec<ForwardedJob>,
 }
 
@@ -46,55 +46,54 @@
     pub id: String,
     /// Epoch of the forwarding.
     pub epoch: u64,
-    /// Whether the host must give it back.
+    /// Whether the host must give the job back.
     pub is_recalled: bool,
-    /// Description of the job (JSON), until the host has accepted it.
+    /// Description of the job (JSON), sent only until the host has accepted the job.
     pub spec: Option<Vec<u8>>,
 }
 
-/// Jobs that a cell hosts for another, and what it has capacity for.
+/// Jobs that a cell hosts for another, and the cell's capacity for more.
 #[derive(Debug, Clone, Default, PartialEq, Encode, Decode)]
 pub struct HostedState {
-    /// Time within which all tasks of a job are gone once its lease has ended.
+    /// Time after the end of its lease within which all tasks of a job are gone.
     pub stop_within_ms: Millis,
-    /// Capacity by class of machines; empty if no job is taken now.
+    /// Capacity by class of machines; empty if the cell accepts no jobs now.
     pub capacity: Vec<ClassCapacity>,
-    /// One entry for each job of the newest [`ForwardedState`] that there is something
-    /// to say about.
+    /// One entry for each job of the newest [`ForwardedState`] that has a phase to report.
     pub jobs: Vec<HostedJob>,
 }
 
-/// A job as its host cell has it.
+/// State of a job at its host cell.
 #[derive(Debug, Clone, PartialEq, Encode, Decode)]
 pub struct HostedJob {
     /// Id of the job.
     pub id: String,
     /// Epoch of the forwarding.
     pub epoch: u64,
-    /// How far it is.
+    /// Phase of the job at the host.
     pub phase: HostedPhase,
-    /// The tasks that are done, as hexadecimal bits.
+    /// Set of the tasks that are done, as a hexadecimal bit set.
     pub done: String,
 }
 
-/// How far a job is at its host cell.
+/// Phase of a job at its host cell.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Encode, Decode)]
 pub enum HostedPhase {
-    /// Not accepted; another job may be offered after this time.
+    /// The host did not accept the job; another one may be offered after a while.
     Refused {
-        /// Time until the cell should be asked again; [`NEVER_RETRY`] if only this job can
-        /// never run there.
+        /// Time after which a job may be offered to the cell again; [`NEVER_RETRY`] if only this
+        /// job can never run there.
         retry_after_ms: Millis,
     },
-    /// Accepted and not done.
+    /// The host accepted the job, which is not done.
     Live {
-        /// Tasks that are done.
+        /// Number of tasks that are done.
         done: u32,
-        /// Tasks that run.
+        /// Number of tasks that are running.
         running: u32,
     },
     /// All tasks are done.
     Done,
-    /// No task of it is or will be at the host cell.
+    /// No task of the job is or will be at the host cell.
     Released,
 }
--- a/crates/cells/src/neighbor.rs
+++ b/crates/cells/src/neighbor.rs
@@ -1,65 +1,67 @@
-//! What a leader knows of another cell.
+//! What a leader knows about another cell.
 
 use crate::Millis;
 use crate::message::{CellMessage, ForwardedState, HostedJob, HostedPhase, HostedState};
 use crate::routing::ClassCapacity;
 use std::collections::HashMap;
 
-/// A cell that has been silent for this long is offered nothing, well before its jobs are
-/// recalled.
+/// Silence after which a cell is offered no more jobs; this comes well before the jobs that it
+/// hosts are recalled.
 const SUSPECT_AFTER_MS: Millis = 5_000;
-/// Longest pause after refusals in a row.
+/// Longest backoff after consecutive refusals.
 const MAX_BACKOFF_MS: Millis = 120_000;
-/// The pause doubles at most this many times.
+/// Number of times that the backoff doubles at most.
 const MAX_DOUBLINGS: u32 = 6;
 
-/// How a cell looks from here.
+/// Health of another cell as seen from this one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Health {
-    /// Heard a moment ago.
+    /// A message of the cell has arrived recently.
     Alive,
-    /// Not heard for some seconds: it is offered nothing, and keeps what it has.
+    /// No message has arrived for some seconds: the cell is offered no jobs, and keeps those
+    /// that it hosts.
     Suspect,
-    /// Silent for so long that what it hosts is recalled.
+    /// No message has arrived for so long that the jobs that the cell hosts are recalled.
     Silent,
 }
 
-/// How far one of our jobs is at another cell.
+/// Phase of one of our jobs at another cell, as that cell reported it.
 #[derive(Debug, Clone, Copy)]
 struct ReportedJob {
     epoch: u64,
     phase: HostedPhase,
 }
 
-/// What another cell has forwarded to this one.
+/// Jobs that another cell has forwarded to this one.
 #[derive(Debug, Clone, Copy)]
 pub struct Forwarded<'a> {
     /// The jobs, with the lease for them.
     pub state: &'a ForwardedState,
-    /// Revision of the other cell's key-value store that this rests on.
+    /// Revision of the other cell's key-value store on which this state is based.
     pub revision: u64,
 }
 
-/// Another cell.
+/// Another cell, as its newest message describes it.
 #[derive(Debug)]
 pub struct Neighbor {
-    /// When it was last heard. A leader that has just begun counts from its own start.
+    /// Time at which its newest message arrived; before the first one, the time at which this
+    /// leader started.
     heard_at: Millis,
     was_heard: bool,
     term: u64,
     revision: u64,
     forwarded: ForwardedState,
     hosted: HostedState,
-    /// What it says of each of our jobs, by id.
+    /// Reported state of each of our jobs, by id.
     reported: HashMap<String, ReportedJob>,
-    /// Refusals since it last ran a job of ours.
+    /// Number of refusals since the cell last ran one of our jobs.
     refusals: u32,
-    /// No job is offered to it before this time.
+    /// Time before which no job is offered to the cell.
     offer_after: Millis,
 }
 
 impl Neighbor {
-    /// A cell that has not been heard yet.
+    /// Creates the state of a cell from which no message has arrived yet.
     pub fn new(now: Millis) -> Neighbor {
         Neighbor {
             heard_at: now,
@@ -74,8 +76,9 @@
         }
     }
 
-    /// Takes in a message and returns what it says of our jobs. None: it is older than one
-    /// that is known, or of a leader that has been replaced.
+    /// Applies a message and returns the jobs of ours that it reports on. Returns none if the
+    /// message is stale: older than the newest known one, or from a leader that has been
+    /// replaced.
     pub fn receive(&mut self, message: CellMessage, now: Millis) -> Option<Vec<HostedJob>> {
         if (message.term, message.revision) < (self.term, self.revision) {
             return None;
@@ -94,12 +97,12 @@
         Some(jobs)
     }
 
-    /// Time since it was last heard.
+    /// Time since the newest message arrived.
     pub fn silent_ms(&self, now: Millis) -> Millis {
         now.saturating_sub(self.heard_at)
     }
 
-    /// How it looks; `silence_ms` is the operators' limit.
+    /// Returns the health of the cell. `silence_ms` is the operators' limit for a silent cell.
     pub fn health(&self, now: Millis, silence_ms: Millis) -> Health {
         match self.silent_ms(now) {
             silent if silent >= silence_ms => Health::Silent,
@@ -108,44 +111,46 @@
         }
     }
 
-    /// What it has forwarded to us; none before it was heard.
+    /// Jobs that the cell has forwarded to us; none before its first message.
     pub fn forwarded(&self) -> Option<Forwarded<'_>> {
         self.was_heard.then_some(Forwarded { state: &self.forwarded, revision: self.revision })
     }
 
-    /// What it has capacity for, and how fast it stops; none before it was heard.
+    /// The cell's capacity as a host, and the time within which it stops tasks; none before its
+    /// first message.
     pub fn hosted(&self) -> Option<&HostedState> {
         self.was_heard.then_some(&self.hosted)
     }
 
-    /// What is left of its capacity until it tells anew.
+    /// Capacity of the cell that is left for further jobs. The caller subtracts what it offers;
+    /// the next message replaces the value.
     pub fn capacity_mut(&mut self) -> &mut [ClassCapacity] {
         &mut self.hosted.capacity
     }
 
-    /// What it says of one of our jobs in this epoch.
+    /// Phase that the cell reported for one of our jobs in this epoch.
     pub fn phase_of(&self, id: &str, epoch: u64) -> Option<HostedPhase> {
         self.reported.get(id).filter(|job| job.epoch == epoch).map(|job| job.phase)
     }
 
-    /// Whether it may be offered a job now.
+    /// Whether the cell may be offered a job now.
     pub fn may_be_offered(&self, now: Millis, silence_ms: Millis) -> bool {
         self.health(now, silence_ms) == Health::Alive && now >= self.offer_after
     }
 
-    /// It refused a job: it is offered one again later, the later the more often it refused.
-    /// Jobs that were offered together are refused together, which counts once.
+    /// Records that the cell refused a job, and delays the next offer with exponential backoff.
+    /// Jobs that were offered together are refused together, which counts as one refusal.
     pub fn note_refusal(&mut self, now: Millis, retry_after_ms: Millis) {
         if now < self.offer_after {
             return;
         }
         let factor = 1 << self.refusals.min(MAX_DOUBLINGS);
         self.refusals += 1;
-        let pause = retry_after_ms.saturating_mul(factor).min(MAX_BACKOFF_MS);
-        self.offer_after = self.offer_after.max(now + pause);
+        let backoff_ms = retry_after_ms.saturating_mul(factor).min(MAX_BACKOFF_MS);
+        self.offer_after = self.offer_after.max(now + backoff_ms);
     }
 
-    /// It runs a job of ours.
+    /// Records that the cell runs one of our jobs, which resets the backoff.
     pub fn note_success(&mut self) {
         self.refusals = 0;
     }
--- a/crates/cells/src/origin.rs
+++ b/crates/cells/src/origin.rs
@@ -1,67 +1,72 @@
-//! The origin's side: what becomes of a job that was forwarded.
+//! The origin's side: the next step with a job that was forwarded.
 
 use crate::Millis;
 use crate::message::{HostedPhase, NEVER_RETRY};
 use crate::record::ForwardPhase;
 
-/// Times after which the origin acts.
+/// Time limits after which the origin acts on a forwarded job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct OriginLimits {
-    /// A host cell that has been silent for this long must give its jobs back.
+    /// Silence of a host cell after which its jobs are recalled.
     pub silence_ms: Millis,
-    /// So must one at which no task of the job has run for this long, and none is done.
+    /// Time without progress after which a job is recalled: no task of it has run for this long
+    /// at the host, and none is done.
     pub idle_ms: Millis,
-    /// See [`crate::lease::CellTiming::reclaim_after_ms`].
+    /// Time after a recall at which the job is reclaimed from a silent host; see
+    /// [`crate::lease::CellTiming::reclaim_after_ms`].
     pub reclaim_after_ms: Millis,
 }
 
 /// A forwarded job as the origin's leader knows it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ForwardView {
-    /// How far the forwarding is on record.
+    /// Recorded phase of the forwarding.
     pub phase: ForwardPhase,
     /// Time since this leader first saw the record in this phase.
     pub in_phase_ms: Millis,
-    /// What the host says of this epoch.
+    /// Phase that the host reported for this epoch.
     pub reported: Option<HostedPhase>,
-    /// Time since the host cell was last heard, by this leader.
+    /// Time since this leader last received a message from the host cell.
     pub host_silent_ms: Millis,
-    /// Time for which the host has shown no progress: nothing runs, nothing is done.
+    /// Time for which the host has shown no progress: no task is running or done.
     pub idle_ms: Millis,
 }
 
-/// Why a job is to be given back.
+/// Reason why a job is recalled from its host.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RecallReason {
-    /// The host has no capacity for it now.
+    /// The host has no capacity for the job now.
     Refused,
-    /// The host can never run it.
+    /// The host can never run the job.
     Unfit,
     /// The host cell is silent.
     Silent,
-    /// The host accepted it and has not started it.
+    /// The host accepted the job and made no progress with it.
     Idle,
 }
 
-/// What the origin does next with a forwarded job.
+/// The origin's next step with a forwarded job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OriginStep {
-    /// Nothing.
+    /// Do nothing.
     Wait,
-    /// Put the recall on record.
+    /// Record that the job is recalled.
     Recall(RecallReason),
-    /// Put on record that the job is here again.
+    /// Record that the job is back at its origin.
     Return {
-        /// Whether the host released the job. False: it said nothing, and its lease must have
-        /// ended.
+        /// Whether the host reported that it released the job. If false, the host reported
+        /// nothing final, and its lease must have ended.
         is_confirmed: bool,
     },
-    /// Put on record that the job is done.
+    /// Record that the job is done.
     Finish,
 }
 
-/// The next step with a forwarded job. What the host says of one that is done or released is
-/// final; all else rests on time.
+/// Returns the origin's next step with a forwarded job.
+///
+/// A host's report that the job is done or released is final. Without one, the job is recalled
+/// if the host refused it or a time limit has passed, and returns to its origin at
+/// `reclaim_after_ms` after the recall.
 pub fn next_step(view: &ForwardView, limits: &OriginLimits) -> OriginStep {
     match (view.phase, view.reported) {
         (ForwardPhase::Returned, _) => OriginStep::Wait,
--- a/crates/cells/src/record.rs
+++ b/crates/cells/src/record.rs
@@ -1,28 +1,28 @@
-//! What the records of a job and of a lease say about cells.
+//! Parts of stored records that concern cells: the forwarding of a job, its origin, and leases.
 
 use crate::Millis;
 use crate::origin::RecallReason;
 use serde::{Deserialize, Serialize};
 
-/// Where a job of this cell has been forwarded to. Part of the job's record in its
-/// origin cell, which alone decides who may run the job.
+/// Forwarding of a job to another cell. It is part of the job's record in its origin cell, and
+/// that record alone decides which cell may run the job.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Forwarding {
     /// The host cell.
     #[serde(rename = "c")]
     pub cell: String,
-    /// Version of the job's record before it was forwarded: rises with each attempt to
-    /// forward the job, so that messages about an earlier one are told apart.
+    /// Version of the job's record before the job was forwarded. It increases with each
+    /// forwarding of the job, so that messages about an earlier one can be recognized.
     #[serde(rename = "e")]
     pub epoch: u64,
-    /// How far the forwarding is.
+    /// Phase of the forwarding.
     #[serde(rename = "p")]
     pub phase: ForwardPhase,
-    /// The host had no capacity for the job.
+    /// Whether the host had no capacity for the job.
     #[serde(rename = "n", default, skip_serializing_if = "is_false")]
     pub is_refused: bool,
-    /// Cells that can't run the job, accepted it and did not run it, or were silent. It is
-    /// not forwarded to them again.
+    /// Cells that can't run the job, that accepted it and did not run it, or that were silent.
+    /// The job is not forwarded to them again.
     #[serde(rename = "t", default, skip_serializing_if = "Vec::is_empty")]
     pub tried: Vec<String>,
 }
@@ -33,20 +33,21 @@
 }
 
 impl Forwarding {
-    /// The job is forwarded to `cell`, by a change of its record of version `epoch`.
+    /// Returns a new forwarding of a job to `cell`. `epoch` is the version of the job's record
+    /// that is being updated.
     pub fn begin(cell: &str, epoch: u64, previous: Option<&Forwarding>) -> Forwarding {
         let tried = previous.map(|previous| previous.tried.clone()).unwrap_or_default();
         let (cell, phase) = (cell.to_string(), ForwardPhase::Active);
         Forwarding { cell, epoch, phase, is_refused: false, tried }
     }
 
-    /// The host cell must give the job back.
+    /// Returns this forwarding after its recall: the host cell must give the job back.
     pub fn recalled(&self, reason: RecallReason) -> Forwarding {
         let is_refused = reason == RecallReason::Refused;
         Forwarding { phase: ForwardPhase::Recalled, is_refused, ..self.clone() }
     }
 
-    /// The job is at its origin cell again.
+    /// Returns this forwarding after the job has come back to its origin cell.
     pub fn returned(&self) -> Forwarding {
         let mut tried = self.tried.clone();
         if !self.is_refused {
@@ -55,19 +56,19 @@
         Forwarding { phase: ForwardPhase::Returned, tried, ..self.clone() }
     }
 
-    /// Whether only the host cell may run the job, if anyone.
+    /// Whether no cell other than the host cell may run the job.
     pub fn is_away(&self) -> bool {
         self.phase != ForwardPhase::Returned
     }
 }
 
-/// How far a forwarding is.
+/// Phase of a forwarding.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ForwardPhase {
     /// The host cell may run the job.
     #[serde(rename = "a")]
     Active,
-    /// The host cell must give the job back; it may still have tasks of it.
+    /// The host cell must give the job back; it may still have tasks of the job.
     #[serde(rename = "r")]
     Recalled,
     /// No task of the job is or will be at the host cell.
@@ -75,8 +76,8 @@
     Returned,
 }
 
-/// The cell that a hosted job belongs to. Part of the job's record in its host cell, and
-/// of the tombstone that is left there.
+/// Origin of a hosted job. It is part of the job's record in its host cell, and of the tombstone
+/// that remains there.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Origin {
     /// The origin cell.
@@ -85,19 +86,20 @@
     /// Epoch of the forwarding.
     #[serde(rename = "e")]
     pub epoch: u64,
-    /// In a tombstone: the tasks that were done here, as hexadecimal bits.
+    /// In a tombstone, the set of the tasks that were done here, as a hexadecimal bit set.
     #[serde(rename = "d", default, skip_serializing_if = "String::is_empty")]
     pub done: String,
 }
 
-/// The lease that an origin cell has given to a host cell, for all jobs that the host
-/// has of it. Kept by the host cell, and followed by all its controllers.
+/// Lease that an origin cell has granted to a host cell, for all jobs of the origin that the host
+/// runs. The host cell stores it, and all controllers of the host cell obey it.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CellLease {
-    /// Time of day at which it ends.
+    /// Wall-clock time at which the lease ends.
     #[serde(rename = "u")]
     pub until_ms: Millis,
-    /// Revision of the origin's key-value store that it rests on. Older messages are ignored.
+    /// Revision of the origin's key-value store on which the lease is based. Older messages are
+    /// ignored.
     #[serde(rename = "r")]
     pub revision: u64,
 }
