--- a/crates/cells/tests/decisions.rs
+++ b/crates/cells/tests/decisions.rs
@@ -1,5 +1,6 @@
-//! Single decisions: which cell a job goes to, how long a lease lasts, how another cell
-//! looks, and what the two sides do in the cases that scenarios don't reach.
+//! Tests of single decisions: which cell a job is forwarded to, how long a lease lasts, how the
+//! health of another cell is judged, and what the two sides do in cases that the scenario tests
+//! don't reach.
 
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic, reason = "a test fails by panicking")]
 
@@ -47,7 +48,7 @@
 }
 
 #[test]
-fn free_capacity_comes_before_requestable_machines_and_then_the_emptier_cell() {
+fn free_capacity_is_preferred_to_requestable_machines_and_then_the_cell_with_more_capacity() {
     let full = [class("z", true, 0.0, 0)];
     let elastic = [class("z", true, 0.0, 50)];
     let free = [class("z", true, 32.0, 0)];
@@ -70,17 +71,17 @@
     let large = Amount { cpus: 32.0, ..DEMAND };
     assert!(
         !JobShape { demand: large, ..job(1) }.fits_within(&capacity, 0.0),
-        "no machine holds a task"
+        "a task fits on no machine"
     );
 }
 
 #[test]
-fn rules_on_zones_bound_what_fits() {
+fn zone_constraints_limit_the_tasks_that_fit() {
     let capacity = [class("east", true, 16.0, 0), class("west", true, 32.0, 0)];
-    let all = |job: JobShape| job.tasks_that_fit(&capacity, CapacityScope::Free);
-    assert_eq!(all(job(12)), 12);
-    assert_eq!(all(JobShape { one_zone: true, ..job(12) }), 8);
-    assert_eq!(all(JobShape { spread: true, ..job(10) }), 4 + 5);
+    let fitting = |job: JobShape| job.tasks_that_fit(&capacity, CapacityScope::Free);
+    assert_eq!(fitting(job(12)), 12);
+    assert_eq!(fitting(JobShape { one_zone: true, ..job(12) }), 8);
+    assert_eq!(fitting(JobShape { spread: true, ..job(10) }), 4 + 5);
 }
 
 #[test]
@@ -95,7 +96,7 @@
 fn another_cell_is_suspected_before_it_counts_as_silent() {
     let silence_ms = 30_000;
     let mut neighbor = Neighbor::new(1_000);
-    assert_eq!(neighbor.health(1_000, silence_ms), Health::Suspect, "not heard yet");
+    assert_eq!(neighbor.health(1_000, silence_ms), Health::Suspect, "no message has arrived yet");
     assert!(neighbor.receive(message(1, 10, HostedPhase::Done), 2_000).is_some());
     assert_eq!(neighbor.health(3_000, silence_ms), Health::Alive);
     assert!(neighbor.may_be_offered(3_000, silence_ms));
@@ -105,7 +106,7 @@
 }
 
 #[test]
-fn messages_of_a_former_leader_and_older_ones_are_dropped() {
+fn stale_messages_and_those_of_a_former_leader_are_dropped() {
     let mut neighbor = Neighbor::new(0);
     assert!(neighbor.receive(message(2, 10, HostedPhase::Done), 1).is_some());
     assert!(neighbor.receive(message(1, 99, HostedPhase::Released), 2).is_none(), "former leader");
@@ -116,29 +117,29 @@
 }
 
 #[test]
-fn a_cell_that_refuses_is_asked_less_and_less_often_until_it_runs_a_job() {
+fn offers_to_a_cell_that_refuses_back_off_until_it_runs_a_job() {
     let mut neighbor = Neighbor::new(0);
     neighbor.receive(message(1, 1, HostedPhase::Released), 0);
     let mut now = 0;
-    let mut pauses = Vec::new();
+    let mut backoffs = Vec::new();
     for _ in 0..8 {
         neighbor.note_refusal(now, 1_000);
-        let began = now;
+        let refused_at = now;
         while !neighbor.may_be_offered(now, u64::MAX) {
             neighbor.receive(message(1, now, HostedPhase::Released), now);
             now += 500;
         }
-        pauses.push(now - began);
+        backoffs.push(now - refused_at);
     }
-    assert!(pauses.windows(2).all(|pair| pair[0] <= pair[1]), "{pauses:?}");
-    assert!(pauses[7] >= 60_000 && pauses[7] <= 121_000, "{pauses:?}");
-    let together = now;
+    assert!(backoffs.windows(2).all(|pair| pair[0] <= pair[1]), "{backoffs:?}");
+    assert!(backoffs[7] >= 60_000 && backoffs[7] <= 121_000, "{backoffs:?}");
+    let refused_at = now;
     neighbor.note_success();
     for _ in 0..8 {
-        neighbor.note_refusal(together, 1_000);
+        neighbor.note_refusal(refused_at, 1_000);
     }
-    assert!(!neighbor.may_be_offered(together, u64::MAX));
-    assert!(neighbor.may_be_offered(together + 1_000, u64::MAX), "refused together, counted once");
+    assert!(!neighbor.may_be_offered(refused_at, u64::MAX));
+    assert!(neighbor.may_be_offered(refused_at + 1_000, u64::MAX), "refused together, counted once");
     now += 1_000;
     neighbor.note_success();
     neighbor.note_refusal(now, 1_000);
@@ -146,7 +147,7 @@
 }
 
 #[test]
-fn what_is_final_at_the_host_is_told_whatever_the_origin_lists() {
+fn a_final_state_at_the_host_is_reported_whatever_the_origin_lists() {
     let refuse = Admission::Refuse { retry_after_ms: 1 };
     for listing in [Listing::Active, Listing::Recalled, Listing::Absent] {
         let done = decide(listing, HostRecord::Done, refuse);
@@ -167,7 +168,7 @@
 }
 
 #[test]
-fn a_lease_is_extended_only_once_all_that_is_recalled_has_ended() {
+fn a_lease_is_extended_only_after_all_recalled_jobs_have_ended() {
     let active =
         ListedRecord { listing: Listing::Active, record: HostRecord::Live { done: 0, running: 1 } };
     let recalled = ListedRecord { listing: Listing::Recalled, ..active };
@@ -197,7 +198,7 @@
     assert_eq!(second.tried, ["b"]);
     assert_eq!(second.returned().tried, ["b", "c"]);
     let refused = second.recalled(RecallReason::Refused).returned();
-    assert_eq!(refused.tried, ["b"], "one that had no capacity may be asked again");
+    assert_eq!(refused.tried, ["b"], "a cell that had no capacity may be offered the job again");
 }
 
 fn message(term: u64, revision: u64, phase: HostedPhase) -> CellMessage {
@@ -207,7 +208,7 @@
 }
 
 #[test]
-fn the_list_of_as_many_jobs_as_the_settings_allow_fits_into_a_frame() {
+fn the_longest_list_of_jobs_that_the_settings_allow_fits_into_a_frame() {
     let job = |n: u64| ForwardedJob {
         id: format!("run-{n:012}"),
         epoch: 1_000_000 + n * 7,
@@ -228,10 +229,10 @@
         ..ProptestConfig::default()
     })]
 
-    /// However the clocks of the two cells differ within their bounds, a host has stopped
-    /// within the origin's bound for cancellations, counted from the lease's last renewal.
+    /// For any clock errors of the two cells within their bounds, a host has stopped within the
+    /// origin's bound for cancellations, counted from the last renewal of the lease.
     #[test]
-    fn a_lease_and_the_stop_after_it_end_within_the_bound_of_cancellations(
+    fn a_host_stops_within_the_cancellation_bound_of_the_last_lease_renewal(
         worker_lease_ms in 1_000u64..60_000,
         cancel_ms in 2_000u64..120_000,
         clock_error_ms in 0u64..1_000,
@@ -240,35 +241,36 @@
     ) {
         let timing = CellTiming { worker_lease_ms, cancel_ms, clock_error_ms };
         let error = clock_error_ms as i64;
-        let (origin_off, host_off) = (origin_clock.clamp(0, 2 * error) - error, host_clock.clamp(0, 2 * error) - error);
+        let origin_offset = origin_clock.clamp(0, 2 * error) - error;
+        let host_offset = host_clock.clamp(0, 2 * error) - error;
         let renewed_true = 10_000_000i64;
-        let renewed_wall = (renewed_true + origin_off) as u64;
+        let renewed_wall = (renewed_true + origin_offset) as u64;
         let Some(until) = timing.lease_until_ms(renewed_wall, timing.stop_within_ms()) else { return Ok(()) };
-        // The first moment, in true time, at which the host's clock calls it ended.
-        let ended_true = until as i64 - error - host_off;
-        prop_assert!(timing.has_ended(until, (ended_true + host_off) as u64));
+        // The first moment, in true time, at which the lease has ended by the host's clock.
+        let ended_true = until as i64 - error - host_offset;
+        prop_assert!(timing.has_ended(until, (ended_true + host_offset) as u64));
         let gone_true = ended_true.max(renewed_true) + timing.stop_within_ms() as i64;
         prop_assert!(gone_true <= renewed_true + cancel_ms as i64);
         prop_assert!(timing.lease_duration_ms(timing.stop_within_ms()).unwrap() >= MIN_LEASE_MS);
         prop_assert!(timing.reclaim_after_ms() >= cancel_ms);
     }
 
-    /// No capacity is counted twice, however many jobs are taken out of it.
+    /// No capacity is counted twice, however many jobs reserve a part of it.
     #[test]
-    fn capacity_that_is_reserved_is_gone(
+    fn reserved_capacity_is_not_counted_again(
         free in 0u32..40,
         requestable in 0u32..10,
         sizes in proptest::collection::vec(1u32..30, 1..20),
     ) {
         let mut capacity = [class("east", false, f64::from(free) * 4.0, requestable), class("west", true, 0.0, 3)];
-        let all = job(u32::MAX).tasks_that_fit(&capacity, CapacityScope::FreeOrRequestable);
-        let mut taken = 0;
+        let total = job(u32::MAX).tasks_that_fit(&capacity, CapacityScope::FreeOrRequestable);
+        let mut reserved = 0;
         for tasks in sizes {
             let shape = job(tasks);
-            let fits_within = shape.tasks_that_fit(&capacity, CapacityScope::FreeOrRequestable);
+            let fitting = shape.tasks_that_fit(&capacity, CapacityScope::FreeOrRequestable);
             shape.reserve(&mut capacity);
-            taken += fits_within;
+            reserved += fitting;
         }
-        prop_assert!(taken <= all, "{taken} of {all}");
+        prop_assert!(reserved <= total, "{reserved} of {total}");
     }
 }
--- a/crates/cells/tests/model/host.rs
+++ b/crates/cells/tests/model/host.rs
@@ -1,4 +1,4 @@
-//! A cell that may run the job for its origin.
+//! Model of a host: a cell that may run the job for its origin.
 
 use super::network::{Offer, OfferedJob, Status};
 use super::{Model, ORIGIN, State, TIMING, Task};
@@ -10,7 +10,7 @@
 };
 use woadlever_cells::record::{CellLease, Origin};
 
-/// Time that a write takes, unless it is late.
+/// Time that a write takes, unless it is delayed by a fault.
 const WRITE_MS: Millis = 10;
 
 /// A host's record of the job.
@@ -22,17 +22,16 @@
 
 #[derive(Debug, Clone)]
 enum HostWrite {
-    /// The first record, if the known one is still of this epoch, or none is there.
-    Create {
-        record: HostedRecord,
-        known_epoch: Option<u64>,
-    },
-    /// The end of a live job.
+    /// Writes a new record, on condition that the epoch of the existing record is `known_epoch`,
+    /// or that there is no record if that is none.
+    Create { record: HostedRecord, known_epoch: Option<u64> },
+    /// Cancels a live job.
     Cancel,
+    /// Extends the lease.
     Lease(CellLease),
 }
 
-/// A write under way. It holds only under the term of its leader.
+/// A write in flight. It takes effect only in the term of the leader that sent it.
 #[derive(Debug)]
 struct PendingWrite {
     at: Millis,
@@ -47,15 +46,15 @@
     pub task: Option<Task>,
     writes: Vec<PendingWrite>,
     term: u64,
-    /// Until then there is no leader.
+    /// Time until which there is no leader.
     down_until: Millis,
-    /// Until then controllers and machines don't hear each other.
+    /// Time until which controllers and machines are partitioned from each other.
     pub workers_cut_until: Millis,
     newest: Option<Offer>,
 }
 
 impl Host {
-    /// A new leader has heard nothing.
+    /// Replaces the leader. The new one has received no offer.
     pub(crate) fn lose_leader(&mut self, down_until: Millis) {
         self.down_until = down_until;
         self.newest = None;
@@ -78,7 +77,7 @@
         self.record.as_ref().map(|record| record.origin.epoch)
     }
 
-    /// What the host's record says of the job in an epoch.
+    /// State of the host's record of the job, as it concerns this epoch.
     fn record_of(&self, epoch: u64) -> HostRecord {
         let Some(record) = &self.record else { return HostRecord::Unknown };
         let is_over = record.state == State::Cancelled && self.task.is_none();
@@ -95,19 +94,20 @@
         }
     }
 
-    /// Each write holds only under the term of its leader and the record that it knew.
-    fn carry_out_writes(&mut self, now: Millis) {
+    /// Executes the writes that are due. Each takes effect only in the term of its leader and if
+    /// the record is still the one that the leader knew.
+    fn execute_due_writes(&mut self, now: Millis) {
         let all = std::mem::take(&mut self.writes).into_iter();
         let (due, later): (Vec<_>, Vec<_>) = all.partition(|write| write.at <= now);
         self.writes = later;
         for PendingWrite { term, write, .. } in due {
             if term == self.term {
-                self.carry_out(write);
+                self.execute(write);
             }
         }
     }
 
-    fn carry_out(&mut self, write: HostWrite) {
+    fn execute(&mut self, write: HostWrite) {
         match write {
             HostWrite::Create { record, known_epoch } => {
                 if self.known_epoch() == known_epoch {
@@ -131,7 +131,8 @@
         }
     }
 
-    /// Shard owners answer workers from the records, whether or not there is a leader.
+    /// Answers the workers' heartbeats. Shard owners do this from the records, whether or not
+    /// there is a leader.
     fn answer_workers(&mut self, now: Millis) {
         let Some(task) = &mut self.task else { return };
         if now > task.renewed + TIMING.worker_lease_ms {
@@ -147,7 +148,7 @@
             return;
         }
         task.renewed = now;
-        if task.has_run(now) {
+        if task.has_finished(now) {
             self.task = None;
             if let Some(record) = &mut self.record {
                 record.state = State::Done;
@@ -156,12 +157,12 @@
     }
 }
 
-/// How an offer lists a job that is live at the host in this epoch.
+/// Returns how an offer lists a job that is live at the host in this epoch.
 fn listing_in(offer: &Offer, epoch: u64) -> Listing {
     match offer.job {
         Some(job) if job.epoch == epoch && job.is_recalled => Listing::Recalled,
         Some(job) if job.epoch == epoch => Listing::Active,
-        // The offer is older than the forwarding.
+        // The offer is older than the forwarding, so it says nothing about this epoch.
         _ if epoch >= offer.revision => Listing::Active,
         _ => Listing::Absent,
     }
@@ -171,7 +172,7 @@
     pub(crate) fn step_host(&mut self, index: usize) {
         let now = self.now;
         let host = &mut self.hosts[index];
-        host.carry_out_writes(now);
+        host.execute_due_writes(now);
         host.answer_workers(now);
         if now < host.down_until {
             return;
@@ -196,7 +197,7 @@
         self.send_status(index, status);
     }
 
-    /// Takes the next step with a job that is listed. Returns what the origin is told.
+    /// Takes the next step with a listed job. Returns the status that is reported to the origin.
     fn decide_on(&mut self, index: usize, offer: &Offer, job: OfferedJob) -> Option<Status> {
         let OfferedJob { epoch, is_recalled } = job;
         let listing = if is_recalled { Listing::Recalled } else { Listing::Active };
@@ -233,12 +234,12 @@
         self.submit(index, HostWrite::Create { record, known_epoch });
     }
 
-    /// A write is carried out at once or, now and then, late; meanwhile no other of its kind
-    /// is sent.
+    /// Sends a write, which is executed after the usual time or, at random, much later. While it
+    /// is in flight, no other write of its kind is sent.
     fn submit(&mut self, index: usize, write: HostWrite) {
         let host = &self.hosts[index];
-        let mut under_way = host.writes.iter().filter(|pending| pending.term == host.term);
-        if under_way.any(|pending| discriminant(&pending.write) == discriminant(&write)) {
+        let mut in_flight = host.writes.iter().filter(|pending| pending.term == host.term);
+        if in_flight.any(|pending| discriminant(&pending.write) == discriminant(&write)) {
             return;
         }
         let is_late = self.has_faults() && self.chance(self.fault_rate * 10.0);
--- a/crates/cells/tests/model/main.rs
+++ b/crates/cells/tests/model/main.rs
@@ -1,7 +1,7 @@
-//! A model of three cells and the network between them: stores, leaders that are lost and
-//! start from the stores, messages that are lost, repeated and late, writes that are carried
-//! out late. Random walks through it look for a job that two cells run at once, for tasks
-//! that outlive a cancellation, and for jobs that never end. Each decision is taken by the
+//! A model of three cells and the network between them: stores, leaders that fail and restart
+//! from the stores, messages that are lost, repeated and late, and writes that are executed
+//! late. Random walks through the model look for a job that two cells run at once, for tasks
+//! that outlive a cancellation, and for jobs that never end. All decisions are made by the
 //! functions that the service uses.
 
 mod host;
@@ -18,7 +18,7 @@
 use woadlever_cells::lease::CellTiming;
 
 const TIMING: CellTiming = CellTiming { worker_lease_ms: 20_000, cancel_ms: 40_000, clock_error_ms: 50 };
-/// Time at which a walk begins.
+/// Time on the model's clock at which a walk begins.
 const START_MS: Millis = 100_000;
 /// Time between two steps.
 const STEP_MS: Millis = 250;
@@ -26,12 +26,12 @@
 const RUN_MS: Millis = 15_000;
 const ORIGIN: &str = "a";
 const HOSTS: [&str; 2] = ["b", "c"];
-/// Faults end after this time; all must then come to an end.
+/// Time during which faults are injected. Every job must end in the rest of the walk.
 const FAULTS_MS: Millis = 240_000;
 /// Length of a walk.
 const WALK_MS: Millis = 600_000;
 
-/// State of a job on record.
+/// Recorded state of a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum State {
     Live,
@@ -39,11 +39,11 @@
     Cancelled,
 }
 
-/// The task of the job on some cell's machine.
+/// The task of the job on a machine of some cell.
 #[derive(Debug, Clone, Copy)]
 struct Task {
     started: Millis,
-    /// The last answer that let it go on.
+    /// Time of the last response that allowed the task to continue.
     renewed: Millis,
 }
 
@@ -52,7 +52,7 @@
         Task { started: now, renewed: now }
     }
 
-    fn has_run(&self, now: Millis) -> bool {
+    fn has_finished(&self, now: Millis) -> bool {
         now >= self.started + RUN_MS
     }
 }
@@ -60,7 +60,7 @@
 struct Model {
     now: Millis,
     rng: StdRng,
-    /// Rate of each kind of fault per step.
+    /// Probability of each kind of fault per step.
     fault_rate: f64,
     origin: OriginCell,
     hosts: [Host; 2],
@@ -89,8 +89,8 @@
         self.now < START_MS + FAULTS_MS
     }
 
-    /// Cuts links and loses leaders now and then.
-    fn cause_faults(&mut self) {
+    /// Cuts links and replaces leaders at random.
+    fn inject_faults(&mut self) {
         if self.now > START_MS + FAULTS_MS {
             return;
         }
@@ -126,7 +126,7 @@
     fn run(&mut self, cancel_after: Option<Millis>) -> Result<(), TestCaseError> {
         while self.now < START_MS + WALK_MS {
             self.now += STEP_MS;
-            self.cause_faults();
+            self.inject_faults();
             let is_cancel_due = cancel_after.is_some_and(|after| self.now >= START_MS + after);
             let is_live = self.origin.record.state == State::Live;
             if is_cancel_due && is_live && self.cancelled_at.is_none() {
@@ -142,15 +142,15 @@
             self.check()?;
         }
         let is_over = self.origin.record.state != State::Live;
-        prop_assert!(is_over, "never ends: {:?} {:?}", self.origin.record, self.hosts);
+        prop_assert!(is_over, "the job never ends: {:?} {:?}", self.origin.record, self.hosts);
         Ok(())
     }
 
-    /// What must hold after each step.
+    /// Checks the invariants that must hold after each step.
     fn check(&self) -> Result<(), TestCaseError> {
-        prop_assert!(self.cells_with_task() <= 1, "{} runs in two cells", self.now);
+        prop_assert!(self.cells_with_task() <= 1, "the job runs in two cells at {} ms", self.now);
         if self.cancelled_at.is_some_and(|at| self.now > at + TIMING.cancel_ms) {
-            prop_assert_eq!(self.cells_with_task(), 0, "runs after its cancellation");
+            prop_assert_eq!(self.cells_with_task(), 0, "the job runs after its cancellation");
         }
         Ok(())
     }
--- a/crates/cells/tests/model/network.rs
+++ b/crates/cells/tests/model/network.rs
@@ -1,4 +1,4 @@
-//! The links between the origin and the two hosts.
+//! Model of the links between the origin and the two hosts.
 
 use super::{HOSTS, Model, State, TIMING};
 use rand::RngExt;
@@ -9,7 +9,7 @@
 /// Time that a message takes.
 const DELAY_MS: Millis = 20;
 
-/// What the origin tells a host.
+/// Message of the origin to a host.
 #[derive(Debug, Clone)]
 pub(crate) struct Offer {
     pub revision: u64,
@@ -17,25 +17,25 @@
     pub job: Option<OfferedJob>,
 }
 
-/// The job, as the origin lists it.
+/// The job as the origin lists it.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct OfferedJob {
     pub epoch: u64,
     pub is_recalled: bool,
 }
 
-/// What a host tells the origin.
+/// Message of a host to the origin about the job.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Status {
     pub epoch: u64,
     pub phase: HostedPhase,
 }
 
-/// A message under way.
+/// A message in flight.
 #[derive(Debug)]
 struct Delivery<T> {
     at: Millis,
-    /// Index of the host that sends or gets it.
+    /// Index of the host that sends or receives the message.
     host: usize,
     message: T,
 }
@@ -44,11 +44,11 @@
 pub(crate) struct Network {
     to_hosts: Vec<Delivery<Offer>>,
     to_origin: Vec<Delivery<Option<Status>>>,
-    /// Until then nothing gets through between the origin and a host.
+    /// Time until which the link between the origin and each host drops new messages.
     pub cut_until: [Millis; 2],
 }
 
-/// Takes out the messages that arrive now.
+/// Removes and returns the messages that arrive now.
 fn take_due<T>(deliveries: &mut Vec<Delivery<T>>, now: Millis) -> Vec<Delivery<T>> {
     let all = std::mem::take(deliveries).into_iter();
     let (due, later) = all.partition(|delivery| delivery.at <= now);
@@ -57,7 +57,7 @@
 }
 
 impl Model {
-    /// Sends the origin's state to both hosts; now and then a copy arrives much later.
+    /// Sends the origin's state to both hosts. At random, a second copy arrives much later.
     pub(crate) fn send_offers(&mut self) {
         if self.now < self.origin.down_until {
             return;
@@ -87,14 +87,14 @@
         Offer { revision: self.origin.revision, lease_until_ms, job }
     }
 
-    /// Sends what a host says to the origin.
+    /// Sends a host's status to the origin.
     pub(crate) fn send_status(&mut self, host: usize, message: Option<Status>) {
         if self.now >= self.network.cut_until[host] {
             self.network.to_origin.push(Delivery { at: self.now + DELAY_MS, host, message });
         }
     }
 
-    /// Delivers what arrives now.
+    /// Delivers the messages that arrive now.
     pub(crate) fn deliver(&mut self) {
         for Delivery { host, message, .. } in take_due(&mut self.network.to_hosts, self.now) {
             self.hosts[host].receive(message, self.now);
--- a/crates/cells/tests/model/origin.rs
+++ b/crates/cells/tests/model/origin.rs
@@ -1,4 +1,4 @@
-//! The cell that the job belongs to.
+//! Model of the origin: the cell that the job belongs to.
 
 use super::network::Status;
 use super::{HOSTS, Model, START_MS, State, TIMING, Task};
@@ -17,16 +17,16 @@
     pub version: u64,
 }
 
-/// When the leader first saw a version of the record.
+/// Version of the record, with the time since which the leader has seen it.
 #[derive(Debug, Clone, Copy)]
 struct Observed {
     version: u64,
     since: Millis,
 }
 
-/// What the leader last heard of a host.
+/// Last message of a host that the leader received.
 #[derive(Debug, Clone, Copy)]
-struct Heard {
+struct ReceivedStatus {
     at: Millis,
     status: Option<Status>,
 }
@@ -36,11 +36,12 @@
     pub record: OwnRecord,
     pub task: Option<Task>,
     is_done_here: bool,
-    /// Until then there is no leader.
+    /// Time until which there is no leader.
     pub down_until: Millis,
     observed: Option<Observed>,
     idle_since: Millis,
-    heard: BTreeMap<usize, Heard>,
+    /// Last message of each host, by the host's index.
+    received: BTreeMap<usize, ReceivedStatus>,
 }
 
 impl Default for OriginCell {
@@ -53,16 +54,16 @@
             down_until: 0,
             observed: None,
             idle_since: START_MS,
-            heard: BTreeMap::new(),
+            received: BTreeMap::new(),
         }
     }
 }
 
 impl OriginCell {
-    /// A new leader knows the records only.
+    /// Replaces the leader. The new one knows only the records.
     pub(crate) fn lose_leader(&mut self, down_until: Millis) {
         self.down_until = down_until;
-        self.heard.clear();
+        self.received.clear();
         self.observed = None;
     }
 
@@ -73,11 +74,11 @@
 
     pub(crate) fn receive(&mut self, host: usize, status: Option<Status>, now: Millis) {
         if now >= self.down_until {
-            self.heard.insert(host, Heard { at: now, status });
+            self.received.insert(host, ReceivedStatus { at: now, status });
         }
     }
 
-    /// Since when the record has had its version, as far as this leader has seen.
+    /// Returns the time since which this leader has seen the record in its current version.
     fn observe_record(&mut self, now: Millis) -> Millis {
         let version = self.record.version;
         if let Some(observed) = self.observed.filter(|observed| observed.version == version) {
@@ -116,8 +117,9 @@
     fn forward_view(&mut self, forwarding: &Forwarding, observed_since: Millis) -> Option<ForwardView> {
         let now = self.now;
         let host = HOSTS.iter().position(|name| *name == forwarding.cell)?;
-        let heard = *self.origin.heard.entry(host).or_insert(Heard { at: now, status: None });
-        let status = heard.status.filter(|status| status.epoch == forwarding.epoch);
+        let empty = ReceivedStatus { at: now, status: None };
+        let received = *self.origin.received.entry(host).or_insert(empty);
+        let status = received.status.filter(|status| status.epoch == forwarding.epoch);
         if status.is_some_and(|status| matches!(status.phase, HostedPhase::Live { running: 1.., .. })) {
             self.origin.idle_since = now;
         }
@@ -125,12 +127,13 @@
             phase: forwarding.phase,
             in_phase_ms: now - observed_since,
             reported: status.map(|status| status.phase),
-            host_silent_ms: now - heard.at,
+            host_silent_ms: now - received.at,
             idle_ms: now - self.origin.idle_since,
         })
     }
 
-    /// Forwards the job to a host that has not had it, or else runs it here.
+    /// Forwards the job to a host that has not tried it, or else, and sometimes at random, runs
+    /// it here.
     fn try_to_forward(&mut self) {
         if self.origin.task.is_some() || self.origin.is_done_here {
             return;
@@ -150,7 +153,7 @@
 
     pub(crate) fn run_own_task(&mut self) {
         let origin = &mut self.origin;
-        if origin.task.is_some_and(|task| task.has_run(self.now)) {
+        if origin.task.is_some_and(|task| task.has_finished(self.now)) {
             origin.task = None;
             origin.is_done_here = true;
         }
