--- a/crates/cells/src/neighbor.rs
+++ b/crates/cells/src/neighbor.rs
@@ -46,8 +46,8 @@
 pub struct Neighbor {
     /// Time at which its newest message arrived; before the first one, the time at which this
     /// leader started.
-    heard_at: Millis,
-    was_heard: bool,
+    last_message_at: Millis,
+    has_received: bool,
     term: u64,
     revision: u64,
     forwarded: ForwardedState,
@@ -64,8 +64,8 @@
     /// Creates the state of a cell from which no message has arrived yet.
     pub fn new(now: Millis) -> Neighbor {
         Neighbor {
-            heard_at: now,
-            was_heard: false,
+            last_message_at: now,
+            has_received: false,
             term: 0,
             revision: 0,
             forwarded: ForwardedState::default(),
@@ -85,8 +85,8 @@
         }
         self.term = message.term;
         self.revision = message.revision;
-        self.heard_at = now;
-        self.was_heard = true;
+        self.last_message_at = now;
+        self.has_received = true;
         self.forwarded = message.forwarded;
         let jobs = message.hosted.jobs.iter();
         self.reported = jobs
@@ -99,27 +99,27 @@
 
     /// Time since the newest message arrived.
     pub fn silent_ms(&self, now: Millis) -> Millis {
-        now.saturating_sub(self.heard_at)
+        now.saturating_sub(self.last_message_at)
     }
 
     /// Returns the health of the cell. `silence_ms` is the operators' limit for a silent cell.
     pub fn health(&self, now: Millis, silence_ms: Millis) -> Health {
         match self.silent_ms(now) {
             silent if silent >= silence_ms => Health::Silent,
-            silent if silent >= SUSPECT_AFTER_MS || !self.was_heard => Health::Suspect,
+            silent if silent >= SUSPECT_AFTER_MS || !self.has_received => Health::Suspect,
             _ => Health::Alive,
         }
     }
 
     /// Jobs that the cell has forwarded to us; none before its first message.
     pub fn forwarded(&self) -> Option<Forwarded<'_>> {
-        self.was_heard.then_some(Forwarded { state: &self.forwarded, revision: self.revision })
+        self.has_received.then_some(Forwarded { state: &self.forwarded, revision: self.revision })
     }
 
     /// The cell's capacity as a host, and the time within which it stops tasks; none before its
     /// first message.
     pub fn hosted(&self) -> Option<&HostedState> {
-        self.was_heard.then_some(&self.hosted)
+        self.has_received.then_some(&self.hosted)
     }
 
     /// Capacity of the cell that is left for further jobs. The caller subtracts what it offers;
