--- a/src/wire/cloud.rs
+++ b/src/wire/cloud.rs
@@ -1,5 +1,5 @@
-//! The cloud's protocol: the catalog of machine types, renting and returning machines, and
-//! the list of machines.
+//! The cloud's protocol: the catalog of machine types, requests to rent and to return machines,
+//! and the list of machines.
 
 use crate::model::{self, Resources};
 use serde::{Deserialize, Serialize};
@@ -29,23 +29,23 @@
     /// Capacity of the image cache in GB.
     #[serde(default)]
     pub cache_gb: f64,
-    /// Rate at which images are fetched, in GB a second.
+    /// Rate at which images are fetched, in GB per second.
     #[serde(rename = "pull_gb_per_s", default = "default_fetch_gb_per_s")]
     pub fetch_gb_per_s: f64,
     /// Price of an on-demand machine per hour.
     pub price: f64,
-    /// Present price of a spot instance per hour.
+    /// Current price of a spot instance per hour.
     #[serde(default)]
     pub spot_price: f64,
-    /// Usual boot time in seconds.
+    /// Typical boot time in seconds.
     #[serde(rename = "ready_s", default)]
     pub boot_s: f64,
-    /// Zones in which it can be rented.
+    /// Zones in which the type can be rented.
     #[serde(rename = "yards", default)]
     pub zones: Vec<String>,
 }
 
-/// The least rate at which images are taken to be fetched, so that no time becomes infinite.
+/// Lower bound on the fetch rate of a machine type, which keeps computed fetch times finite.
 const MIN_FETCH_GB_PER_S: f64 = 0.01;
 
 impl From<MachineType> for model::MachineType {
@@ -63,7 +63,7 @@
     }
 }
 
-/// Taken for the fetch rate where the catalog does not say.
+/// Fetch rate of a machine type for which the catalog does not state one.
 fn default_fetch_gb_per_s() -> f64 {
     1.0
 }
@@ -71,31 +71,31 @@
 /// A request to rent machines.
 #[derive(Debug, Clone, Serialize)]
 pub struct CreateInstancesRequest {
-    /// Name of the request, which makes it idempotent; never used again for another one.
+    /// Unique name of the request, which makes the request idempotent. A name is never reused.
     #[serde(rename = "charter")]
     pub request: String,
-    /// Type to rent.
+    /// Machine type to rent.
     #[serde(rename = "hulltype")]
     pub machine_type: String,
     /// Zone to rent in.
     #[serde(rename = "yard")]
     pub zone: String,
-    /// Whether spot instances are wanted.
+    /// Whether to rent spot instances.
     #[serde(rename = "standby")]
     pub spot: bool,
-    /// Number of machines, 50 at most.
+    /// Number of machines, at most 50.
     pub count: u32,
 }
 
 /// Response to a request to rent machines.
 #[derive(Debug, Clone, Deserialize)]
 pub struct CreatedInstances {
-    /// Names of the machines that were rented; may be fewer than were asked for.
+    /// Names of the rented machines. There may be fewer than requested.
     #[serde(rename = "hulls")]
     pub machines: Vec<String>,
 }
 
-/// A request to return machines, 100 at most.
+/// A request to return at most 100 machines.
 #[derive(Debug, Clone, Serialize)]
 pub struct TerminateInstancesRequest {
     /// Names of the machines.
@@ -129,10 +129,10 @@
     /// Whether it is a spot instance.
     #[serde(rename = "standby", default)]
     pub spot: bool,
-    /// `starting`, `running` or `failed`.
+    /// State of the machine: `starting`, `running` or `failed`.
     #[serde(rename = "status")]
     pub state: String,
-    /// Time since it was rented, in seconds, as of the time that the list describes.
+    /// Time in seconds from the rental of the machine to the point in time that the list reflects.
     #[serde(default)]
     pub age_s: f64,
 }
--- a/src/wire/mod.rs
+++ b/src/wire/mod.rs
@@ -1,8 +1,9 @@
-//! The formats of all that is sent and stored: the JSON of the outer protocols ([`users`],
-//! [`workers`], [`cloud`], [`store`]) and the binary frames between our own nodes ([`peer`]).
+//! The formats of all messages and stored records: the JSON of the external protocols ([`users`],
+//! [`workers`], [`cloud`], [`store`]) and the binary frames between the nodes of this service
+//! ([`peer`]).
 //!
-//! The names of the outer protocols stand in `serde` attributes here, each once for each
-//! message that has it, and nowhere behind this module. Nothing here sends anything.
+//! The names that the external protocols use appear only in this module, in `serde` attributes,
+//! once for each message that contains them. This module sends nothing itself.
 
 pub mod cloud;
 pub mod encoded;
--- a/src/wire/peer.rs
+++ b/src/wire/peer.rs
@@ -1,15 +1,16 @@
-//! Frames between our own nodes: bitcode, length-delimited.
+//! Length-delimited frames between the nodes of this service, encoded with bitcode.
 //!
-//! Leader and shard owners exchange whole states, not steps: what the leader wants in a shard
-//! ([`DesiredState`]), and what its owner has in it ([`ReportedState`]). The next frame makes
-//! up for one that was lost, late or repeated, and no connection state has to be agreed on.
+//! The leader and the shard owners exchange complete states rather than changes: what the leader
+//! wants in a shard ([`DesiredState`]), and what the shard's owner has in it ([`ReportedState`]).
+//! The next frame therefore makes up for one that was lost, delayed or duplicated, and the two
+//! ends of a connection need not agree on any connection state.
 //!
 //! Frames are encoded by position: the order of fields and of enum variants is part of the
-//! protocol, their names are not.
+//! protocol, and their names are not.
 
 use bitcode::{Decode, Encode};
 
-/// A frame of more bytes than this closes the connection.
+/// Maximum length of a frame in bytes. A longer frame closes the connection.
 pub const MAX_FRAME: usize = 4 << 20;
 
 /// A message from one node to another.
@@ -26,35 +27,35 @@
 /// The content of a frame.
 #[derive(Debug, Clone, Encode, Decode, PartialEq)]
 pub enum PeerMessage {
-    /// From any node to any other, twice a second.
+    /// Sent by each node to every other node, twice a second.
     Heartbeat(PeerHeartbeat),
-    /// From the leader to a shard owner.
+    /// Sent by the leader to a shard owner.
     DesiredState(DesiredState),
-    /// From a shard owner to the leader.
+    /// Sent by a shard owner to the leader.
     ReportedState(ReportedState),
 }
 
-/// Prefix that tells the id of a cancelled job from the name of a silent node in a
+/// Prefix that distinguishes the id of a cancelled job from the name of a silent node in a
 /// heartbeat.
 const CANCELLED_PREFIX: &str = "cancelled ";
 
-/// A heartbeat between nodes, with whether the store answers the sender.
+/// A heartbeat between nodes, which also tells how recently the store answered the sender.
 #[derive(Debug, Clone, Encode, Decode, PartialEq)]
 pub struct PeerHeartbeat {
     /// Time since the store last answered the sender, in milliseconds.
     pub store_silence_ms: u64,
-    /// Names of silent nodes and, with a prefix, ids of cancelled jobs. Versions from before
-    /// cancelled jobs look for their own name here and ignore all else, while a new kind of
-    /// message would close the connection.
+    /// Names of silent nodes and, with [`CANCELLED_PREFIX`], ids of cancelled jobs. Versions
+    /// that don't know of cancelled jobs here only look for their own name and ignore all other
+    /// entries, whereas a new variant of the message would make them close the connection.
     names: Vec<String>,
-    /// Id of each live job with its numbers of tasks that are done and that are running;
-    /// from the leader only, for the answers to users.
+    /// Each live job as (id, number of done tasks, number of running tasks). Only the leader
+    /// sends them; nodes need them for their answers to users.
     pub task_counts: Vec<(String, u32, u32)>,
 }
 
 impl PeerHeartbeat {
-    /// A heartbeat that names the nodes whose frames no longer arrive and the jobs whose
-    /// cancellation the sender has just confirmed.
+    /// Creates a heartbeat that lists the nodes whose frames no longer reach the sender and the
+    /// jobs whose cancellation the sender has just confirmed.
     pub fn new(
         store_silence_ms: u64,
         silent_peers: Vec<String>,
@@ -66,31 +67,32 @@
         PeerHeartbeat { store_silence_ms, names, task_counts }
     }
 
-    /// Whether the sender no longer receives the frames of this node.
+    /// Whether the sender lists `node` as one whose frames no longer reach it.
     pub fn names_as_silent(&self, node: &str) -> bool {
         self.names.iter().any(|name| name == node)
     }
 
-    /// Ids of the jobs whose cancellation the sender has confirmed.
+    /// Returns the ids of the jobs whose cancellation the sender has confirmed.
     pub fn cancelled_jobs(&self) -> impl Iterator<Item = &str> {
         self.names.iter().filter_map(|name| name.strip_prefix(CANCELLED_PREFIX))
     }
 }
 
-/// From the leader: everything that shall be in one shard.
+/// The complete state that the leader wants in one shard.
 #[derive(Debug, Clone, Encode, Decode, PartialEq)]
 pub struct DesiredState {
     /// Term of the leader.
     pub term: u64,
     /// Index of the shard.
     pub shard: u32,
-    /// Fencing token of the shard owner that it is meant for.
+    /// Fencing token of the shard owner that the message is addressed to.
     pub fencing_token: u64,
-    /// Rises with each message of a term about this shard.
+    /// Sequence number, which increases with each message about this shard within a term.
     pub serial: u64,
-    /// Jobs with the tasks that shall be there.
+    /// Jobs with the tasks that should be in the shard.
     pub jobs: Vec<DesiredJob>,
-    /// Tasks that fit into no free capacity; the owner counts each on its best-fit machine.
+    /// Tasks for which there is no free capacity. The owner adds the demand of each of them to
+    /// its best-fit machine when it projects the load.
     pub waiting: Vec<WaitingTasks>,
     /// Names of machines that get no new tasks until they are drained.
     pub cordoned: Vec<String>,
@@ -98,7 +100,7 @@
     pub decommission: Vec<Decommission>,
     /// Names of machines whose termination the cloud has confirmed.
     pub gone: Vec<String>,
-    /// Names of machines that must not get new tasks for now.
+    /// Names of machines that temporarily get no new tasks.
     pub quarantined: Vec<String>,
 }
 
@@ -115,7 +117,7 @@
     pub spot: bool,
 }
 
-/// Tasks of a job that wait for capacity.
+/// Number of tasks of a job that wait for capacity.
 #[derive(Debug, Clone, Encode, Decode, PartialEq)]
 pub struct WaitingTasks {
     /// Id of the job.
@@ -124,40 +126,40 @@
     pub count: u32,
 }
 
-/// A job with tasks that shall be in a shard.
+/// A job with the tasks that should be in a shard.
 #[derive(Debug, Clone, Encode, Decode, PartialEq)]
 pub struct DesiredJob {
     /// Id of the job.
     pub job: String,
-    /// Expected run time of a task, in seconds, as learned from earlier ones.
+    /// Expected run time of a task, in seconds, as learned from earlier tasks.
     pub expected_s: f64,
-    /// Each admitted task as (task, attempt, may bind): whether the attempt may still be
-    /// bound to a machine for the first time.
+    /// Each admitted task as (task, attempt, may bind). The last element is whether the attempt
+    /// may still be bound to a machine for the first time.
     pub tasks: Vec<(u32, u64, bool)>,
 }
 
-/// From a shard owner: everything that may be in its shard. What is missing here is proven
-/// absent, or was never bound.
+/// Everything that may be in a shard, as its owner reports it. An attempt that is not listed is
+/// proven to be absent or was never bound.
 #[derive(Debug, Clone, Encode, Decode, PartialEq)]
 pub struct ReportedState {
-    /// Term of the leader that it is meant for.
+    /// Term of the leader that the message is addressed to.
     pub term: u64,
     /// Index of the shard.
     pub shard: u32,
     /// Fencing token of the sender.
     pub fencing_token: u64,
-    /// Serial of the newest `DesiredState` that this answers; 0 for none.
+    /// Serial of the newest [`DesiredState`] that this message accounts for, or 0 if there is none.
     pub echo: u64,
-    /// Machine types, to which machines refer by index: thousands of tasks share a few jobs
-    /// and types.
+    /// Machine types. Machines refer to them by index, because thousands of tasks share a few
+    /// jobs and machine types.
     pub types: Vec<String>,
-    /// Jobs, to which attempts refer by index.
+    /// Jobs. Attempts refer to them by index.
     pub jobs: Vec<ReportedJob>,
     /// All machines of the shard.
     pub machines: Vec<ReportedMachine>,
 }
 
-/// A job with the demand of one of its tasks.
+/// A job with the resource demand of one of its tasks.
 #[derive(Debug, Clone, Encode, Decode, PartialEq)]
 pub struct ReportedJob {
     /// Id of the job.
@@ -172,7 +174,7 @@
     pub memory_gb: f64,
 }
 
-/// A machine as its shard owner knows it.
+/// The state of a machine as known to its shard owner.
 #[derive(Debug, Clone, Encode, Decode, PartialEq)]
 pub struct ReportedMachine {
     /// Its name.
@@ -181,62 +183,62 @@
     pub machine_type: u32,
     /// Whether it is a spot instance.
     pub spot: bool,
-    /// Time since its last heartbeat, in milliseconds; `u64::MAX` if none reached this owner.
+    /// Time since its last heartbeat, in milliseconds, or `u64::MAX` if none reached this owner.
     pub silent_ms: u64,
-    /// Whether the cloud is about to take it away.
+    /// Whether the cloud has announced that it will preempt the machine.
     pub preemption_notice: bool,
-    /// Whether its termination is on record.
+    /// Whether its termination has been recorded in the store.
     pub terminating: bool,
-    /// Whether a heartbeat has shown that it knows the owner's fencing token.
+    /// Whether a heartbeat has confirmed that its worker knows the owner's fencing token.
     pub fenced: bool,
-    /// Whether its heartbeats arrive, but nothing reaches it.
+    /// Whether its heartbeats arrive although nothing that is sent to it does.
     pub unreachable: bool,
-    /// Projected peak use as a share of its capacity.
+    /// Projected peak utilization as a share of its capacity.
     pub peak: f64,
     /// Whether it is projected to be overloaded.
     pub overloaded: bool,
-    /// Attempts that may be on it.
+    /// Attempts that may be on the machine.
     pub tasks: Vec<ReportedTask>,
 }
 
-/// An attempt as its shard owner knows it.
+/// The state of an attempt as known to its shard owner.
 #[derive(Debug, Clone, Encode, Decode, PartialEq)]
 pub struct ReportedTask {
     /// Index of its job in [`ReportedState::jobs`].
     pub job: u32,
     /// Number of the task.
     pub task: u32,
-    /// Number of the attempt.
+    /// Id of the attempt.
     pub attempt: u64,
-    /// How far it is.
+    /// Phase of the attempt.
     pub state: ReportedPhase,
-    /// Run time so far, or in all if it has ended, in milliseconds.
+    /// Run time in milliseconds: so far, or in total if the attempt has ended.
     pub ran_ms: u64,
 }
 
-/// How far an attempt is.
+/// The phase of an attempt.
 #[derive(Debug, Clone, Copy, Encode, Decode, PartialEq, Eq)]
 pub enum ReportedPhase {
-    /// Bound to the machine or sent to it, and not yet in a heartbeat.
+    /// Bound to the machine or sent to it, but not yet listed in a heartbeat.
     Bound,
-    /// Is waiting for its image.
+    /// Waiting for its image.
     Fetching,
-    /// Is running.
+    /// Running.
     Running,
-    /// Was told to stop and is saving a checkpoint.
+    /// Saving a checkpoint after a command to stop.
     Saving,
     /// Completed.
     Done,
-    /// Stopped by command.
+    /// Stopped by a command.
     Stopped,
     /// Failed.
     Failed,
-    /// The machine refused the start.
+    /// The machine refused to start it.
     Refused,
 }
 
 impl ReportedPhase {
-    /// Whether the attempt takes, or may take, capacity of its machine and quota of its team.
+    /// Whether the attempt uses, or may use, capacity of its machine and quota of its team.
     pub fn occupies_capacity(self) -> bool {
         matches!(
             self,
--- a/src/wire/store/job_record.rs
+++ b/src/wire/store/job_record.rs
@@ -1,44 +1,44 @@
-//! Records of jobs, from their acceptance for ever.
+//! Job records, which are written when a job is accepted and kept forever.
 
 use crate::model::JobSpec;
 use crate::wire::users::ID_PREFIX;
 use serde::{Deserialize, Serialize};
 use woadlever_cells::record::{Forwarding, Origin};
 
-/// `w/job/<id>`: records of final jobs keep only the state.
+/// Record `w/job/<id>`. The record of a final job contains no description of the job.
 ///
-/// Versions from before job dependencies and cells read these records too, and ignore the
-/// fields that they don't know. A job that awaits others, or that another cell hosts, has its
-/// description in a field of its own: a leader of such a version, which would start the job
-/// at once, finds nothing to start, while its users get the same answers.
+/// Versions that predate job dependencies and cells also read these records, and ignore fields
+/// that they don't know. The description of a job that waits for other jobs, or that another cell
+/// hosts, is therefore kept in a separate field: a leader of such a version, which would start the
+/// job at once, finds no description to start it from, while users still get the same answers.
 #[derive(Debug, Clone, Serialize, Deserialize, PartialEq)]
 pub struct JobRecord {
     /// State of the job.
     #[serde(rename = "s")]
     pub state: JobState,
-    /// The description of a live job that may start.
+    /// Description of a live job that may start.
     #[serde(rename = "j", default, skip_serializing_if = "Option::is_none")]
     spec: Option<JobSpec>,
-    /// Number of tasks, kept for the answers about a final job.
+    /// Number of tasks. It is kept for answers to users about a final job.
     #[serde(rename = "n", default)]
     pub tasks: u32,
-    /// The description of a job that awaits others.
+    /// Description of a job that waits for the jobs it depends on.
     #[serde(rename = "p", default, skip_serializing_if = "Option::is_none")]
     waiting_spec: Option<JobSpec>,
-    /// The jobs it depends on: the digits of their ids, separated by spaces.
+    /// Jobs that the job depends on: the digits of their ids, separated by spaces.
     #[serde(rename = "w", default, skip_serializing_if = "String::is_empty")]
     dependencies: String,
-    /// Time of day at which the job was done, in milliseconds: the times of jobs that
-    /// depend on it count from then on. 0 unless done.
+    /// Wall-clock time at which the job was done, in milliseconds, or 0 if it is not done. The
+    /// times of jobs that depend on it count from then on.
     #[serde(rename = "t", default, skip_serializing_if = "is_zero")]
     pub done_ms: u64,
-    /// Where the job has been forwarded to.
+    /// The cell that the job has been forwarded to, if any, and the state of the forwarding.
     #[serde(rename = "f", default, skip_serializing_if = "Option::is_none")]
     pub forwarding: Option<Forwarding>,
-    /// The description of a job that another cell hosts.
+    /// Description of a job that another cell hosts.
     #[serde(rename = "q", default, skip_serializing_if = "Option::is_none")]
     forwarded_spec: Option<JobSpec>,
-    /// The cell that a hosted job belongs to.
+    /// The cell that a hosted job belongs to; `None` for a job of this cell.
     #[serde(rename = "o", default, skip_serializing_if = "Option::is_none")]
     pub origin: Option<Origin>,
 }
@@ -48,7 +48,8 @@
 }
 
 impl JobRecord {
-    /// The record of a job that has just been accepted; `dependencies` are ids of jobs.
+    /// Creates the record of a newly accepted job. `dependencies` are the ids of the jobs that it
+    /// depends on.
     pub fn live(spec: JobSpec, dependencies: &[String]) -> JobRecord {
         let mut record = JobRecord::without_spec(JobState::Live, spec.tasks);
         if dependencies.is_empty() {
@@ -61,7 +62,7 @@
         record
     }
 
-    /// The record of a live job that is, or was, forwarded to another cell.
+    /// Creates the record of a live job that is or was forwarded to another cell.
     pub fn forwarded(spec: JobSpec, dependencies: &[String], forwarding: Forwarding) -> JobRecord {
         let mut record = JobRecord::live(spec, dependencies);
         if forwarding.is_away() {
@@ -71,27 +72,27 @@
         record
     }
 
-    /// The record, in its host cell, of a live job of another cell.
+    /// Creates the record that a host cell keeps of a live job of another cell.
     pub fn hosted(spec: JobSpec, origin: Origin) -> JobRecord {
         JobRecord::live(spec, &[]).with_origin(Some(origin))
     }
 
-    /// What a job of another cell leaves in the cell that hosted it, or refused to.
+    /// Creates the tombstone of another cell's job that this cell hosted or refused to host.
     pub fn tombstone(tasks: u32, origin: Origin) -> JobRecord {
         JobRecord::cancelled(tasks).with_origin(Some(origin))
     }
 
-    /// The record of a job whose tasks are all done, at this time of day.
+    /// Creates the record of a job whose last task was done at the wall-clock time `done_ms`.
     pub fn done(tasks: u32, done_ms: u64) -> JobRecord {
         JobRecord { done_ms, ..JobRecord::without_spec(JobState::Done, tasks) }
     }
 
-    /// The record of a job that was cancelled.
+    /// Creates the record of a cancelled job.
     pub fn cancelled(tasks: u32) -> JobRecord {
         JobRecord::without_spec(JobState::Cancelled, tasks)
     }
 
-    /// The same record of a job that belongs to another cell; `None`: to this one.
+    /// Returns the same record with another origin; `None` means that the job belongs to this cell.
     pub fn with_origin(self, origin: Option<Origin>) -> JobRecord {
         JobRecord { origin, ..self }
     }
@@ -110,7 +111,7 @@
         }
     }
 
-    /// The description, if the job is live, and the ids of the jobs it depends on.
+    /// Returns the description, if the job is live, and the ids of the jobs it depends on.
     pub fn into_parts(self) -> (Option<JobSpec>, Vec<String>) {
         let digits = self.dependencies.split_ascii_whitespace();
         let ids = digits.map(|digits| format!("{ID_PREFIX}{digits}")).collect();
@@ -118,13 +119,13 @@
     }
 }
 
-/// State of a job, as far as it is on record.
+/// The recorded state of a job.
 #[derive(Debug, Clone, Copy, Serialize, Deserialize, PartialEq, Eq)]
 pub enum JobState {
-    /// Accepted, and neither done nor cancelled.
+    /// Accepted, but neither done nor cancelled.
     #[serde(rename = "l")]
     Live,
-    /// All tasks are done.
+    /// All its tasks are done.
     #[serde(rename = "d")]
     Done,
     /// Cancelled.
--- a/src/wire/store/mod.rs
+++ b/src/wire/store/mod.rs
@@ -1,8 +1,8 @@
 //! The key-value store: its protocol, and the records that this service keeps in it.
 //!
-//! The names of the protocol and the keys of records stand in the `serde` attributes here
-//! and nowhere else. Records outlive the process that wrote them: their JSON form must stay
-//! readable by the version before and after.
+//! The names that the protocol uses and the field names of records appear only in the `serde`
+//! attributes of this module. Records outlive the process that wrote them, so the previous and the
+//! next version of the service must be able to read their JSON form.
 
 mod control_records;
 mod job_record;
--- a/src/wire/store/protocol.rs
+++ b/src/wire/store/protocol.rs
@@ -1,4 +1,4 @@
-//! The key-value store's protocol: compare-and-swap, lists, watches and leases.
+//! The protocol of the key-value store: compare-and-swap, lists, watches and leases.
 
 use crate::wire::encoded::Encoded;
 use serde::{Deserialize, Serialize};
@@ -26,18 +26,19 @@
     /// Whether another page follows.
     #[serde(rename = "has_next", default)]
     pub more: bool,
-    /// Revision of the whole store when the page was read.
+    /// Revision of the store at which the page was read.
     #[serde(rename = "ledger")]
     pub revision: u64,
 }
 
-/// A condition of a compare-and-swap: the record has this version; 0: there is no record.
+/// A condition of a compare-and-swap: the record has this version, or does not exist if the
+/// version is 0.
 #[derive(Debug, Clone, Serialize)]
 pub struct Compare {
     /// Key of the record.
     #[serde(rename = "k")]
     pub key: String,
-    /// Version that it must have.
+    /// Version that the record must have.
     #[serde(rename = "stamp")]
     pub version: u64,
 }
@@ -46,7 +47,7 @@
 #[derive(Debug, Clone, Serialize)]
 #[serde(untagged)]
 pub enum Mutation {
-    /// Writes a record.
+    /// Creates or replaces a record.
     Put {
         /// Key of the record.
         #[serde(rename = "write")]
@@ -54,7 +55,7 @@
         /// Its new value.
         #[serde(rename = "data")]
         value: Encoded,
-        /// Lease that the record is attached to: it is deleted when the lease ends.
+        /// Lease that the record is attached to: the record is deleted when the lease ends.
         #[serde(rename = "permit", skip_serializing_if = "Option::is_none")]
         lease: Option<u64>,
     },
@@ -66,21 +67,21 @@
     },
 }
 
-/// Mutations that are made together, or not at all.
+/// Mutations that are applied atomically, if all conditions hold.
 #[derive(Debug, Clone, Serialize, Default)]
 pub struct CompareAndSwap {
-    /// Conditions that all have to hold.
+    /// Conditions, all of which must hold.
     #[serde(rename = "if")]
     pub compares: Vec<Compare>,
-    /// What is changed if they do.
+    /// Mutations that are applied if the conditions hold.
     #[serde(rename = "apply")]
     pub mutations: Vec<Mutation>,
 }
 
-/// Response to a compare-and-swap that was carried out.
+/// Response to a compare-and-swap that was applied.
 #[derive(Debug, Clone, Deserialize)]
 pub struct CompareAndSwapCommitted {
-    /// Revision of its mutations.
+    /// Revision of the store that its mutations created.
     #[serde(rename = "ledger")]
     pub revision: u64,
 }
@@ -88,7 +89,7 @@
 /// Response to a compare-and-swap whose conditions did not hold.
 #[derive(Debug, Clone, Deserialize)]
 pub struct CompareAndSwapConflict {
-    /// Keys whose version is another one.
+    /// Keys whose version differs from the expected one.
     #[serde(default)]
     pub failed: Vec<String>,
 }
@@ -96,39 +97,39 @@
 /// A request for a lease.
 #[derive(Debug, Clone, Serialize)]
 pub struct OpenLease {
-    /// Its time to live, milliseconds.
+    /// Time to live of the lease, in milliseconds.
     pub ttl_ms: u64,
 }
 
 /// Response to a request for a lease.
 #[derive(Debug, Clone, Deserialize)]
 pub struct LeaseOpened {
-    /// Number of the lease.
+    /// Id of the lease.
     #[serde(rename = "permit")]
     pub lease: u64,
 }
 
-/// Changes since a revision.
+/// Response to a watch: the changes since a revision.
 #[derive(Debug, Clone, Deserialize)]
 pub struct WatchAnswer {
     /// Revision up to which changes are listed.
     #[serde(rename = "ledger")]
     pub revision: u64,
-    /// The changes in their order.
+    /// Changes in the order in which they were made.
     #[serde(rename = "log", default)]
     pub events: Vec<Event>,
 }
 
-/// One change of a record.
+/// A change of one record.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Event {
-    /// Key, if it was written.
+    /// Key of the record, if it was written.
     #[serde(rename = "write", default)]
     pub put: Option<String>,
-    /// Key, if it was deleted.
+    /// Key of the record, if it was deleted.
     #[serde(rename = "drop", default)]
     pub delete: Option<String>,
-    /// Value that was written.
+    /// Value that was written, or `null` if the record was deleted.
     #[serde(rename = "data", default)]
     pub value: Encoded,
     /// Revision of the change.
--- a/src/wire/users.rs
+++ b/src/wire/users.rs
@@ -1,5 +1,5 @@
-//! The users' protocol: submissions, read field by field so that an error names the field,
-//! and the bodies of answers.
+//! The user protocol: submissions, which are parsed field by field so that an error can name the
+//! field, and the bodies of responses.
 
 use crate::model::{JobSpec, Priority, Resources};
 use serde::Serialize;
@@ -7,30 +7,30 @@
 use std::collections::HashSet;
 use thiserror::Error;
 
-/// No request body may be longer.
+/// Maximum length of a request body.
 pub const MAX_BODY_BYTES: usize = 64 << 10;
-/// Tasks that one job may have.
+/// Maximum number of tasks of a job.
 pub const MAX_TASKS: u64 = 100_000;
-/// Jobs that one job may name in `awaits`, each counted once. Pipelines name a handful; with
-/// ids of usual length so many take half of a small record.
-const MAX_AWAITS: usize = 100;
-/// What every job id begins with; digits follow.
+/// Maximum number of distinct jobs that a job may name in `awaits`. Pipelines name a handful. With
+/// ids of ordinary length, this many take up half of a small record.
+const MAX_AWAITED_JOBS: usize = 100;
+/// Prefix of every job id. The rest of the id is digits.
 pub(crate) const ID_PREFIX: &str = "run-";
 const MAX_ID_DIGITS: usize = 20;
-/// Amounts above this make no sense for any machine and only invite overflow.
+/// Maximum of any amount. No machine can provide more, and larger numbers risk overflow.
 const MAX_AMOUNT: f64 = 1e9;
 const MAX_TEXT_BYTES: usize = 200;
-/// Machine types that a job may allow.
+/// Maximum number of machine types that a job may list.
 const MAX_MACHINE_TYPES: usize = 64;
 
-// Fields that are named more than once here.
+// Names of fields that are used more than once in this module.
 const JOB_ID: &str = "name_id";
 const CPUS: &str = "cores";
 const AWAITS: &str = "awaits";
-/// Stands for the whole body in errors.
+/// Field name in errors that concern the body as a whole.
 const BODY: &str = "body";
 
-/// A field of a submission that can't be used.
+/// An invalid field of a submission.
 #[derive(Debug, Clone, PartialEq, Error)]
 #[error("{field} {why}")]
 pub struct InvalidField {
@@ -40,7 +40,7 @@
     pub why: FieldError,
 }
 
-/// What is wrong with a field; users see these texts.
+/// What is wrong with a field. The texts are part of responses to users.
 #[derive(Debug, Clone, PartialEq, Error)]
 pub enum FieldError {
     /// The body exceeds [`MAX_BODY_BYTES`].
@@ -49,22 +49,22 @@
     /// The body is not JSON.
     #[error("is not JSON: {0}")]
     NotJson(String),
-    /// The body is JSON, but no object.
+    /// The body is JSON, but not an object.
     #[error("is not an object")]
     NotAnObject,
     /// A required field is missing or null.
     #[error("is missing")]
     Missing,
-    /// Not a text, or one of a length that is not allowed.
+    /// Not a string, or a string of a length that is not allowed.
     #[error("must be a text of 1 to {MAX} bytes", MAX = MAX_TEXT_BYTES)]
     NotText,
-    /// Not a number, or one outside of what makes sense.
+    /// Not a number, or a number out of range.
     #[error("must be a number of at least 0")]
     NotAmount,
     /// Not a boolean.
     #[error("must be true or false")]
     NotBoolean,
-    /// Neither CPUs nor GPUs are asked for.
+    /// Neither CPUs nor GPUs are requested.
     #[error("must be above 0")]
     NotPositive,
     /// Not a job id.
@@ -76,44 +76,44 @@
     /// An unknown priority.
     #[error("must be prod, urgent, normal or idle")]
     NotPriority,
-    /// Not a number of tasks that a job may have.
+    /// Not an allowed number of tasks.
     #[error("must be a whole number from 1 to {MAX}", MAX = MAX_TASKS)]
     NotTaskCount,
-    /// Not a list, or one that is too long.
+    /// Not a list, or a list that is too long.
     #[error("must be a list")]
     NotList,
-    /// A list with something other than names.
+    /// A list that contains something other than names.
     #[error("must list names")]
     NotNames,
-    /// Not a list, where job ids are expected.
+    /// Not a list where a list of job ids is expected.
     #[error("must be a list of job ids")]
     NotJobIdList,
-    /// A list with something other than job ids.
+    /// A list that contains something other than job ids.
     #[error("must list job ids, run- and digits")]
     NotJobIds,
-    /// More job ids than a job may name.
-    #[error("must name no more than {MAX} jobs", MAX = MAX_AWAITS)]
+    /// A list of more distinct job ids than a job may name.
+    #[error("must name no more than {MAX} jobs", MAX = MAX_AWAITED_JOBS)]
     TooManyJobs,
 }
 
 impl FieldError {
-    /// The error of this field.
+    /// Returns this error for the given field.
     fn of(self, field: &'static str) -> InvalidField {
         InvalidField { field, why: self }
     }
 }
 
-/// Body of an answer that refuses a request.
+/// Body of a response that rejects a request.
 #[derive(Debug, Clone, Serialize)]
 pub struct ErrorBody {
-    /// Why it is refused.
+    /// Reason for the rejection.
     pub error: String,
-    /// The field that is wrong, if one is.
+    /// The invalid field, if the error concerns one.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub field: Option<&'static str>,
 }
 
-/// Body of an answer about a job.
+/// Body of a response about a job.
 #[derive(Debug, Clone, Serialize)]
 pub struct StatusBody<'a> {
     /// Id of the job.
@@ -130,20 +130,20 @@
     pub running: Option<u32>,
 }
 
-/// A submission as read.
+/// A parsed submission.
 #[derive(Debug)]
 pub struct Submission {
     /// Id of the job.
     pub id: String,
     /// Description of the job.
     pub spec: JobSpec,
-    /// Ids of the jobs that it depends on, each once, in the order named. An error here
-    /// counts only once the job is known to be new: a repeated submission of an accepted
-    /// job gets its state, whatever else it says.
+    /// Ids of the jobs that it depends on, without duplicates, in the order of the submission. An
+    /// error in them only matters once the job is known to be new: a repeated submission of an
+    /// accepted job is answered with the job's state, whatever its other fields contain.
     pub awaits: Result<Vec<String>, InvalidField>,
 }
 
-/// Whether the text is a job id: the prefix and up to 20 digits.
+/// Whether the text is a job id: the prefix followed by 1 to 20 digits.
 pub fn valid_id(id: &str) -> bool {
     id.strip_prefix(ID_PREFIX).is_some_and(|digits| {
         !digits.is_empty()
@@ -152,15 +152,15 @@
     })
 }
 
-/// The job id of a submission that is invalid otherwise.
+/// Returns the job id of a submission whose other fields may be invalid.
 pub fn id_of(body: &[u8]) -> Option<String> {
     let value: Value = serde_json::from_slice(body).ok()?;
     let id = value.get(JOB_ID)?.as_str()?;
     valid_id(id).then(|| id.to_string())
 }
 
-/// Reads a submission. Only what may be null may be left out. The first field that is wrong
-/// is named, in the order in which they are read here.
+/// Parses a submission. A field may be omitted only if it may be null. The error names the first
+/// invalid field in the order in which this function reads them.
 pub fn parse_job(body: &[u8]) -> Result<Submission, InvalidField> {
     let object = parse_object(body)?;
     let fields = Fields(&object);
@@ -195,7 +195,7 @@
     Ok(Submission { id, spec, awaits: awaited_jobs(&fields) })
 }
 
-/// The fields of a submission by name. A null field counts as absent.
+/// The fields of a submission by name. A null field is treated as absent.
 struct Fields<'a>(&'a Map<String, Value>);
 
 impl<'a> Fields<'a> {
@@ -278,7 +278,7 @@
     }
 }
 
-/// What each task takes.
+/// Reads the resource demand of one task.
 fn demand(fields: &Fields) -> Result<Resources, InvalidField> {
     let demand = Resources {
         cpus: fields.amount(CPUS)?,
@@ -291,7 +291,7 @@
     Ok(demand)
 }
 
-/// The machine types that the job may run on; `None`: all.
+/// Reads the machine types that the job may run on; `None` means all types.
 fn machine_types(fields: &Fields) -> Result<Option<Vec<String>>, InvalidField> {
     let field = "hulltypes";
     let list = match fields.get(field) {
@@ -303,7 +303,7 @@
     names.map(Some).ok_or(FieldError::NotNames.of(field))
 }
 
-/// Ids of the jobs that the job depends on, each once.
+/// Reads the ids of the jobs that the job depends on, without duplicates.
 fn awaited_jobs(fields: &Fields) -> Result<Vec<String>, InvalidField> {
     let list = match fields.get(AWAITS) {
         None => return Ok(Vec::new()),
@@ -320,7 +320,7 @@
             ids.push(id.to_string());
         }
     }
-    if ids.len() > MAX_AWAITS {
+    if ids.len() > MAX_AWAITED_JOBS {
         return Err(FieldError::TooManyJobs.of(AWAITS));
     }
     Ok(ids)
--- a/src/wire/workers.rs
+++ b/src/wire/workers.rs
@@ -8,7 +8,7 @@
     /// Name of the machine.
     #[serde(rename = "hull")]
     pub machine: String,
-    /// Address for direct commands.
+    /// Address to which direct commands are sent.
     #[serde(rename = "endpoint")]
     pub addr: String,
     /// Type of the machine.
@@ -20,19 +20,19 @@
     /// Whether it is a spot instance.
     #[serde(rename = "standby", default)]
     pub spot: bool,
-    /// Incarnation of the worker; a new one begins when its lease expires.
+    /// Incarnation of the worker. A new one begins when the worker's lease expires.
     #[serde(rename = "shift")]
     pub incarnation: u64,
-    /// Count of heartbeats and answers to direct commands within the incarnation.
+    /// Number of heartbeats and responses to direct commands sent so far within the incarnation.
     #[serde(rename = "tally")]
     pub sequence: u64,
     /// Highest fencing token that the worker has seen.
     #[serde(rename = "baton", default)]
     pub fencing_token: u64,
-    /// Time until the cloud takes the machine away, in seconds, if it has said so.
+    /// Time until the cloud preempts the machine, in seconds, if the cloud has announced it.
     #[serde(rename = "warning_s", default)]
     pub preemption_notice_s: Option<f64>,
-    /// Every attempt on the machine.
+    /// All attempts on the machine.
     #[serde(rename = "pieces", default)]
     pub tasks: Vec<HeartbeatTask>,
 }
@@ -40,35 +40,35 @@
 /// An attempt in a worker's heartbeat.
 #[derive(Debug, Clone, Deserialize, Serialize)]
 pub struct HeartbeatTask {
-    /// Id of the job and number of the task.
+    /// Name of the task, which consists of the id of its job and its number.
     #[serde(rename = "piece")]
     pub task: String,
-    /// Number of the attempt.
+    /// Id of the attempt.
     #[serde(rename = "try")]
     pub attempt: u64,
-    /// How far it is.
+    /// State of the attempt.
     #[serde(rename = "status")]
     pub state: TaskState,
-    /// Why it ended.
+    /// Why the attempt ended.
     #[serde(rename = "cause", default)]
     pub why: Option<String>,
 }
 
-/// How far an attempt is, in a worker's heartbeat.
+/// State of an attempt in a worker's heartbeat.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum TaskState {
-    /// Is waiting for its image.
+    /// Waiting for its image.
     Fetching,
-    /// Is running.
+    /// Running.
     Running,
-    /// Was told to stop and is saving a checkpoint.
+    /// Saving a checkpoint after a command to stop.
     #[serde(rename = "flushing")]
     Saving,
-    /// Has ended.
+    /// Ended.
     #[serde(rename = "ended")]
     Exited,
-    /// A state that this version doesn't know; handled like a running task.
+    /// A state that this version doesn't know. It is handled like `Running`.
     #[serde(other)]
     Other,
 }
@@ -76,16 +76,16 @@
 /// A command to a worker.
 #[derive(Debug, Clone, Serialize, Deserialize, PartialEq)]
 pub struct Command {
-    /// What to do.
+    /// What the worker is to do with the attempt.
     #[serde(rename = "verb")]
     pub action: CommandAction,
-    /// Id of the job and number of the task.
+    /// Name of the task, which consists of the id of its job and its number.
     #[serde(rename = "piece")]
     pub task: String,
-    /// Number of the attempt.
+    /// Id of the attempt.
     #[serde(rename = "try")]
     pub attempt: u64,
-    /// Time for saving a checkpoint, in seconds.
+    /// Time that the attempt has to save a checkpoint, in seconds.
     #[serde(rename = "leeway_s", skip_serializing_if = "Option::is_none")]
     pub grace_s: Option<f64>,
 }
@@ -93,13 +93,13 @@
 /// What a worker is to do with an attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum CommandAction {
-    /// Start it.
+    /// Start the attempt.
     #[serde(rename = "run")]
     Start,
-    /// Stop it.
+    /// Stop the attempt.
     #[serde(rename = "kill")]
     Stop,
-    /// Leave it out of later heartbeats.
+    /// Stop listing the attempt in heartbeats.
     #[serde(rename = "clear")]
     Forget,
 }
@@ -110,30 +110,30 @@
     /// Fencing token of the sender.
     #[serde(rename = "baton")]
     pub fencing_token: u64,
-    /// What the worker is to do, in this order.
+    /// Commands, which the worker carries out in this order.
     #[serde(rename = "orders")]
     pub commands: Vec<Command>,
 }
 
-/// Commands that are sent to a worker's address. They may be carried out minutes late, so
-/// they only ever stop tasks.
+/// Commands that are sent to a worker's address. Because they may be carried out minutes late, they
+/// only ever stop tasks.
 #[derive(Debug, Clone, Serialize)]
 pub struct DirectCommands {
     /// Fencing token of the sender.
     #[serde(rename = "baton")]
     pub fencing_token: u64,
-    /// Incarnation of the worker that the commands are meant for.
+    /// Incarnation of the worker that the commands are addressed to.
     #[serde(rename = "shift")]
     pub incarnation: u64,
-    /// What the worker is to do, in this order.
+    /// Commands, which the worker carries out in this order.
     #[serde(rename = "orders")]
     pub commands: Vec<Command>,
 }
 
-/// Response to a heartbeat that belongs to another node.
+/// Response to a heartbeat whose sender belongs to another node.
 #[derive(Debug, Clone, Serialize)]
 pub struct Redirect {
-    /// That node, if it is known.
+    /// Name of the node to which the worker is to send its heartbeats, if it is known.
     #[serde(rename = "foreman", skip_serializing_if = "Option::is_none")]
     pub report_to: Option<String>,
 }
