--- a/src/model/index.rs
+++ b/src/model/index.rs
@@ -1,5 +1,5 @@
-//! Dense indices that names are mapped to. Each kind of thing has a type of its own, so that
-//! one can't be taken for another.
+//! Dense indices that stand for names. Each kind of entity has its own index type, so that the
+//! compiler rejects an index of another kind.
 
 /// Declares an index type.
 macro_rules! index_type {
@@ -9,22 +9,22 @@
         pub struct $name(u32);
 
         impl $name {
-            /// The index with this number.
+            /// Creates the index with this number.
             pub const fn new(number: u32) -> $name {
                 $name(number)
             }
 
-            /// Its number, as frames have it.
+            /// Returns the number of the index, as frames contain it.
             pub const fn number(self) -> u32 {
                 self.0
             }
 
-            /// Its place in a list of all.
+            /// Returns the position in a list of all entities of this kind.
             pub const fn place(self) -> usize {
                 self.0 as usize
             }
 
-            /// The index of a place in a list of all.
+            /// Returns the index for a position in a list of all entities of this kind.
             pub const fn at(place: usize) -> $name {
                 $name(place as u32)
             }
@@ -39,18 +39,18 @@
 }
 
 index_type! {
-    /// A job in the memory of this process.
+    /// Index of a job that this process holds in memory.
     JobIndex
 }
 index_type! {
-    /// A machine of the shards owned by this process.
+    /// Index of a machine in one of the shards that this process owns.
     MachineIndex
 }
 index_type! {
-    /// A machine of the fleet, as the leader of this term counts them.
+    /// Index of a machine of the fleet, assigned by the leader and valid within its term.
     InstanceIndex
 }
 index_type! {
-    /// A shard; the same on all nodes.
+    /// Index of a shard, which is the same on all nodes.
     ShardIndex
 }
--- a/src/model/job_order.rs
+++ b/src/model/job_order.rs
@@ -2,13 +2,13 @@
 
 use super::Priority;
 
-/// The order in which waiting jobs are served; smaller comes first.
+/// Sort key of a waiting job. Jobs with a smaller key are served first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct JobOrder {
-    /// Higher priorities come first.
+    /// Priority of the job; higher priorities come first.
     pub priority: std::cmp::Reverse<Priority>,
-    /// Every service-level objective that it could be started for is missed.
+    /// Whether it is too late to start the job in time for any of its service-level objectives.
     pub late: bool,
-    /// Time left until the job can no longer be started for its next objective.
+    /// Time left, in milliseconds, to start the job in time for its next objective.
     pub slack_ms: i64,
 }
--- a/src/model/job_spec.rs
+++ b/src/model/job_spec.rs
@@ -1,38 +1,38 @@
-//! What users say of a job.
+//! The description of a job as submitted by a user.
 
 use super::Resources;
 use serde::{Deserialize, Serialize};
 
-/// Work of a higher priority sorts later.
+/// Priority of a job. Higher priorities compare as greater.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Priority {
-    /// Runs when nothing else waits.
+    /// Runs only when no other work is waiting.
     #[serde(rename = "l")]
     Low,
-    /// The usual priority.
+    /// The ordinary priority.
     #[serde(rename = "n")]
     Normal,
-    /// Goes before normal work.
+    /// Takes precedence over normal work.
     #[serde(rename = "h")]
     High,
-    /// Goes before everything else.
+    /// Takes precedence over all other work.
     #[serde(rename = "p")]
     Production,
 }
 
-/// A job as accepted. Short names keep the record small; it is written once.
+/// Description of an accepted job, which is written once. Short field names keep its record small.
 #[derive(Debug, Clone, Serialize, Deserialize, PartialEq)]
 pub struct JobSpec {
     /// Class of jobs that it belongs to.
     #[serde(rename = "k", default)]
     pub class: String,
-    /// Team whose guarantee and quota apply.
+    /// Team whose guarantee and quota apply to the job.
     #[serde(rename = "m")]
     pub team: String,
-    /// The job's own priority.
+    /// Priority of the job itself.
     #[serde(rename = "p")]
     pub priority: Priority,
-    /// Number of tasks: a job of more than one is a job array.
+    /// Number of tasks. A job of more than one task is a job array.
     #[serde(rename = "n")]
     pub tasks: u32,
     /// CPUs of one task.
@@ -41,13 +41,13 @@
     /// GPUs of one task.
     #[serde(rename = "g", default)]
     pub gpus: f64,
-    /// Memory of one task.
+    /// Memory of one task in GB.
     #[serde(rename = "w")]
     pub memory_gb: f64,
-    /// Machine types allowed; any if absent.
+    /// Machine types that the job may run on; `None` means any.
     #[serde(rename = "y", default, skip_serializing_if = "Option::is_none")]
     pub types: Option<Vec<String>>,
-    /// The only zone allowed, if any.
+    /// The only zone that the job may run in; `None` means any.
     #[serde(rename = "z", default, skip_serializing_if = "Option::is_none")]
     pub zone: Option<String>,
     /// Whether all tasks must be in one zone.
@@ -56,34 +56,34 @@
     /// Whether at most half of the tasks may be in one zone.
     #[serde(rename = "x", default)]
     pub spread: bool,
-    /// Whether spot machines may be used.
+    /// Whether the job may run on spot instances.
     #[serde(rename = "s", default)]
     pub spot: bool,
     /// Image that a machine needs to run a task.
     #[serde(rename = "i", default)]
     pub image: String,
-    /// Size of the image.
+    /// Size of the image in GB.
     #[serde(rename = "ig", default)]
     pub image_gb: f64,
-    /// The owner's estimate of a task's run time.
+    /// The user's estimate of a task's run time, in seconds.
     #[serde(rename = "e")]
     pub estimate_s: f64,
-    /// Interval of checkpoints; 0 if a task never saves.
+    /// Interval between checkpoints in seconds, or 0 if a task never saves one.
     #[serde(rename = "b", default)]
     pub checkpoint_s: f64,
-    /// Time that a task needs to save when it is stopped.
+    /// Time in seconds that a task needs to save a checkpoint when it is stopped.
     #[serde(rename = "v", default)]
     pub save_s: f64,
-    /// When the job should be done, in seconds from its submission.
+    /// Deadline for the whole job, in seconds from its submission.
     #[serde(rename = "d", default, skip_serializing_if = "Option::is_none")]
     pub deadline_s: Option<f64>,
-    /// Time of day of the acceptance, in milliseconds.
+    /// Wall-clock time at which the job was accepted, in milliseconds.
     #[serde(rename = "a", default)]
     pub accepted_at_ms: u64,
 }
 
 impl JobSpec {
-    /// What one task takes of its machine, for bin packing.
+    /// Returns the resource demand of one task, for bin packing.
     pub fn demand(&self) -> Resources {
         Resources { cpus: self.cpus, gpus: self.gpus, mem: self.memory_gb }
     }
--- a/src/model/machine_type.rs
+++ b/src/model/machine_type.rs
@@ -1,4 +1,4 @@
-//! Machine types of the catalog.
+//! Machine types in the cloud's catalog.
 
 use super::Resources;
 
@@ -7,31 +7,31 @@
 pub struct MachineType {
     /// Name of the type.
     pub name: String,
-    /// What one machine has.
+    /// Resources of one machine.
     pub capacity: Resources,
-    /// Space for images, in GB.
+    /// Capacity of the image cache in GB.
     pub cache_gb: f64,
-    /// Rate at which images are fetched, in GB a second.
+    /// Rate at which images are fetched, in GB per second.
     pub fetch_gb_per_s: f64,
-    /// Price of an ordinary machine per hour.
+    /// Price of an on-demand machine per hour.
     pub price: f64,
-    /// Present price of a spot machine per hour.
+    /// Current price of a spot instance per hour.
     pub spot_price: f64,
-    /// Usual boot time.
+    /// Typical boot time in seconds.
     pub boot_s: f64,
     /// Zones in which the type can be rented.
     pub zones: Vec<String>,
 }
 
-/// A type keeps its index for as long as the process runs, even if a later
-/// catalog has it elsewhere or no more.
+/// Merges the machine types of a new catalog into those of the old one. A type keeps its index for
+/// the lifetime of the process, even if a later catalog lists it elsewhere or no longer lists it.
 pub fn merge_types(old: &[MachineType], new: Vec<MachineType>) -> Vec<MachineType> {
-    let mut out = old.to_vec();
-    for t in new {
-        match out.iter_mut().find(|o| o.name == t.name) {
-            Some(o) => *o = t,
-            None => out.push(t),
+    let mut merged = old.to_vec();
+    for listed in new {
+        match merged.iter_mut().find(|known| known.name == listed.name) {
+            Some(known) => *known = listed,
+            None => merged.push(listed),
         }
     }
-    out
+    merged
 }
--- a/src/model/mod.rs
+++ b/src/model/mod.rs
@@ -1,5 +1,6 @@
-//! The words that all other modules share: jobs, resources, machine types, shards and sets
-//! of tasks. Nothing here knows of the core, of wires or of input and output.
+//! The types that all other modules share: jobs, resources, machine types, shards and sets of
+//! tasks. They depend neither on the scheduler core nor on wire formats, and perform no input or
+//! output.
 
 mod index;
 mod job_order;
@@ -19,5 +20,6 @@
 pub use shard::{Shard, shard_of, shards_of};
 pub use task_set::{TaskSet, split_task};
 
-/// Milliseconds, of the steady clock unless something else is said.
+/// A duration or a point in time in milliseconds. Points in time are those of the monotonic clock
+/// unless stated otherwise.
 pub type Ms = u64;
--- a/src/model/numbers.rs
+++ b/src/model/numbers.rs
@@ -1,5 +1,5 @@
-//! Numbers that order things over time. Each has a type of its own, so that one can't be
-//! taken for another. Frames and records hold them as plain numbers.
+//! Numbers that order events over time. Each kind has its own type, so that the compiler rejects
+//! a number of another kind. Frames and records contain them as plain integers.
 
 /// Declares a number type.
 macro_rules! number_type {
@@ -9,12 +9,12 @@
         pub struct $name(u64);
 
         impl $name {
-            /// From the number in a frame or record.
+            /// Creates the value from the number in a frame or record.
             pub const fn new(number: u64) -> $name {
                 $name(number)
             }
 
-            /// The number, as frames and records have it.
+            /// Returns the number, as frames and records contain it.
             pub const fn number(self) -> u64 {
                 self.0
             }
@@ -29,17 +29,18 @@
 }
 
 number_type! {
-    /// Term of a leader: the version of its record, which every write of it is compared with.
+    /// Term of a leader: the version of the leader record. Every write of the leader is conditional
+    /// on that version.
     Term
 }
 number_type! {
-    /// Fencing token of a shard owner: the version of the shard's record. It rises with each
+    /// Fencing token of a shard owner: the version of the shard's record. It increases with each
     /// assignment of the shard.
     FencingToken
 }
 number_type! {
-    /// Id of an attempt at a task: the term that admitted it, and a sequence. Of two attempts
-    /// at one task the newer has the larger id.
+    /// Id of an attempt at a task: the term in which it was admitted, followed by a sequence
+    /// number. Of two attempts at one task, the newer has the larger id.
     AttemptId
 }
 
@@ -49,7 +50,7 @@
     /// The largest id.
     pub const MAX: AttemptId = AttemptId(u64::MAX);
 
-    /// The id that follows.
+    /// Returns the id that follows this one.
     pub const fn next(self) -> AttemptId {
         AttemptId(self.0 + 1)
     }
--- a/src/model/resources.rs
+++ b/src/model/resources.rs
@@ -1,6 +1,6 @@
-//! Amounts of CPU, GPU and memory, and what fits into what.
+//! Amounts of CPU, GPU and memory, and whether a demand fits into a capacity.
 
-/// An amount of each resource: what a task demands, what a machine has or has free.
+/// An amount of each resource: the demand of a task, or the total or free capacity of a machine.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct Resources {
     /// CPUs.
@@ -11,11 +11,12 @@
     pub mem: f64,
 }
 
-/// Sums of decimals drift; a machine must not count as full for a rounding.
+/// Tolerance when a demand is compared with a capacity: sums of decimal fractions accumulate
+/// rounding errors, which must not make a machine count as full.
 const EPSILON: f64 = 1e-6;
 
 impl Resources {
-    /// Whether this much fits into a capacity.
+    /// Whether this amount fits into a capacity.
     pub fn fits_within(&self, capacity: &Resources) -> bool {
         self.cpus <= capacity.cpus + EPSILON
             && self.gpus <= capacity.gpus + EPSILON
@@ -29,14 +30,14 @@
         self.mem += other.mem;
     }
 
-    /// Takes another amount away.
+    /// Subtracts another amount.
     pub fn sub(&mut self, other: &Resources) {
         self.cpus -= other.cpus;
         self.gpus -= other.gpus;
         self.mem -= other.mem;
     }
 
-    /// The larger of both in each dimension.
+    /// Returns the larger of both amounts in each dimension.
     pub fn max(&self, other: &Resources) -> Resources {
         Resources {
             cpus: self.cpus.max(other.cpus),
@@ -45,25 +46,27 @@
         }
     }
 
-    /// The demand of this many tasks.
+    /// Returns this amount multiplied by a number of tasks.
     pub fn times(&self, count: u32) -> Resources {
         let count = f64::from(count);
         Resources { cpus: self.cpus * count, gpus: self.gpus * count, mem: self.mem * count }
     }
 
-    /// The largest share of a capacity that this takes in any dimension.
+    /// Returns the largest share of a capacity that this amount takes up in any dimension.
     pub fn dominant_share(&self, capacity: &Resources) -> f64 {
-        let part = |a: f64, b: f64| if b > 0.0 { a / b } else { 0.0 };
-        part(self.cpus, capacity.cpus)
-            .max(part(self.gpus, capacity.gpus))
-            .max(part(self.mem, capacity.mem))
+        let share = |amount: f64, available: f64| if available > 0.0 { amount / available } else { 0.0 };
+        share(self.cpus, capacity.cpus)
+            .max(share(self.gpus, capacity.gpus))
+            .max(share(self.mem, capacity.mem))
     }
 
-    /// How many tasks of this demand fit into a capacity.
+    /// Returns how many tasks of this demand fit into a capacity.
     pub fn count_fitting(&self, capacity: &Resources) -> u32 {
-        let part = |a: f64, b: f64| if a > 0.0 { ((b + EPSILON) / a).floor().max(0.0) } else { 1e6 };
-        part(self.cpus, capacity.cpus)
-            .min(part(self.gpus, capacity.gpus))
-            .min(part(self.mem, capacity.mem)) as u32
+        let fitting = |demand: f64, available: f64| {
+            if demand > 0.0 { ((available + EPSILON) / demand).floor().max(0.0) } else { 1e6 }
+        };
+        fitting(self.cpus, capacity.cpus)
+            .min(fitting(self.gpus, capacity.gpus))
+            .min(fitting(self.mem, capacity.mem)) as u32
     }
 }
--- a/src/model/shard.rs
+++ b/src/model/shard.rs
@@ -1,25 +1,26 @@
-//! Shards: fixed parts of the machines of one zone.
+//! Shards, each of which is a fixed part of the machines of one zone.
 
 use super::ShardIndex;
 
-/// One shard of machines: a part of one zone.
+/// A shard: a fixed part of the machines of one zone.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Shard {
-    /// Name of the shard, as records have it.
+    /// Name of the shard, as used in records.
     pub name: String,
     /// Zone that all its machines are in.
     pub zone: String,
-    /// The node that owns it by preference: the controller at home in this part of the zone.
+    /// Preferred owner of the shard: the controller of the zone that this part is assigned to.
+    /// `None` if the zone has no controller.
     pub home: Option<String>,
-    /// Which part of the zone's machines it has, from 0.
+    /// Index of the shard among the shards of its zone, from 0.
     pub part: u32,
-    /// Number of shards in the zone.
+    /// Number of shards in its zone.
     pub parts: u32,
 }
 
-/// The shards of all machines. `nodes` are names and zones of all controllers. Every node
-/// derives the same shards from the same settings: one for each controller of a zone, and one
-/// for a zone without a controller.
+/// Returns the shards of all zones: one for each controller of a zone, and one for a zone without a
+/// controller. `nodes` contains the names and zones of all controllers. Every node derives the same
+/// shards from the same settings.
 pub fn shards_of(zones: &[String], nodes: &[(String, String)]) -> Vec<Shard> {
     let mut zones: Vec<String> = zones.to_vec();
     zones.extend(nodes.iter().map(|(_, zone)| zone.clone()));
@@ -43,15 +44,15 @@
     (0..parts).map(shard).collect()
 }
 
-/// Digits at the end of a machine's name that its shard follows from.
+/// Number of trailing digits of a machine's name that determine its shard.
 const NAME_DIGITS: usize = 9;
 
-/// The shard of a machine; none if its zone has none. Machine names end in digits that count
-/// up, which spreads them evenly.
+/// Returns the shard of a machine, or `None` if its zone has no shard. Machine names end in
+/// consecutive numbers, which distributes the machines evenly among the shards of a zone.
 pub fn shard_of(shards: &[Shard], zone: &str, machine: &str) -> Option<ShardIndex> {
     let digits: String = machine.chars().filter(char::is_ascii_digit).collect();
     let tail = &digits[digits.len().saturating_sub(NAME_DIGITS)..];
     let number: u32 = tail.parse().unwrap_or(0);
-    let is_its = |shard: &Shard| shard.zone == zone && number % shard.parts == shard.part;
-    shards.iter().position(is_its).map(ShardIndex::at)
+    let contains_machine = |shard: &Shard| shard.zone == zone && number % shard.parts == shard.part;
+    shards.iter().position(contains_machine).map(ShardIndex::at)
 }
--- a/src/model/task_set.rs
+++ b/src/model/task_set.rs
@@ -1,6 +1,7 @@
-//! Sets of task numbers, and names of tasks.
+//! Sets of task numbers, and the names of tasks.
 
-/// The job's id and the number of a task by its name: `run-000412/3` is (`run-000412`, 3).
+/// Splits the name of a task into the id of its job and its number: `run-000412/3` becomes
+/// (`run-000412`, 3).
 pub fn split_task(name: &str) -> Option<(&str, u32)> {
     let (job, task) = name.rsplit_once('/')?;
     Some((job, task.parse().ok()?))
@@ -16,12 +17,12 @@
 }
 
 impl TaskSet {
-    /// An empty set that can hold the tasks 0 to `tasks` - 1.
+    /// Creates an empty set that can hold the tasks from 0 to `tasks` - 1.
     pub fn with_capacity(tasks: u32) -> Self {
         TaskSet { words: vec![0; tasks.div_ceil(WORD_BITS) as usize], count: 0 }
     }
 
-    /// Adds a task; whether it was new.
+    /// Adds a task. Returns whether it was not yet in the set.
     pub fn insert(&mut self, task: u32) -> bool {
         let Some(word) = self.words.get_mut((task / WORD_BITS) as usize) else { return false };
         let bit = 1 << (task % WORD_BITS);
@@ -38,7 +39,7 @@
             .is_some_and(|word| word & (1 << (task % WORD_BITS)) != 0)
     }
 
-    /// Number of tasks in the set.
+    /// Returns the number of tasks in the set.
     pub fn len(&self) -> u32 {
         self.count
     }
@@ -48,8 +49,8 @@
         self.count == 0
     }
 
-    /// The part of the set in words `from..to`, as hexadecimal text with the
-    /// trailing zeros left out: bytes from the lowest on, the high digit of each first.
+    /// Encodes the words `from..to` of the set as hexadecimal text without trailing zeros: the bytes
+    /// from the lowest to the highest, each with its high digit first.
     pub fn to_hex(&self, from: usize, to: usize) -> String {
         let words = &self.words[from.min(self.words.len())..to.min(self.words.len())];
         let mut text: String = words.iter().map(|word| format!("{:016x}", word.swap_bytes())).collect();
@@ -57,13 +58,13 @@
         text
     }
 
-    /// Adds what `to_hex` wrote from word `from` on. What follows an unreadable digit adds
-    /// nothing.
+    /// Adds the tasks that `to_hex` encoded, beginning with word `from`. An invalid digit and all
+    /// text after it are ignored.
     pub fn add_hex(&mut self, from: usize, text: &str) {
         let first_task = from * WORD_BITS as usize;
-        for (place, digit) in text.chars().enumerate() {
+        for (position, digit) in text.chars().enumerate() {
             let Some(digit) = digit.to_digit(16) else { return };
-            let first_bit = place / 2 * 8 + if place % 2 == 0 { 4 } else { 0 };
+            let first_bit = position / 2 * 8 + if position % 2 == 0 { 4 } else { 0 };
             for bit in (0..4).filter(|bit| digit & (1 << bit) != 0) {
                 self.insert((first_task + first_bit + bit) as u32);
             }
