--- a/src/config/cells.rs
+++ b/src/config/cells.rs
@@ -1,22 +1,22 @@
-//! Settings of cells that share load (docs/cells.md).
+//! Settings for sharing load with other cells (docs/cells.md).
 
 use super::value::{boolean, number_within};
 use super::{InvalidSetting, SettingError};
 use std::net::SocketAddr;
 use woadlever_cells::Millis;
 
-/// What the names of sections about other cells begin with: `[cell NAME]`.
+/// Prefix of the names of sections about other cells: `[cell NAME]`.
 pub(super) const CELL_SECTION: &str = "cell ";
-/// A job is offered to other cells after this wait, unless the settings say otherwise.
+/// Wait after which a job is offered to other cells.
 const DEFAULT_SPILL_AFTER_MS: Millis = 60_000;
-/// What a silent cell hosts is recalled after this time.
+/// Silence of another cell after which the jobs that it hosts are recalled.
 const DEFAULT_SILENCE_MS: Millis = 30_000;
-/// A host cell has this time to start a job: longer than machines take to boot.
+/// Time within which a host cell has to start a job. It is longer than machines take to boot.
 const DEFAULT_IDLE_MS: Millis = 120_000;
-/// Jobs that one other cell hosts at most.
-const DEFAULT_MAX_FORWARDED: usize = 4_096;
-/// With more, the list of them would not fit into a message.
-const FORWARDED_UPPER_BOUND: f64 = 50_000.0;
+/// Maximum number of jobs that one other cell hosts.
+const DEFAULT_MAX_FORWARDED_JOBS: usize = 4_096;
+/// Largest allowed value of `max_forwarded`. The list of more jobs would not fit into a message.
+const MAX_FORWARDED_JOBS_LIMIT: f64 = 50_000.0;
 const DEFAULT_FIT_SHARE: f64 = 0.5;
 const SECONDS_PER_DAY: f64 = 86_400.0;
 const MAX_CELL_NAME_BYTES: usize = 64;
@@ -28,17 +28,18 @@
     pub enabled: bool,
     /// Name of this cell.
     pub name: String,
-    /// Port for other cells, at the IP address for the other nodes.
+    /// Port on which this node listens for other cells, at the IP address on which it listens for
+    /// the other nodes of its cell.
     pub listen_port: u16,
     /// Whether jobs of other cells are accepted.
     pub accept: bool,
-    /// Wait after which a job is offered to other cells, milliseconds.
+    /// Wait after which a job is offered to other cells, in milliseconds.
     pub spill_after_ms: Millis,
-    /// Silence after which what another cell hosts is recalled, milliseconds.
+    /// Silence of another cell after which the jobs that it hosts are recalled, in milliseconds.
     pub silence_ms: Millis,
-    /// Time within which a host cell has to start a job, milliseconds.
+    /// Time within which a host cell has to start a job, in milliseconds.
     pub idle_ms: Millis,
-    /// Jobs that one other cell hosts at most.
+    /// Maximum number of jobs that one other cell hosts.
     pub max_forwarded: usize,
     /// Share of a job's tasks that another cell must have capacity for.
     pub fit_share: f64,
@@ -51,7 +52,7 @@
 pub struct CellNeighbor {
     /// Its name.
     pub name: String,
-    /// Addresses of its controllers for other cells.
+    /// Addresses on which its controllers listen for other cells.
     pub controllers: Vec<SocketAddr>,
 }
 
@@ -65,7 +66,7 @@
             spill_after_ms: DEFAULT_SPILL_AFTER_MS,
             silence_ms: DEFAULT_SILENCE_MS,
             idle_ms: DEFAULT_IDLE_MS,
-            max_forwarded: DEFAULT_MAX_FORWARDED,
+            max_forwarded: DEFAULT_MAX_FORWARDED_JOBS,
             fit_share: DEFAULT_FIT_SHARE,
             neighbors: Vec::new(),
         }
@@ -73,7 +74,7 @@
 }
 
 impl CellSettings {
-    /// Sets one setting of this cell from its text.
+    /// Parses the value of one setting in section `[cells]` and stores it.
     pub(super) fn set(&mut self, key: &str, value: &str) -> Result<(), SettingError> {
         let millis_from = |least_s: f64| {
             number_within(value, least_s, SECONDS_PER_DAY).map(|seconds| (seconds * 1000.0) as Millis)
@@ -87,7 +88,7 @@
             "silence_s" => self.silence_ms = millis_from(5.0)?,
             "idle_s" => self.idle_ms = millis_from(5.0)?,
             "max_forwarded" => {
-                self.max_forwarded = number_within(value, 1.0, FORWARDED_UPPER_BOUND)? as usize;
+                self.max_forwarded = number_within(value, 1.0, MAX_FORWARDED_JOBS_LIMIT)? as usize;
             }
             "fit_share" => self.fit_share = number_within(value, 0.0, 1.0)?,
             _ => return Err(SettingError::Unknown),
@@ -95,7 +96,7 @@
         Ok(())
     }
 
-    /// Sets one setting of another cell from its text.
+    /// Parses the value of one setting in a section about another cell and stores it.
     pub(super) fn set_neighbor(
         &mut self,
         cell: &str,
@@ -137,7 +138,7 @@
     text.parse().map_err(|_| SettingError::NotAddress(text.into()))
 }
 
-/// Checks the name of a cell, which becomes part of keys and of section names.
+/// Checks the name of a cell, which becomes part of store keys and of section names.
 fn cell_name(text: &str) -> Result<String, SettingError> {
     let name = text.trim();
     let is_plain = |c: char| c.is_ascii_alphanumeric() || c == '-' || c == '_';
--- a/src/config/error.rs
+++ b/src/config/error.rs
@@ -1,9 +1,9 @@
-//! Why settings can't be used. The texts are what operators see.
+//! Errors in settings. Operators see their texts.
 
 use std::path::Path;
 use thiserror::Error;
 
-/// Why a file of settings can't be used. `Display` is the one line that operators see.
+/// An error in a settings file. Its `Display` output is the single line that operators see.
 #[derive(Debug, Error)]
 pub enum ConfigError {
     /// The file can't be read.
@@ -14,27 +14,28 @@
         /// What went wrong.
         source: std::io::Error,
     },
-    /// The platform's file is no TOML, or lacks a setting, or has one of another type.
+    /// The platform's file is not valid TOML, lacks a required setting, or contains a setting of
+    /// the wrong type.
     #[error("{file}: line {line} ({text}): {message}")]
     Toml {
         /// Path of the file.
         file: String,
         /// Number of the line.
         line: usize,
-        /// What the line says.
+        /// Text of the line.
         text: String,
-        /// What is wrong with it, in one line.
+        /// What is wrong with the line, without line breaks.
         message: String,
     },
-    /// The operators' file is no INI.
+    /// The operators' file is not valid INI.
     #[error("{file}: {source}")]
     Ini {
         /// Path of the file.
         file: String,
-        /// Line and what is wrong with it.
+        /// The line, and what is wrong with it.
         source: ini::ParseError,
     },
-    /// A setting can't be used.
+    /// A setting is invalid.
     #[error("{file}: {source}")]
     Setting {
         /// Path of the file.
@@ -44,11 +45,11 @@
     },
 }
 
-/// A setting that can't be used.
+/// An invalid setting.
 #[derive(Debug, Error)]
 #[error("{field}: {why}")]
 pub struct InvalidSetting {
-    /// Section and key of the setting.
+    /// Section or table, and key of the setting.
     pub field: String,
     /// What is wrong with it.
     pub why: SettingError,
@@ -63,17 +64,17 @@
     /// The setting is required.
     #[error("is missing")]
     Missing,
-    /// The text must not be empty.
+    /// The setting must not be empty.
     #[error("must not be empty")]
     Empty,
-    /// Not a number, or not one of this range.
+    /// Not a number, or a number out of range.
     #[error("{text:?} is not a number from {least} to {most}")]
     NotInRange {
-        /// What the file says.
+        /// Value in the file.
         text: String,
-        /// The least number that is allowed.
+        /// Smallest allowed number.
         least: f64,
-        /// The greatest number that is allowed.
+        /// Largest allowed number.
         most: f64,
     },
     /// Not a boolean.
@@ -82,53 +83,53 @@
     /// Not a socket address.
     #[error("{0:?} is not an address and port")]
     NotAddress(String),
-    /// Not the name of a cell.
+    /// Not a valid name of a cell.
     #[error("{0:?} is not a name of 1 to 64 letters, digits, - and _")]
     NotCellName(String),
-    /// The number is not a finite one above 0.
+    /// Not a finite number above 0.
     #[error("must be a number above 0")]
     NotPositive,
-    /// The number is not a finite one of at least 0.
+    /// Not a finite number of at least 0.
     #[error("must be 0 or more")]
     Negative,
     /// The number is too small.
     #[error("must be at least {0}")]
     TooSmall(f64),
-    /// Not a finite number, or too small a one.
+    /// Not a finite number, or a number that is too small.
     #[error("must be a number of at least {0}")]
     NotAtLeast(f64),
-    /// The number must not be below that of another setting.
+    /// The number is below that of another setting, which it must not be.
     #[error("must be no less than {0}")]
     BelowSetting(&'static str),
-    /// A cancellation leaves no time for a control lease.
+    /// The time for a cancellation is too short for any control lease.
     #[error("must be above lease_s by 1.5 s and a thousandth of itself at least")]
     CancelTimeTooShort,
-    /// A peer has the name of this node.
+    /// A peer has the same name as this node.
     #[error("names this very node")]
     ThisNode,
-    /// Another cell has the name of this cell.
+    /// Another cell has the same name as this cell.
     #[error("is this very cell")]
     ThisCell,
-    /// Another cell is there more than once.
+    /// Another cell is listed more than once.
     #[error("stands twice")]
     Duplicate,
 }
 
 impl SettingError {
-    /// The error of this setting.
+    /// Returns this error for the given setting.
     pub(super) fn at(self, field: impl Into<String>) -> InvalidSetting {
         InvalidSetting { field: field.into(), why: self }
     }
 }
 
 impl InvalidSetting {
-    /// The error of this file.
+    /// Returns this error for the given file.
     pub(super) fn in_file(self, file: &str) -> ConfigError {
         ConfigError::Setting { file: file.into(), source: self }
     }
 }
 
-/// Reads a file; the result is its path, for errors, and its text.
+/// Reads a file. Returns its path, for use in errors, and its text.
 pub(super) fn read_file(path: &Path) -> Result<(String, String), ConfigError> {
     let file = path.display().to_string();
     match std::fs::read_to_string(path) {
--- a/src/config/limits.rs
+++ b/src/config/limits.rs
@@ -1,57 +1,58 @@
-//! Limits of the outer services and of this process.
+//! Limits of the external services and of this process.
 
 use super::{InvalidSetting, SettingError};
 use serde::Deserialize;
 
-/// Below this not even the record of an ordinary job fits.
+/// Smallest usable limit on values: not even the record of an ordinary job fits into less.
 const MIN_VALUE_KB: f64 = 1.0;
-/// Below this a compare-and-swap could not change a record and mark that it did.
+/// Smallest usable limit on mutations: with fewer, a compare-and-swap could not change a record and
+/// also write a marker of the change.
 const MIN_TXN_OPS: usize = 2;
-/// Fewer requests or changes a second than this are of no use.
-const MIN_RATE: f64 = 1.0;
-/// Below this a process would be ended for memory before it serves anybody: about 2 MB to
-/// start with, 2 MB for final jobs, 1 MB for names of terminated machines, and as much again
-/// for the records of a first read and a few machines.
+/// Smallest usable rate of requests or mutations.
+const MIN_RATE_PER_S: f64 = 1.0;
+/// Smallest usable memory limit. With less, the process would be killed for its memory use before
+/// it serves any request: it needs about 2 MB at start, 2 MB for final jobs, 1 MB for the names of
+/// terminated machines, and as much again for the records of the first read and a few machines.
 const MIN_MEMORY_MB: f64 = 8.0;
 const MIN_CONNECTIONS: usize = 32;
 
-/// Limits of the key-value store. When `next` announces other limits, these are the smaller
-/// of both from the start: the change comes without notice, and what was written before
-/// should fit by then.
+/// Limits of the key-value store. If `next` announces other limits, the smaller of the current and
+/// the announced limit applies from the start: the change comes without further notice, and records
+/// that were written before it should already fit.
 #[derive(Debug, Clone, Deserialize)]
 pub struct StoreLimits {
-    /// Requests a second.
+    /// Requests per second.
     pub rps: f64,
-    /// Changes a second.
+    /// Mutations per second.
     pub write_rps: f64,
-    /// Length of a value, in KiB.
+    /// Maximum length of a value in KiB.
     pub value_kb: f64,
-    /// Changes in one compare-and-swap.
+    /// Maximum number of mutations in one compare-and-swap.
     pub txn_ops: usize,
-    /// Limits that are announced.
+    /// Announced future limits, if any.
     #[serde(default)]
     pub next: Option<AnnouncedLimits>,
-    /// The limit of a value today, before `next`.
+    /// Current length limit of a value in KiB, regardless of `next`.
     #[serde(skip)]
     pub today_kb: f64,
 }
 
-/// Limits to come; what is left out stays as it is.
+/// Announced future limits. A limit that is `None` does not change.
 #[derive(Debug, Clone, Deserialize)]
 pub struct AnnouncedLimits {
-    /// Requests a second.
+    /// Requests per second.
     pub rps: Option<f64>,
-    /// Changes a second.
+    /// Mutations per second.
     pub write_rps: Option<f64>,
-    /// Length of a value, in KiB.
+    /// Maximum length of a value in KiB.
     pub value_kb: Option<f64>,
-    /// Changes in one compare-and-swap.
+    /// Maximum number of mutations in one compare-and-swap.
     pub txn_ops: Option<usize>,
 }
 
 impl StoreLimits {
-    /// Checks today's number of changes, and the limits that are announced. The other limits
-    /// of today are checked with those of the cluster.
+    /// Checks the current number of mutations and the announced limits. The other current limits are
+    /// checked together with the settings of the cluster.
     pub(super) fn check(&self) -> Result<(), InvalidSetting> {
         if self.txn_ops < MIN_TXN_OPS {
             return Err(SettingError::TooSmall(MIN_TXN_OPS as f64).at("cluster.state.txn_ops"));
@@ -59,7 +60,7 @@
         self.next.as_ref().map_or(Ok(()), AnnouncedLimits::check)
     }
 
-    /// Takes the smaller of today's and the announced limits.
+    /// Sets each limit to the smaller of its current and its announced value.
     pub(super) fn apply_announced(&mut self) {
         self.today_kb = self.value_kb;
         if let Some(next) = &self.next {
@@ -70,7 +71,7 @@
         }
     }
 
-    /// Bytes that a value may have.
+    /// Returns the maximum length of a value in bytes.
     pub fn value_bytes(&self) -> usize {
         (self.value_kb * 1024.0) as usize
     }
@@ -79,8 +80,8 @@
 impl AnnouncedLimits {
     fn check(&self) -> Result<(), InvalidSetting> {
         let numbers = [
-            ("cluster.state.next.rps", self.rps, MIN_RATE),
-            ("cluster.state.next.write_rps", self.write_rps, MIN_RATE),
+            ("cluster.state.next.rps", self.rps, MIN_RATE_PER_S),
+            ("cluster.state.next.write_rps", self.write_rps, MIN_RATE_PER_S),
             ("cluster.state.next.value_kb", self.value_kb, MIN_VALUE_KB),
         ];
         for (field, limit, least) in numbers {
@@ -88,7 +89,7 @@
                 return Err(SettingError::NotAtLeast(least).at(field));
             }
         }
-        if self.txn_ops.is_some_and(|changes| changes < MIN_TXN_OPS) {
+        if self.txn_ops.is_some_and(|mutations| mutations < MIN_TXN_OPS) {
             return Err(SettingError::TooSmall(MIN_TXN_OPS as f64).at("cluster.state.next.txn_ops"));
         }
         Ok(())
@@ -98,33 +99,33 @@
 /// Limits of the cloud.
 #[derive(Debug, Clone, Deserialize)]
 pub struct CloudLimits {
-    /// Calls a second.
+    /// Calls per second.
     pub rps: f64,
-    /// How far the machine list lags behind, in seconds.
+    /// Lag of the machine list behind the actual state, in seconds.
     pub list_lag_s: f64,
 }
 
 /// Limits of this process.
 #[derive(Debug, Clone, Deserialize)]
 pub struct ProcessLimits {
-    /// Share of a core.
-    #[serde(default = "whole_core")]
+    /// CPU time that the process may use, as a share of one core.
+    #[serde(default = "default_cpu_share")]
     pub cpu: f64,
-    /// Memory that the process may use, in MB; `None`: not limited.
+    /// Memory that the process may use, in MB; `None` means no limit.
     #[serde(default)]
     pub mem_mb: Option<f64>,
-    /// Sockets that the process may have open.
+    /// Maximum number of open sockets of the process.
     pub max_connections: usize,
 }
 
-/// Taken for the share of a core where the file does not say.
-fn whole_core() -> f64 {
+/// Share of a core that the process may use if the file does not state it: a whole core.
+fn default_cpu_share() -> f64 {
     1.0
 }
 
 impl ProcessLimits {
-    /// Checks memory and connections. The share of a core is checked with the limits of the
-    /// cluster.
+    /// Checks the limits on memory and connections. The share of a core is checked together with the
+    /// settings of the cluster.
     pub(super) fn check(&self) -> Result<(), InvalidSetting> {
         if self.mem_mb.is_some_and(|mb| !(mb.is_finite() && mb >= MIN_MEMORY_MB)) {
             return Err(SettingError::TooSmall(MIN_MEMORY_MB).at("cluster.limits.mem_mb"));
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -1,8 +1,8 @@
 //! Settings: the platform's TOML file and the operators' optional INI file.
 //!
-//! Both are checked in full before anything starts, so that a mistake is one line naming the
-//! file and the field instead of odd behaviour later. Settings don't change while the
-//! process runs.
+//! Both are checked completely before anything else starts, so that a mistake results in a
+//! one-line error that names the file and the field, rather than in unexpected behaviour later.
+//! Settings don't change while the process runs.
 
 mod cells;
 mod error;
--- a/src/config/operator.rs
+++ b/src/config/operator.rs
@@ -1,4 +1,4 @@
-//! The operators' file: the settings of the scheduler itself.
+//! The operators' file, which contains the settings of the scheduler itself.
 
 use super::cells::CELL_SECTION;
 use super::error::read_file;
@@ -9,41 +9,42 @@
 const SECONDS_PER_DAY: f64 = 86_400.0;
 const MAX_LEASE_S: f64 = 600.0;
 
-/// The operators' settings, with the design's values as defaults.
+/// The operators' settings. The defaults are the values of the design.
 #[derive(Debug, Clone)]
 pub struct Operator {
     /// Length of a forecast window, in seconds.
     pub window_s: f64,
-    /// Windows in one season of the forecast.
+    /// Number of windows in one season of the forecast.
     pub season: usize,
     /// Weight of the newest window in the smoothed average.
     pub smoothing: f64,
     /// Share of capacity above which a projected step counts as overloaded.
     pub overload_level: f64,
-    /// Share of steps that must be overloaded before a machine asks for a scale-out.
+    /// Share of steps that must be overloaded before a machine causes a scale-out.
     pub overload_steps: f64,
-    /// Projected use, as a share of capacity, below which machines are drained.
+    /// Projected utilization, as a share of capacity, below which machines are drained.
     pub drain_level: f64,
-    /// Horizon of the projection, in one-second steps.
+    /// Number of one-second steps of the projection.
     pub horizon: usize,
-    /// How far a task past its estimate is assumed to go on, as a share of it.
+    /// Extra time that a task which outruns its estimate is assumed to need, as a share of the
+    /// estimate.
     pub extension: f64,
     /// Upper bound on the duration of the control lease, in seconds.
     pub max_control_lease_s: f64,
     /// Time to live of the leader's lease in the store, in seconds.
     pub leader_ttl_s: f64,
-    /// Silence after which the leader takes a node for lost, in seconds.
+    /// Silence after which the leader considers a node lost, in seconds.
     pub node_silence_s: f64,
-    /// Spot instances kept beyond the forecast, in mean deviations from it.
+    /// Number of spot instances kept in addition to the forecast, in mean deviations from it.
     pub headroom: f64,
-    /// Wait after which a job may preempt other work, in seconds.
+    /// Wait after which a job may preempt other jobs, in seconds.
     pub preempt_after_s: f64,
-    /// Wait without a start after which the first tasks of a job come before all others, in
-    /// seconds.
+    /// Wait without a started task after which the first tasks of a job take precedence over all
+    /// others, in seconds.
     pub starve_after_s: f64,
     /// Behaviour under overload.
     pub overload: OverloadSettings,
-    /// Sharing of load with other cells.
+    /// Load sharing with other cells.
     pub cells: CellSettings,
 }
 
@@ -77,7 +78,7 @@
         Operator::parse(&file, &text)
     }
 
-    /// Checks the text of the operators' file; `file` is named in errors.
+    /// Parses and checks the text of the operators' file. Errors name `file`.
     pub fn parse(file: &str, text: &str) -> Result<Operator, ConfigError> {
         let ini = ini::Ini::load_from_str(text)
             .map_err(|source| ConfigError::Ini { file: file.into(), source })?;
@@ -98,7 +99,7 @@
         Ok(operator)
     }
 
-    /// Sets one setting from its text.
+    /// Parses the value of one setting and stores it.
     fn set(&mut self, section: &str, key: &str, value: &str) -> Result<(), SettingError> {
         let number = |least: f64, most: f64| number_within(value, least, most);
         match (section, key) {
--- a/src/config/overload.rs
+++ b/src/config/overload.rs
@@ -1,21 +1,21 @@
-//! Settings of the behaviour under overload (docs/overload.md).
+//! Settings for the behaviour under overload (docs/overload.md).
 
 use super::value::{boolean, number_within};
 use super::{InvalidSetting, SettingError};
 use woadlever_overload::admission::AdmissionSettings;
 
-/// What a node does when more is asked of it than it can do.
+/// How a node behaves when it receives more requests than it can process.
 #[derive(Debug, Clone)]
 pub struct OverloadSettings {
-    /// Whether connections and requests are chosen by importance at all.
+    /// Whether connections and requests are admitted by importance at all.
     pub enabled: bool,
-    /// Lag of the event loop that is no pressure yet, milliseconds.
+    /// Lag of the event loop up to which the node is not under pressure, in milliseconds.
     pub lag_target_ms: u64,
-    /// How long more lag has to last to count as pressure, milliseconds.
+    /// How long a greater lag has to last to count as pressure, in milliseconds.
     pub lag_interval_ms: u64,
-    /// Requests that may wait between the HTTP server and the core.
+    /// Maximum number of requests queued between the HTTP server and the core.
     pub queue: usize,
-    /// Rates of new connections.
+    /// Rate limits for new connections.
     pub admission: AdmissionSettings,
 }
 
@@ -32,7 +32,7 @@
 }
 
 impl OverloadSettings {
-    /// Sets one setting from its text.
+    /// Parses the value of one setting and stores it.
     pub(super) fn set(&mut self, key: &str, value: &str) -> Result<(), SettingError> {
         match key {
             "enabled" => self.enabled = boolean(value)?,
--- a/src/config/platform.rs
+++ b/src/config/platform.rs
@@ -1,4 +1,5 @@
-//! The platform's file: this node, its peers, the outer services, and what all nodes share.
+//! The platform's file: this node, its peers, the external services, and settings that all nodes
+//! share.
 
 use super::error::read_file;
 use super::{
@@ -9,35 +10,36 @@
 use std::path::Path;
 use woadlever_cells::lease::CellTiming;
 
-/// With a shorter control lease a node would lose it between two ordinary calls.
+/// Smallest usable duration of a control lease. A node would lose a shorter lease between two
+/// ordinary calls.
 const MIN_CONTROL_LEASE_S: f64 = 1.0;
-/// Two steady clocks differ by twice 0.05% at most.
-const CLOCK_DRIFT: f64 = 0.001;
-/// Share of the time between lease and cancellation that is kept for timers and stopping,
-/// within the bounds below.
+/// Maximum relative drift between two monotonic clocks, each of which is off by at most 0.05%.
+const MAX_CLOCK_DRIFT_RATIO: f64 = 0.001;
+/// Share of the time between the end of a worker's lease and the end of the cancellation time that
+/// is reserved for timer delays and for stopping tasks, subject to the following bounds.
 const MARGIN_SHARE: f64 = 0.12;
 const MIN_MARGIN_S: f64 = 0.5;
 const MAX_MARGIN_S: f64 = 3.0;
 
-/// The platform's file. Unknown fields are ignored by agreement.
+/// The platform's file. By agreement with the platform, unknown fields are ignored.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Platform {
     /// Name of this node.
     #[serde(rename = "host_name")]
     pub node: String,
-    /// Zone that this node is in.
+    /// Zone of this node.
     #[serde(rename = "domain")]
     pub zone: String,
-    /// Address for users and workers.
+    /// Address on which this node listens for users and workers.
     #[serde(rename = "bind")]
     pub listen: SocketAddr,
-    /// Address for the other nodes.
+    /// Address on which this node listens for the other nodes.
     #[serde(rename = "internal_addr")]
     pub peer_listen: SocketAddr,
     /// The other nodes.
     #[serde(rename = "known", default)]
     pub peers: Vec<PeerEntry>,
-    /// Addresses of the outer services.
+    /// Addresses of the external services.
     pub endpoints: Endpoints,
     /// Settings that all nodes share.
     pub cluster: Cluster,
@@ -52,17 +54,17 @@
     /// Its zone.
     #[serde(rename = "domain")]
     pub zone: String,
-    /// Its address for other nodes.
+    /// Address on which it listens for other nodes.
     #[serde(rename = "endpoint")]
     pub addr: SocketAddr,
 }
 
-/// Addresses of the outer services.
+/// Addresses of the external services.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Endpoints {
-    /// The cloud.
+    /// Address of the cloud.
     pub cloud: SocketAddr,
-    /// The key-value store.
+    /// Address of the key-value store.
     #[serde(rename = "state")]
     pub store: SocketAddr,
 }
@@ -73,15 +75,15 @@
     /// Zones in which machines can be rented.
     #[serde(default)]
     pub zones: Vec<String>,
-    /// Teams with their guarantees and limits.
+    /// Teams with their quotas.
     #[serde(default)]
     pub teams: Vec<Team>,
-    /// Service-level objectives by class of jobs.
+    /// Service-level objectives for classes of jobs.
     #[serde(default)]
     pub objectives: Vec<Objective>,
-    /// Times of the worker protocol.
+    /// Timing of the worker protocol.
     pub workers: WorkerTimes,
-    /// Bound on the error of the time of day, in milliseconds.
+    /// Maximum error of the wall clock, in milliseconds.
     #[serde(default = "default_clock_off_ms")]
     pub clock_off_ms: f64,
     /// Limits of the key-value store.
@@ -92,12 +94,12 @@
     pub limits: ProcessLimits,
 }
 
-/// Taken for the error of the time of day where the file does not say.
+/// Maximum error of the wall clock, in milliseconds, if the file does not state it.
 fn default_clock_off_ms() -> f64 {
     500.0
 }
 
-/// Quota of a team. 0 means none: no guarantee, or nothing allowed at all.
+/// Quota of a team. A guarantee of 0 means no guarantee, and a maximum of 0 allows no use at all.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Team {
     /// Name of the team.
@@ -119,42 +121,43 @@
 /// A service-level objective for a class of jobs.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Objective {
-    /// What is measured, such as `wait` or `deadline`.
+    /// Kind of the objective, such as `wait` or `deadline`.
     pub kind: String,
-    /// The class of jobs; `None`: all classes.
+    /// Class of jobs that the objective applies to; `None` means all classes.
     #[serde(default)]
     pub class: Option<String>,
-    /// Share of jobs that shall meet the objective.
+    /// Share of jobs that should meet the objective.
     #[serde(default)]
     pub share: Option<f64>,
     /// Time that the objective allows, in seconds.
     #[serde(default)]
     pub within_s: Option<f64>,
-    /// Factor on a job's own deadline.
+    /// Factor by which a job's own deadline is multiplied.
     #[serde(default)]
     pub times: Option<f64>,
 }
 
-/// Times of the worker protocol.
+/// Timing of the worker protocol.
 #[derive(Debug, Clone, Deserialize)]
 pub struct WorkerTimes {
     /// Time between two heartbeats of a worker, in seconds.
     pub report_s: f64,
-    /// Time without an answer after which a worker drops its tasks, in seconds.
+    /// Time without a response after which a worker drops its tasks, in seconds.
     pub lease_s: f64,
     /// Time within which the tasks of a cancelled job must be gone, in seconds.
     pub cancel_s: f64,
 }
 
 impl WorkerTimes {
-    /// The longest control lease, in seconds. The call that renews it is sent, the last worker
-    /// is answered as long after that as the lease lasts, and the worker's own lease counts
-    /// from its heartbeat, which was sent before the answer. What remains until the time for a
-    /// cancellation is over covers the drift of both clocks, timers and the time to stop.
+    /// Returns the maximum duration of the control lease, in seconds. The lease counts from when the
+    /// call that renews it is sent, and a worker may be answered until the lease ends. The worker's
+    /// own lease then counts from its heartbeat, which was sent before the response. The time that
+    /// remains until the end of the cancellation time must cover the drift of both clocks, timer
+    /// delays and the time for stopping tasks.
     fn max_control_lease_s(&self) -> f64 {
         let slack = self.cancel_s - self.lease_s;
         let margin = (slack * MARGIN_SHARE).clamp(MIN_MARGIN_S, MAX_MARGIN_S);
-        slack - margin - self.cancel_s * CLOCK_DRIFT
+        slack - margin - self.cancel_s * MAX_CLOCK_DRIFT_RATIO
     }
 }
 
@@ -165,7 +168,7 @@
         Platform::parse(&file, &text)
     }
 
-    /// Checks the text of the platform's file; `file` is named in errors.
+    /// Parses and checks the text of the platform's file. Errors name `file`.
     pub fn parse(file: &str, text: &str) -> Result<Platform, ConfigError> {
         let mut platform: Platform =
             toml::from_str(text).map_err(|error| toml_error(file, text, &error))?;
@@ -184,7 +187,7 @@
         self.cluster.check()
     }
 
-    /// Times that leases between cells follow from.
+    /// Returns the times from which the leases between cells are derived.
     pub fn cell_timing(&self) -> CellTiming {
         CellTiming {
             worker_lease_ms: (self.cluster.workers.lease_s * 1000.0) as u64,
@@ -193,9 +196,9 @@
         }
     }
 
-    /// Duration of the control lease, in milliseconds: short enough that a shard owner cut
-    /// off from all but its workers lets their leases expire within the time that a
-    /// cancellation has.
+    /// Returns the duration of the control lease, in milliseconds. It is short enough that a shard
+    /// owner that is cut off from everything except its workers lets their leases expire within the
+    /// time allowed for a cancellation.
     pub fn control_lease_ms(&self, operator: &Operator) -> u64 {
         let longest_s = self.cluster.workers.max_control_lease_s();
         (operator.max_control_lease_s.min(longest_s) * 1000.0) as u64
@@ -205,12 +208,12 @@
 impl Cluster {
     fn check(&self) -> Result<(), InvalidSetting> {
         self.check_positive()?;
-        let not_negative = [
+        let non_negative = [
             ("cluster.clock_off_ms", self.clock_off_ms),
             ("cluster.cloud.list_lag_s", self.cloud.list_lag_s),
         ];
-        for (field, number) in not_negative {
-            check_not_negative(field, number)?;
+        for (field, number) in non_negative {
+            check_non_negative(field, number)?;
         }
         if self.workers.max_control_lease_s() < MIN_CONTROL_LEASE_S {
             return Err(SettingError::CancelTimeTooShort.at("cluster.workers.cancel_s"));
@@ -242,18 +245,18 @@
 
 impl Team {
     fn check(&self) -> Result<(), InvalidSetting> {
-        check_not_negative("cluster.teams.cpus", self.cpus)?;
-        check_not_negative("cluster.teams.cpus_max", self.cpus_max)?;
-        check_not_negative("cluster.teams.gpus", self.gpus)?;
-        check_not_negative("cluster.teams.gpus_max", self.gpus_max)
+        check_non_negative("cluster.teams.cpus", self.cpus)?;
+        check_non_negative("cluster.teams.cpus_max", self.cpus_max)?;
+        check_non_negative("cluster.teams.gpus", self.gpus)?;
+        check_non_negative("cluster.teams.gpus_max", self.gpus_max)
     }
 }
 
-fn check_not_negative(field: &str, number: f64) -> Result<(), InvalidSetting> {
+fn check_non_negative(field: &str, number: f64) -> Result<(), InvalidSetting> {
     if number.is_finite() && number >= 0.0 { Ok(()) } else { Err(SettingError::Negative.at(field)) }
 }
 
-/// The error with the line that it is about.
+/// Returns the settings error for a TOML error, with the line that caused it.
 fn toml_error(file: &str, text: &str, error: &toml::de::Error) -> ConfigError {
     let line = error.span().map_or(1, |span| text[..span.start].lines().count().max(1));
     let line_text = text.lines().nth(line - 1).unwrap_or("").trim();
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,7 +1,7 @@
 //! woadlever: a cluster scheduler that rents its machines ahead of demand.
 //!
-//! `core` decides and does nothing else; `io` carries out what it decides;
-//! `wire` holds the formats that both speak.
+//! [`core`] makes all decisions and performs no input or output, and [`io`] carries the decisions
+//! out. [`wire`] defines the formats of messages and records that both use.
 
 pub mod config;
 pub mod core;
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,4 @@
-//! Command line, settings and logging; the rest is in the library.
+//! Parses the command line, loads the settings, sets up logging and runs the scheduler.
 
 use clap::Parser;
 use std::path::PathBuf;
@@ -7,7 +7,7 @@
 use woadlever::config::{ConfigError, Operator, Platform};
 use woadlever::io::driver;
 
-/// Exit status for settings that can't be used.
+/// Exit status if the settings are invalid.
 const SETTINGS_ERROR: u8 = 2;
 
 /// A cluster scheduler that rents its machines ahead of demand.
@@ -17,7 +17,7 @@
     /// The platform's settings (TOML).
     #[arg(long, value_name = "FILE")]
     config: PathBuf,
-    /// The operators' own settings (INI); the defaults serve without it.
+    /// The operators' settings (INI); without it, the defaults apply.
     #[arg(long, value_name = "FILE")]
     operator: Option<PathBuf>,
     /// Check both files and exit.
@@ -60,7 +60,7 @@
     tracing_subscriber::fmt().with_max_level(level).with_writer(std::io::stderr).with_ansi(false).init();
 }
 
-/// Serves until the process ends; returns only if it can't start.
+/// Runs the scheduler until the process ends. Returns only if it cannot start.
 fn serve(platform: Platform, operator: Operator) -> ExitCode {
     let runtime = match tokio::runtime::Builder::new_current_thread().enable_all().build() {
         Ok(runtime) => runtime,
