--- a/crates/overload/src/class.rs
+++ b/crates/overload/src/class.rs
@@ -41,7 +41,7 @@
 
     /// The class of a request that begins with these bytes. What can't be recognized is
     /// taken for a status query, the least important class.
-    pub fn of_head(head: &[u8]) -> RequestClass {
+    pub fn from_head(head: &[u8]) -> RequestClass {
         let line = head.split(|byte| *byte == b'\r').next().unwrap_or_default();
         let mut words = line.split(|byte| *byte == b' ');
         let (method, path) = (words.next().unwrap_or_default(), words.next().unwrap_or_default());
--- a/crates/overload/tests/decisions.rs
+++ b/crates/overload/tests/decisions.rs
@@ -22,7 +22,7 @@
         (b"GET /checkin HTTP/1.1", RequestClass::StatusQuery),
     ];
     for (head, class) in cases {
-        assert_eq!(RequestClass::of_head(head), class, "{}", String::from_utf8_lossy(head));
+        assert_eq!(RequestClass::from_head(head), class, "{}", String::from_utf8_lossy(head));
     }
 }
 
--- a/src/io/client.rs
+++ b/src/io/client.rs
@@ -1,8 +1,8 @@
-//! A small HTTP/1.1 client: a few kept connections to one address, a time limit on each
-//! call, and a plain statement of how a call failed.
+//! A small HTTP/1.1 client: a pool of idle connections to one address, a timeout for each
+//! call, and errors that tell whether a failed request may have been executed.
 //!
-//! [`call_service`] carries out the calls of the core to the key-value store and the cloud;
-//! what these two have in common is the trait [`ServiceRequest`].
+//! [`call_service`] makes the calls of the core to the key-value store and the cloud. Both
+//! kinds of requests implement the trait [`ServiceRequest`].
 
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, Limited};
@@ -20,17 +20,17 @@
 use tokio::sync::Semaphore;
 use tokio::time::{Instant, timeout};
 
-/// No response is read further than this.
+/// Maximum length of a response body. A longer one makes the call fail.
 const MAX_RESPONSE_BYTES: usize = 16 << 20;
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(1000);
 
-/// How a call failed.
+/// Error of a call, by whether the request may have been executed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum CallError {
-    /// Nothing was sent.
+    /// The request was not sent.
     #[error("not sent")]
     NotSent,
-    /// Something may have arrived.
+    /// The request may have reached the service.
     #[error("outcome unknown")]
     OutcomeUnknown,
 }
@@ -39,95 +39,98 @@
 pub(super) struct HttpCall {
     /// Method of the request.
     pub method: Method,
-    /// Path with its query.
+    /// Path, including the query.
     pub path: String,
-    /// JSON body, if there is one.
+    /// JSON body, if any.
     pub body: Option<Vec<u8>>,
-    /// Time for the whole call, connecting included.
-    pub time_limit: Duration,
+    /// Timeout for the whole call, including the time to connect.
+    pub timeout: Duration,
 }
 
-/// The response to a call.
-pub(super) struct Reply {
-    /// HTTP status.
+/// The HTTP response to a call.
+pub(super) struct HttpResponse {
+    /// HTTP status code.
     pub status: u16,
-    /// Its body.
+    /// Response body.
     pub body: Bytes,
 }
 
-impl Reply {
-    /// The body, read as JSON. A body that can't be read is logged, with the service's name.
+impl HttpResponse {
+    /// Parses the body as JSON. A body that can't be parsed is logged with the service's name.
     pub(super) fn json<T: DeserializeOwned>(&self, service: &str) -> Option<T> {
         serde_json::from_slice(&self.body)
             .map_err(|error| tracing::error!(%error, service, "unreadable response"))
             .ok()
     }
 
-    /// Whether the body contains this text.
+    /// Whether the body contains `text`.
     pub(super) fn contains(&self, text: &str) -> bool {
         self.body.windows(text.len()).any(|window| window == text.as_bytes())
     }
 }
 
-/// A request to an outer service, and how the reply to it is read.
+/// A request to an external service and the parsing of the response to it.
 pub(super) trait ServiceRequest {
-    /// What the core is told.
+    /// Response that the core receives.
     type Response: From<CallError>;
 
-    /// The call to make.
+    /// Returns the HTTP call for this request.
     fn to_http(&self) -> HttpCall;
 
-    /// Reads the reply; `None` if it doesn't say what has become of the request.
-    fn read_reply(&self, reply: &Reply) -> Option<Self::Response>;
+    /// Parses the response. Returns `None` if it doesn't tell whether the request was executed.
+    fn parse_response(&self, response: &HttpResponse) -> Option<Self::Response>;
 }
 
-/// Carries out a request. What can't be read may have been executed all the same.
+/// Sends a request and returns its response. A response that can't be parsed counts as an
+/// unknown outcome, because the service may have executed the request all the same.
 pub(super) async fn call_service<R: ServiceRequest>(client: &Client, request: R) -> R::Response {
     match client.call(request.to_http()).await {
-        Ok(reply) => request.read_reply(&reply).unwrap_or_else(|| CallError::OutcomeUnknown.into()),
+        Ok(response) => {
+            request.parse_response(&response).unwrap_or_else(|| CallError::OutcomeUnknown.into())
+        }
         Err(error) => error.into(),
     }
 }
 
 type Connection = SendRequest<Full<Bytes>>;
 
-/// Connections to one address. Clones share them.
+/// An HTTP client for one address. Clones share its connections and its limit on calls.
 #[derive(Clone)]
 pub(super) struct Client {
     address: SocketAddr,
     idle: Rc<RefCell<Vec<Connection>>>,
     max_idle: usize,
-    /// One permit for each call that may be under way.
+    /// One permit for each call that may be in flight.
     permits: Arc<Semaphore>,
 }
 
 impl Client {
-    /// A client that keeps up to `max_idle` connections open, and refuses calls beyond
-    /// `max_calls` at once.
+    /// Creates a client that keeps up to `max_idle` idle connections open. A call made while
+    /// `max_calls` others are in flight fails with [`CallError::NotSent`].
     pub(super) fn new(address: SocketAddr, max_idle: usize, max_calls: usize) -> Client {
         Client { address, idle: Rc::default(), max_idle, permits: Arc::new(Semaphore::new(max_calls)) }
     }
 
-    /// Makes a call and waits for the whole response.
-    pub(super) async fn call(&self, call: HttpCall) -> Result<Reply, CallError> {
+    /// Makes a call and reads the whole response.
+    pub(super) async fn call(&self, call: HttpCall) -> Result<HttpResponse, CallError> {
         let _permit = self.permits.try_acquire().map_err(|_| CallError::NotSent)?;
         let start = Instant::now();
-        let mut connection = self.connection().await?;
-        let time_limit = call.time_limit;
-        let request = self.request(call)?;
+        let mut connection = self.acquire_connection().await?;
+        let call_timeout = call.timeout;
+        let request = self.build_request(call)?;
         let exchange = async {
             let response = connection.send_request(request).await.map_err(|error| send_error(&error))?;
             read_response(response).await
         };
-        let left = time_limit.saturating_sub(start.elapsed());
-        let reply = timeout(left, exchange).await.map_err(|_| CallError::OutcomeUnknown)??;
+        let remaining = call_timeout.saturating_sub(start.elapsed());
+        let response = timeout(remaining, exchange).await.map_err(|_| CallError::OutcomeUnknown)??;
         if !connection.is_closed() && self.idle.borrow().len() < self.max_idle {
             self.idle.borrow_mut().push(connection);
         }
-        Ok(reply)
+        Ok(response)
     }
 
-    fn request(&self, call: HttpCall) -> Result<Request<Full<Bytes>>, CallError> {
+    fn build_request(&self, call: HttpCall) -> Result<Request<Full<Bytes>>, CallError> {
         let mut request = Request::builder()
             .method(call.method)
             .uri(call.path)
@@ -139,8 +142,8 @@
         request.body(body).map_err(|_| CallError::NotSent)
     }
 
-    /// An idle connection that is still open, or a new one.
-    async fn connection(&self) -> Result<Connection, CallError> {
+    /// Returns an idle connection that is still open, or opens a new one.
+    async fn acquire_connection(&self) -> Result<Connection, CallError> {
         loop {
             let Some(connection) = self.idle.borrow_mut().pop() else { break };
             if connection.is_ready() {
@@ -152,27 +155,29 @@
     }
 }
 
-/// What an error of sending says: a cancelled request never left the client.
+/// Maps an error of hyper to a [`CallError`]: a request that hyper reports as cancelled was
+/// never sent.
 fn send_error(error: &hyper::Error) -> CallError {
     if error.is_canceled() { CallError::NotSent } else { CallError::OutcomeUnknown }
 }
 
-/// Opens a connection. The task that serves it ends when the connection is dropped.
+/// Opens a connection and spawns the task that drives it. The task ends when the returned
+/// handle is dropped.
 async fn connect(address: SocketAddr) -> Result<Connection, CallError> {
     let stream = TcpStream::connect(address).await.map_err(|_| CallError::NotSent)?;
     let _ = stream.set_nodelay(true);
-    let (connection, serving) = handshake(TokioIo::new(stream)).await.map_err(|_| CallError::NotSent)?;
+    let (connection, driver) = handshake(TokioIo::new(stream)).await.map_err(|_| CallError::NotSent)?;
     tokio::task::spawn_local(async move {
-        if let Err(error) = serving.await {
-            tracing::debug!(%error, "connection ended");
+        if let Err(error) = driver.await {
+            tracing::debug!(%error, "HTTP connection ended with an error");
         }
     });
     Ok(connection)
 }
 
-async fn read_response(response: Response<Incoming>) -> Result<Reply, CallError> {
+async fn read_response(response: Response<Incoming>) -> Result<HttpResponse, CallError> {
     let status = response.status().as_u16();
     let body = Limited::new(response.into_body(), MAX_RESPONSE_BYTES).collect().await;
     let body = body.map_err(|_| CallError::OutcomeUnknown)?.to_bytes();
-    Ok(Reply { status, body })
+    Ok(HttpResponse { status, body })
 }
--- a/src/io/cloud.rs
+++ b/src/io/cloud.rs
@@ -1,16 +1,16 @@
-//! Calls to the cloud, as the leader asks for them.
+//! HTTP encoding of the leader's requests to the cloud.
 
-use super::client::{CallError, HttpCall, Reply, ServiceRequest};
+use super::client::{CallError, HttpCall, HttpResponse, ServiceRequest};
 use crate::core::{CloudRequest, CloudResponse};
 use hyper::Method;
 use std::time::Duration;
 
-const TIME_LIMIT: Duration = Duration::from_millis(5000);
-/// Machines per page of the list, the most that the cloud gives.
+const CALL_TIMEOUT: Duration = Duration::from_millis(5000);
+/// Machines per page of the instance list, the maximum that the cloud returns.
 const PAGE_SIZE: u32 = 500;
-/// Name of the service in logs.
+/// Name of the service in log lines.
 const SERVICE: &str = "cloud";
-/// What the body of a 503 says when the cloud has none of the machines asked for.
+/// Text in the body of a 503 response if the cloud has no capacity for the requested machines.
 const NO_CAPACITY: &str = "no capacity";
 
 impl ServiceRequest for CloudRequest {
@@ -30,18 +30,18 @@
                 (Method::POST, "/rentals/return".into(), serde_json::to_vec(body).ok())
             }
         };
-        HttpCall { method, path, body, time_limit: TIME_LIMIT }
+        HttpCall { method, path, body, timeout: CALL_TIMEOUT }
     }
 
-    fn read_reply(&self, reply: &Reply) -> Option<CloudResponse> {
-        match (self, reply.status) {
-            (CloudRequest::Catalog, 200) => reply.json(SERVICE).map(CloudResponse::Catalog),
-            (CloudRequest::List { .. }, 200) => reply.json(SERVICE).map(CloudResponse::Page),
+    fn parse_response(&self, response: &HttpResponse) -> Option<CloudResponse> {
+        match (self, response.status) {
+            (CloudRequest::Catalog, 200) => response.json(SERVICE).map(CloudResponse::Catalog),
+            (CloudRequest::List { .. }, 200) => response.json(SERVICE).map(CloudResponse::Page),
             (CloudRequest::CreateInstances(_), 200) => {
-                reply.json(SERVICE).map(CloudResponse::InstancesCreated)
+                response.json(SERVICE).map(CloudResponse::InstancesCreated)
             }
             (CloudRequest::TerminateInstances(_), 200 | 204) => Some(CloudResponse::InstancesTerminated),
-            (CloudRequest::CreateInstances(_), 503) if reply.contains(NO_CAPACITY) => {
+            (CloudRequest::CreateInstances(_), 503) if response.contains(NO_CAPACITY) => {
                 Some(CloudResponse::NoCapacity)
             }
             (_, 429 | 503) => Some(CloudResponse::NotExecuted),
--- a/src/io/driver.rs
+++ b/src/io/driver.rs
@@ -1,6 +1,6 @@
-//! The event loop: hands inputs to the core, one at a time, and has its outputs carried out.
+//! The event loop: passes inputs to the core one at a time and carries out its outputs.
 
-use super::gate::Pressure;
+use super::gate::OverloadController;
 use super::inputs::{Event, Inputs, Sources};
 use super::links::{CellLinks, PeerLinks};
 use super::listeners::{self, StartError};
@@ -16,18 +16,19 @@
 use tokio::sync::mpsc::unbounded_channel;
 use tokio::sync::oneshot;
 
-/// Incarnations that processes started in the same microsecond are told apart by.
+/// Number of incarnations per microsecond. Each process takes a random one of them, so that
+/// processes started within the same microsecond are likely to differ.
 const INCARNATIONS_PER_MICROSECOND: u64 = 16;
 
-/// Serves until the process ends. It only returns if the node can't start.
+/// Runs the node until the process ends. Returns only if the node can't start.
 pub async fn run(platform: Platform, operator: Operator) -> Result<(), StartError> {
     let mut driver = Driver::start(platform, operator).await?;
     loop {
-        driver.turn().await;
+        driver.run_iteration().await;
     }
 }
 
-/// The core with all that connects it to the outside.
+/// The core, with its sources of inputs and the destinations of its outputs.
 struct Driver {
     core: Core,
     started: Instant,
@@ -39,7 +40,7 @@
 }
 
 impl Driver {
-    /// Binds all sockets and starts what serves them.
+    /// Binds all sockets and starts the tasks that serve them.
     async fn start(platform: Platform, operator: Operator) -> Result<Driver, StartError> {
         let platform = Arc::new(platform);
         let mut rng = rand::rng();
@@ -52,10 +53,11 @@
         let (cell_messages, cell_server) = listeners::serve_cells(&platform, &operator.cells).await?;
         let (frames, peer_server) = listeners::serve_peers(peer_listener);
         let core_share = platform.cluster.limits.cpu;
-        let overload = &operator.overload;
-        let pressure = overload.enabled.then(|| Pressure::new(overload, core_share));
+        let overload_settings = &operator.overload;
+        let overload =
+            overload_settings.enabled.then(|| OverloadController::new(overload_settings, core_share));
         let (requests, http_server) =
-            listeners::serve_http(&platform, overload, pressure.clone()).await?;
+            listeners::serve_http(&platform, overload_settings, overload.clone()).await?;
 
         let (results, call_results) = unbounded_channel();
         let peer_links = PeerLinks::new(&platform.peers);
@@ -65,7 +67,7 @@
         let inputs = Inputs::new(sources, core_share);
         tracing::info!(node = platform.node, zone = platform.zone, "started");
         Ok(Driver {
-            lag_timer: pressure.map(|pressure| LagTimer::new(pressure, inputs.tick_interval())),
+            lag_timer: overload.map(|overload| LagTimer::new(overload, inputs.tick_interval())),
             core,
             started,
             inputs,
@@ -75,8 +77,9 @@
         })
     }
 
-    /// One turn of the loop: takes one input, and carries out what the core makes of it.
-    async fn turn(&mut self) {
+    /// Runs one iteration of the loop: waits for an input, passes it to the core and carries out
+    /// the resulting outputs.
+    async fn run_iteration(&mut self) {
         if let Some(timer) = &mut self.lag_timer {
             timer.check();
         }
@@ -93,7 +96,7 @@
     }
 }
 
-/// Requests that the core has taken in and not answered yet.
+/// Requests that were passed to the core and have no answer yet.
 #[derive(Default)]
 struct PendingAnswers {
     last_id: u64,
@@ -101,7 +104,8 @@
 }
 
 impl PendingAnswers {
-    /// Numbers a request, so that its answer finds its way back.
+    /// Assigns an id to a request, by which its answer is matched to it, and returns the input
+    /// for the core.
     fn register(&mut self, pending: PendingRequest) -> Input {
         self.last_id += 1;
         self.by_id.insert(self.last_id, pending.answer);
@@ -115,45 +119,46 @@
     }
 }
 
-/// Tells how late the event loop gets to a timer, which is the measure of pressure.
+/// A periodic timer that measures the lag of the event loop, by which overload is detected.
 struct LagTimer {
-    pressure: Arc<Pressure>,
+    overload: Arc<OverloadController>,
     due: Instant,
     interval: Duration,
 }
 
 impl LagTimer {
-    fn new(pressure: Arc<Pressure>, interval: Duration) -> LagTimer {
-        LagTimer { pressure, due: Instant::now() + interval, interval }
+    fn new(overload: Arc<OverloadController>, interval: Duration) -> LagTimer {
+        LagTimer { overload, due: Instant::now() + interval, interval }
     }
 
-    /// Notes the lag if the timer is due, and sets it again.
+    /// If the timer is due, records how late it is and restarts it.
     fn check(&mut self) {
         if let Some(lag) = Instant::now().checked_duration_since(self.due) {
-            let now = self.pressure.now();
-            self.pressure.note_timer(now.saturating_sub(lag.as_millis() as u64), now);
+            let now = self.overload.now();
+            self.overload.note_timer(now.saturating_sub(lag.as_millis() as u64), now);
             self.due = Instant::now() + self.interval;
         }
     }
 }
 
-/// Steady time in milliseconds, from 1 at the start.
+/// Monotonic time in milliseconds, which starts at 1.
 fn steady_ms(started: Instant) -> u64 {
     started.elapsed().as_millis() as u64 + 1
 }
 
-/// Time since the epoch; zero for a clock that is before it.
+/// Time since the Unix epoch, or zero if the system clock is set to an earlier time.
 fn since_epoch() -> Duration {
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default()
 }
 
-/// Time of day in milliseconds.
+/// Wall-clock time in milliseconds since the Unix epoch.
 fn wall_ms() -> u64 {
     since_epoch().as_millis() as u64
 }
 
-/// An incarnation larger than that of every earlier process of this node. Restarts may come
-/// within the resolution of the clock, so that the time alone is not enough.
+/// Returns an incarnation larger than those of earlier processes of this node. A restart may
+/// fall within the resolution of the clock, so the time alone is not enough to tell two
+/// processes apart and a random part is added.
 fn new_incarnation(rng: &mut impl Rng) -> u64 {
     let microseconds = since_epoch().as_micros() as u64;
     microseconds * INCARNATIONS_PER_MICROSECOND + rng.random_range(0..INCARNATIONS_PER_MICROSECOND)
--- a/src/io/frames/link.rs
+++ b/src/io/frames/link.rs
@@ -1,4 +1,4 @@
-//! The sending side: one connection to one receiver, opened again when it is lost.
+//! The sending side: one connection to one receiver, reopened after it is lost.
 
 use super::Payload;
 use crate::wire::peer::MAX_FRAME;
@@ -11,16 +11,16 @@
 
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(700);
 const WRITE_TIMEOUT: Duration = Duration::from_millis(2000);
-/// Time after a failure before the next attempt to connect.
+/// Time after a failed attempt to connect or write before the next attempt to connect.
 const RETRY_DELAY: Duration = Duration::from_millis(400);
-/// Commands waiting for a slow receiver; more are dropped.
-const QUEUE: usize = 64;
+/// Maximum number of commands that wait while the receiver is slow; more are dropped.
+const COMMAND_QUEUE_CAPACITY: usize = 64;
 
-/// What the task of a link is to do.
+/// A command to the task of a link.
 enum LinkCommand<T> {
     /// Send this message.
     Send(Box<T>),
-    /// Close the connection; the next message opens another.
+    /// Close the connection; the next message opens a new one.
     Reconnect,
 }
 
@@ -30,35 +30,36 @@
 }
 
 impl<T: Payload> Link<T> {
-    /// Starts the task of a link; it connects with the first message.
+    /// Creates a link and spawns its task, which connects when the first message is sent.
     pub fn new(address: SocketAddr) -> Link<T> {
-        let (sender, commands) = channel(QUEUE);
-        let connection = LinkConnection { address, commands, stream: None, retry_at: Instant::now() };
+        let (sender, commands) = channel(COMMAND_QUEUE_CAPACITY);
+        let connection = LinkTask { address, commands, stream: None, retry_at: Instant::now() };
         tokio::task::spawn_local(connection.run());
         Link { commands: sender }
     }
 
-    /// Sends a message, or drops it if the receiver is too slow.
+    /// Queues a message to be sent, or drops it if the queue is full because the receiver is slow.
     pub fn send(&self, message: Box<T>) {
         let _ = self.commands.try_send(LinkCommand::Send(message));
     }
 
-    /// Closes the present connection, which may lead to a process that is no more.
+    /// Closes the current connection, whose remote process may no longer exist. The next message
+    /// opens a new one.
     pub fn reconnect(&self) {
         let _ = self.commands.try_send(LinkCommand::Reconnect);
     }
 }
 
-/// The task of a link.
-struct LinkConnection<T> {
+/// State of the task of a link.
+struct LinkTask<T> {
     address: SocketAddr,
     commands: Receiver<LinkCommand<T>>,
     stream: Option<TcpStream>,
-    /// No connection is opened before this time.
+    /// Earliest time of the next attempt to connect.
     retry_at: Instant,
 }
 
-impl<T: Payload> LinkConnection<T> {
+impl<T: Payload> LinkTask<T> {
     async fn run(mut self) {
         while let Some(command) = self.next_command().await {
             match command {
@@ -68,12 +69,13 @@
         }
     }
 
-    /// The next command; none once the link has been dropped.
+    /// Waits for the next command. Returns `None` once the link has been dropped.
     async fn next_command(&mut self) -> Option<LinkCommand<T>> {
         loop {
             tokio::select! {
                 biased;
-                // Nothing is sent this way: whatever arrives is the end of the connection.
+                // The receiver never sends data, so a read only completes when the connection
+                // has ended.
                 () = closed_by_receiver(&mut self.stream) => self.stream = None,
                 command = self.commands.recv() => return command,
             }
@@ -90,7 +92,7 @@
             tracing::error!(bytes = body.len(), "frame too long to send");
             return;
         }
-        let bytes = with_length(&body);
+        let bytes = encode_frame(&body);
         let written = timeout(WRITE_TIMEOUT, stream.write_all(&bytes)).await;
         if !matches!(written, Ok(Ok(()))) {
             self.stream = None;
@@ -98,7 +100,7 @@
         }
     }
 
-    /// Opens a connection, unless the last failure is too recent.
+    /// Opens a connection, unless the last failure is less than [`RETRY_DELAY`] ago.
     async fn connect(&mut self) {
         if Instant::now() < self.retry_at {
             return;
@@ -113,15 +115,15 @@
     }
 }
 
-/// The bytes of a frame with their length before them.
-fn with_length(body: &[u8]) -> Vec<u8> {
+/// Returns a frame: the length of the body, followed by the body.
+fn encode_frame(body: &[u8]) -> Vec<u8> {
     let mut bytes = Vec::with_capacity(size_of::<u32>() + body.len());
     bytes.extend_from_slice(&(body.len() as u32).to_be_bytes());
     bytes.extend_from_slice(body);
     bytes
 }
 
-/// Waits until the receiver has closed the connection; for ever if none is open.
+/// Waits until the receiver has closed the connection, or forever if none is open.
 async fn closed_by_receiver(stream: &mut Option<TcpStream>) {
     match stream {
         Some(stream) => {
--- a/src/io/frames/listener.rs
+++ b/src/io/frames/listener.rs
@@ -1,4 +1,4 @@
-//! The receiving side: accepts connections of links and hands on what they send.
+//! The receiving side: accepts connections and forwards the messages received on them.
 
 use super::Payload;
 use crate::io::owned_task::OwnedTask;
@@ -11,43 +11,43 @@
 use tokio::sync::mpsc::Sender;
 use tokio::time::timeout;
 
-/// Messages received that the core has not taken in yet.
-pub const RECEIVE_QUEUE: usize = 128;
+/// Maximum number of received messages that wait for the core.
+pub const RECEIVE_QUEUE_CAPACITY: usize = 128;
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
-/// A peer sends a heartbeat twice a second; a connection silent for so long is a leftover
-/// of a network partition.
-const SILENCE_TIMEOUT: Duration = Duration::from_secs(30);
+/// Time without data after which a connection is closed. A peer sends a heartbeat twice a
+/// second, so a connection that is idle for this long is left over from a network partition.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Why a connection was closed.
+/// Reason for closing a connection.
 #[derive(Debug, Error)]
 enum ReceiveError {
     #[error(transparent)]
     Connection(#[from] std::io::Error),
-    #[error("silent")]
-    Silent,
-    #[error("silent within a frame")]
-    SilentWithinFrame,
+    #[error("idle timeout")]
+    IdleTimeout,
+    #[error("timeout within a frame")]
+    TimeoutWithinFrame,
     #[error("oversized frame")]
     OversizedFrame,
     #[error("unreadable frame")]
     UnreadableFrame,
 }
 
-/// Accepts connections for as long as it is polled, at most `max_connections` at once. A
-/// node that was suspended finds a number of them that their senders have long given up;
-/// the newest is the one in use, so the oldest is closed when there are too many.
+/// Accepts connections until it is dropped and sends their messages to `received`. If more than
+/// `max_connections` are open, the oldest is closed: a node that was suspended finds several
+/// connections that their senders have abandoned, and the newest is the one in use.
 pub async fn listen<T: Payload>(listener: TcpListener, received: Sender<T>, max_connections: usize) {
-    let mut open: VecDeque<OwnedTask> = VecDeque::new();
+    let mut connections: VecDeque<OwnedTask> = VecDeque::new();
     loop {
         let Ok((stream, _)) = listener.accept().await else {
             tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             continue;
         };
-        open.retain(|connection| !connection.is_finished());
-        if open.len() >= max_connections {
-            open.pop_front();
+        connections.retain(|connection| !connection.is_finished());
+        if connections.len() >= max_connections {
+            connections.pop_front();
         }
-        open.push_back(OwnedTask::spawn_local(serve(stream, received.clone())));
+        connections.push_back(OwnedTask::spawn_local(serve(stream, received.clone())));
     }
 }
 
@@ -58,15 +58,16 @@
     }
 }
 
-/// Reads frames until the connection ends, one can't be read, or nobody takes them.
+/// Receives messages until the connection ends, a frame can't be read or decoded, or the receiver
+/// of `received` is dropped.
 async fn receive<T: Payload>(mut stream: TcpStream, received: Sender<T>) -> Result<(), ReceiveError> {
     loop {
         let bytes = read_frame(&mut stream).await?;
         match T::decode(&bytes) {
-            Ok(None) => tracing::debug!("frame of an unknown version"),
+            Ok(None) => tracing::debug!("ignoring a frame of an unknown version"),
             Ok(Some(message)) => {
-                // While the core has not taken in what came before, nothing more is
-                // read, and the sender drops what it can't send.
+                // Nothing more is read while the queue to the core is full. This backpressure
+                // makes the sender drop the messages that it can't send.
                 if received.send(message).await.is_err() {
                     return Ok(());
                 }
@@ -79,16 +80,16 @@
     }
 }
 
-/// Reads the bytes of one frame.
+/// Reads the body of one frame.
 async fn read_frame(stream: &mut TcpStream) -> Result<Vec<u8>, ReceiveError> {
-    let length = timeout(SILENCE_TIMEOUT, stream.read_u32()).await;
-    let length = length.map_err(|_| ReceiveError::Silent)?? as usize;
+    let length = timeout(IDLE_TIMEOUT, stream.read_u32()).await;
+    let length = length.map_err(|_| ReceiveError::IdleTimeout)?? as usize;
     if length > MAX_FRAME {
         tracing::error!(len = length, "peer frame too long; closing the connection");
         return Err(ReceiveError::OversizedFrame);
     }
     let mut bytes = vec![0; length];
-    let read = timeout(SILENCE_TIMEOUT, stream.read_exact(&mut bytes)).await;
-    read.map_err(|_| ReceiveError::SilentWithinFrame)??;
+    let read = timeout(IDLE_TIMEOUT, stream.read_exact(&mut bytes)).await;
+    read.map_err(|_| ReceiveError::TimeoutWithinFrame)??;
     Ok(bytes)
 }
--- a/src/io/frames/mod.rs
+++ b/src/io/frames/mod.rs
@@ -1,37 +1,38 @@
 //! Length-delimited frames over TCP, between the nodes of a cell and between cells.
 //!
-//! A frame is its length as a big-endian `u32` and then as many bytes. Each sender keeps one
-//! connection to each receiver ([`Link`]); what arrives ([`listen`]) is handed to the core.
-//! What can't be sent is dropped: the next message, which carries the whole state again,
-//! makes up for it.
+//! A frame consists of the length of its body as a big-endian `u32`, followed by the body. Each
+//! sender keeps one connection to each receiver ([`Link`]). The receiver ([`listen`]) passes the
+//! messages to the core. A message that can't be sent is dropped without a retry, because the
+//! next message contains the whole state again.
 
 mod link;
 mod listener;
 
 pub use link::Link;
-pub use listener::{RECEIVE_QUEUE, listen};
+pub use listener::{RECEIVE_QUEUE_CAPACITY, listen};
 
 use crate::wire::peer::Frame;
 use thiserror::Error;
 use woadlever_cells::message::{CellMessage, VERSION};
 
-/// Why the bytes of a frame can't be decoded.
+/// Error of decoding the body of a frame.
 #[derive(Debug, Error)]
 pub enum DecodeError {
-    /// The version at the beginning is incomplete.
+    /// The body is too short for the version at its beginning.
     #[error("too short")]
     TooShort,
-    /// The bytes are no message of this type.
+    /// The body is not a valid message of this type.
     #[error(transparent)]
     Malformed(#[from] bitcode::Error),
 }
 
 /// A message that is sent as one frame.
 pub trait Payload: Sized + 'static {
-    /// The bytes of the frame, without their length.
+    /// Encodes the message as the body of a frame, without the length.
     fn encode(&self) -> Vec<u8>;
 
-    /// Reads the bytes of a frame. `None`: the message is of a version to be ignored.
+    /// Decodes the body of a frame. Returns `None` if the message has an unknown version and is to
+    /// be ignored.
     fn decode(bytes: &[u8]) -> Result<Option<Self>, DecodeError>;
 }
 
--- a/src/io/gate/acceptor.rs
+++ b/src/io/gate/acceptor.rs
@@ -1,4 +1,4 @@
-//! The HTTP server's side: admitted connections as salvo's acceptor hands them out.
+//! A salvo acceptor that passes admitted connections to the HTTP server.
 
 use crate::io::owned_task::OwnedTask;
 use salvo::conn::tcp::TcpCoupler;
@@ -14,11 +14,11 @@
 use tokio::sync::OwnedSemaphorePermit;
 use tokio::sync::mpsc::Receiver;
 
-/// A connection together with its part of the limit on connections.
+/// A TCP stream with its permit from the limit on connections.
 pub(crate) struct AdmittedStream {
-    /// The connection.
+    /// The TCP stream.
     pub stream: TcpStream,
-    /// Held for as long as the connection is open.
+    /// Permit that is held while the connection is open.
     pub permit: OwnedSemaphorePermit,
 }
 
@@ -62,15 +62,15 @@
     }
 }
 
-/// A connection that was admitted, and where it comes from.
+/// An admitted connection with the address of its client.
 pub(crate) struct AdmittedConnection {
-    /// The connection.
+    /// The stream, which holds the connection's permit.
     pub stream: AdmittedStream,
     /// Address of the client.
     pub client: SocketAddr,
 }
 
-/// Hands admitted connections to the HTTP server, and owns the task that admits them.
+/// Passes admitted connections to the HTTP server and owns the task that admits them.
 pub(crate) struct GatedAcceptor {
     admitted: Receiver<AdmittedConnection>,
     holdings: Vec<Holding>,
@@ -78,7 +78,8 @@
 }
 
 impl GatedAcceptor {
-    /// Hands out what `admission` sends, for the server at `local_address`.
+    /// Creates the acceptor of the server at `local_address`. `admission` is the task that sends
+    /// the admitted connections.
     pub(crate) fn new(
         local_address: SocketAddr,
         admitted: Receiver<AdmittedConnection>,
--- a/src/io/gate/mod.rs
+++ b/src/io/gate/mod.rs
@@ -1,17 +1,18 @@
-//! Admission of connections to the HTTP server of users and workers.
+//! Admission control for connections to the HTTP server of users and workers.
 //!
-//! Connections are accepted here, before the HTTP server sees them. Without pressure they
-//! are passed on as they are. Under pressure the first bytes of the request tell its class;
-//! what `woadlever_overload` does not admit is answered with 503 and a time to come back,
-//! and closed, for a tenth of what serving it would cost.
+//! Connections are accepted here, before the HTTP server sees them. Without overload they are
+//! passed on unchanged. Under overload each is classified by the first bytes of its request. A
+//! connection that `woadlever_overload` does not admit is answered with 503 and a `Retry-After`
+//! header and then closed, which costs a tenth of serving it.
 //!
-//! [`Pressure`] is the state that decides; [`GatedAcceptor`] is what the HTTP server gets.
+//! [`OverloadController`] decides about admission; [`GatedAcceptor`] passes the admitted
+//! connections to the HTTP server.
 
 mod acceptor;
-mod pressure;
+mod overload;
 
 pub(super) use acceptor::GatedAcceptor;
-pub(super) use pressure::Pressure;
+pub(super) use overload::OverloadController;
 
 use super::owned_task::OwnedTask;
 use acceptor::{AdmittedConnection, AdmittedStream};
@@ -27,34 +28,35 @@
 use tokio::time::timeout;
 use woadlever_overload::class::{HEAD_BYTES, RequestClass};
 
-/// How long a connection may take to send the first bytes of its request while it is to
-/// be classified.
+/// Time within which a connection that is to be classified must send the first bytes of its
+/// request.
 const HEAD_TIMEOUT: Duration = Duration::from_millis(500);
-/// How long writing the answer to a connection that is rejected may take.
+/// Timeout for writing the answer to a rejected connection.
 const REJECTION_TIMEOUT: Duration = HEAD_TIMEOUT;
-/// Admitted connections that the HTTP server has not taken yet.
-const ADMITTED_QUEUE: usize = 64;
-/// What is read of a request that is rejected, so that closing the connection does
-/// not destroy the answer on its way.
+/// Maximum number of admitted connections that wait for the HTTP server.
+const ADMITTED_QUEUE_CAPACITY: usize = 64;
+/// Maximum number of bytes that are read of a rejected request. Closing a connection with unread
+/// data would reset it and could destroy the answer before the client has received it.
 const DISCARD_BYTES: usize = 16 << 10;
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Binds the address for users and workers, with at most `max_connections` at once.
+/// Binds the address for users and workers and starts to admit connections. At most
+/// `max_connections` are open at once.
 pub(super) fn bind(
     address: SocketAddr,
     max_connections: usize,
-    pressure: Arc<Pressure>,
+    overload: Arc<OverloadController>,
 ) -> Result<GatedAcceptor, io::Error> {
     let socket = if address.is_ipv4() { TcpSocket::new_v4()? } else { TcpSocket::new_v6()? };
     socket.set_reuseaddr(true)?;
     socket.bind(address)?;
-    let listener = socket.listen(pressure.backlog())?;
+    let listener = socket.listen(overload.backlog())?;
     let local_address = listener.local_addr()?;
-    let (sender, admitted) = channel(ADMITTED_QUEUE);
+    let (sender, admitted) = channel(ADMITTED_QUEUE_CAPACITY);
     let gate = Gate {
         listener,
         permits: Arc::new(Semaphore::new(max_connections)),
-        pressure,
+        overload,
         admitted: sender,
         tasks: JoinSet::new(),
     };
@@ -62,22 +64,22 @@
     Ok(GatedAcceptor::new(local_address, admitted, admission))
 }
 
-/// Accepts connections and admits them or rejects them.
+/// Accepts connections and admits or rejects each of them.
 struct Gate {
     listener: TcpListener,
     /// One permit for each connection that may be open.
     permits: Arc<Semaphore>,
-    pressure: Arc<Pressure>,
+    overload: Arc<OverloadController>,
     admitted: Sender<AdmittedConnection>,
-    /// Connections that are being classified or rejected; each ends by a timeout.
+    /// Tasks that classify or reject connections; each ends after a timeout at the latest.
     tasks: JoinSet<()>,
 }
 
 impl Gate {
-    /// Accepts until the HTTP server has ended.
+    /// Accepts connections until the HTTP server has ended.
     async fn accept_all(mut self) {
         loop {
-            if let Some(delay) = self.pressure.accept_delay() {
+            if let Some(delay) = self.overload.accept_delay() {
                 tokio::time::sleep(delay).await;
             }
             let Ok((stream, client)) = self.listener.accept().await else {
@@ -86,16 +88,16 @@
             };
             while self.tasks.try_join_next().is_some() {}
             let Ok(permit) = self.permits.clone().try_acquire_owned() else {
-                // Beyond the limit a client is told at once.
-                self.pressure.count_over_limit();
-                self.tasks.spawn_local(reject(stream, self.pressure.retry_after_s()));
+                // Beyond the limit on connections a client is rejected at once.
+                self.overload.count_over_limit();
+                self.tasks.spawn_local(reject(stream, self.overload.retry_after_s()));
                 continue;
             };
             let stream = AdmittedStream { stream, permit };
             let connection = AdmittedConnection { stream, client };
-            if self.pressure.is_limiting() {
-                let (pressure, admitted) = (self.pressure.clone(), self.admitted.clone());
-                self.tasks.spawn_local(classify(connection, pressure, admitted));
+            if self.overload.is_limiting() {
+                let (overload, admitted) = (self.overload.clone(), self.admitted.clone());
+                self.tasks.spawn_local(classify(connection, overload, admitted));
             } else if self.admitted.send(connection).await.is_err() {
                 return;
             }
@@ -103,31 +105,32 @@
     }
 }
 
-/// Admits a connection, or rejects it, by the class of its request.
+/// Admits or rejects a connection by the class of its request.
 async fn classify(
     connection: AdmittedConnection,
-    pressure: Arc<Pressure>,
+    overload: Arc<OverloadController>,
     admitted: Sender<AdmittedConnection>,
 ) {
     let mut head = [0; HEAD_BYTES];
     let length = match timeout(HEAD_TIMEOUT, connection.stream.stream.peek(&mut head)).await {
-        // Closed already: the client no longer waits.
-        Ok(Ok(0) | Err(_)) => return pressure.count_expired(),
+        // The connection is closed already, so the client no longer waits.
+        Ok(Ok(0) | Err(_)) => return overload.count_expired(),
         Ok(Ok(length)) => length,
         Err(_) => 0,
     };
-    let class = RequestClass::of_head(&head[..length]);
-    if pressure.admit(class) {
+    let class = RequestClass::from_head(&head[..length]);
+    if overload.admit(class) {
         let _ = admitted.send(connection).await;
     } else {
         let AdmittedStream { stream, permit } = connection.stream;
         drop(permit);
-        reject(stream, pressure.retry_after_s()).await;
+        reject(stream, overload.retry_after_s()).await;
     }
 }
 
-/// Answers without reading the request, beyond what can be read without waiting. The
-/// reading is done at once, the rest by the future.
+/// Rejects a connection with status 503. Reads only what has already arrived of the request,
+/// without waiting for the rest. The read happens at once, before the returned future is polled;
+/// the future writes the answer and closes the connection.
 fn reject(mut stream: TcpStream, retry_after_s: u32) -> impl Future<Output = ()> {
     let answer = format!(
         "HTTP/1.1 503 Service Unavailable\r\nretry-after: {retry_after_s}\r\n\
--- a/src/io/gate/pressure.rs
+++ b/src/io/gate/overload.rs
@@ -1,4 +1,4 @@
-//! The state of overload that the event loop, the acceptor and the request queue share.
+//! Overload control of the node, shared by the event loop, the acceptor and the request queue.
 
 use crate::config::OverloadSettings;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -8,13 +8,13 @@
 use woadlever_overload::class::RequestClass;
 use woadlever_overload::lag::LagMonitor;
 
-/// Time between two log lines about what was shed.
+/// Time between two log lines about shed load.
 const LOG_INTERVAL_MS: Millis = 1_000;
-/// Version of the fields in overload's log lines.
+/// Version of the format of the log lines about shed load.
 const LOG_FORMAT: u32 = 2;
 
-/// Measures the lag of the event loop and decides by it which connections are admitted.
-pub(crate) struct Pressure {
+/// Tracks the lag of the event loop and decides by it which connections are admitted.
+pub(crate) struct OverloadController {
     started: Instant,
     state: Mutex<State>,
 }
@@ -26,7 +26,7 @@
     next_log: Millis,
 }
 
-/// Requests and connections by what became of them, since the last log line.
+/// Numbers of admitted, rejected and expired requests and connections since the last log line.
 #[derive(Default)]
 struct Counts {
     admitted: u32,
@@ -34,29 +34,30 @@
     expired: u32,
 }
 
-impl Pressure {
-    /// For a node with this share of a core.
-    pub(crate) fn new(settings: &OverloadSettings, core_share: f64) -> Arc<Pressure> {
+impl OverloadController {
+    /// Creates the controller of a node that has `core_share` of a processor core.
+    pub(crate) fn new(settings: &OverloadSettings, core_share: f64) -> Arc<OverloadController> {
         let state = State {
             admission: Admission::new(&settings.admission, core_share, 0),
             monitor: LagMonitor::new(settings.lag_target_ms, settings.lag_interval_ms),
             counts: Counts::default(),
             next_log: 0,
         };
-        Arc::new(Pressure { started: Instant::now(), state: Mutex::new(state) })
+        Arc::new(OverloadController { started: Instant::now(), state: Mutex::new(state) })
     }
 
-    /// Steady time since this value was made.
+    /// Returns the monotonic time since the controller was created.
     pub(crate) fn now(&self) -> Millis {
         self.started.elapsed().as_millis() as Millis
     }
 
     fn state(&self) -> MutexGuard<'_, State> {
-        // One thread serves everything, and nothing panics while holding it.
+        // Only one thread uses the mutex and nothing panics while holding it, so it is neither
+        // contended nor poisoned.
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Notes that the event loop got at `now` to what was due at `due`.
+    /// Records that the event loop handled at `now` a timer that was due at `due`.
     pub(crate) fn note_timer(&self, due: Millis, now: Millis) {
         let mut state = self.state();
         state.monitor.note_timer(due, now);
@@ -68,12 +69,13 @@
         }
     }
 
-    /// Whether the node has to choose which requests it serves.
+    /// Whether the node limits the connections that it admits.
     pub(crate) fn is_limiting(&self) -> bool {
         self.state().admission.is_limiting()
     }
 
-    /// Whether a new connection whose request is of this class is admitted.
+    /// Decides whether a new connection with a request of this class is admitted, and counts the
+    /// decision.
     pub(crate) fn admit(&self, class: RequestClass) -> bool {
         let now = self.now();
         let mut state = self.state();
@@ -86,30 +88,33 @@
         is_admitted
     }
 
-    /// Counts a connection beyond the limit on connections; its class is not known.
+    /// Counts a connection that was rejected because of the limit on connections. Its class is not
+    /// known, so it counts as a status query, the least important class.
     pub(crate) fn count_over_limit(&self) {
         self.state().counts.rejected[RequestClass::StatusQuery.index()] += 1;
     }
 
-    /// Counts a request whose client no longer waits for the answer.
+    /// Counts a request that was dropped, because its client no longer waits for the answer or
+    /// because the request queue was full.
     pub(crate) fn count_expired(&self) {
         self.state().counts.expired += 1;
     }
 
-    /// Seconds until a client that is rejected should come back.
+    /// Returns the seconds after which a rejected client should retry.
     pub(crate) fn retry_after_s(&self) -> u32 {
         let now = self.now();
         self.state().admission.retry_after_s(rand::random(), now)
     }
 
-    /// How long to wait before the next connection is accepted.
+    /// Returns how long to wait before the next connection is accepted, if at all.
     pub(crate) fn accept_delay(&self) -> Option<Duration> {
         let now = self.now();
         let accept_delay_ms = self.state().admission.accept_delay_ms(now);
         (accept_delay_ms > 0).then(|| Duration::from_millis(accept_delay_ms))
     }
 
-    /// Connections that the kernel is to keep until they are accepted.
+    /// Returns the backlog of the listening socket: the number of connections that the kernel
+    /// holds until they are accepted.
     pub(crate) fn backlog(&self) -> u32 {
         self.state().admission.backlog()
     }
--- a/src/io/inputs.rs
+++ b/src/io/inputs.rs
@@ -1,4 +1,4 @@
-//! What the event loop waits for: messages, requests, results of calls, and time.
+//! Inputs of the event loop: results of calls, messages, requests and timer ticks.
 
 use super::requests::Requests;
 use super::server::PendingRequest;
@@ -10,56 +10,58 @@
 use tokio::time::{Instant, Sleep};
 use woadlever_cells::message::CellMessage;
 
-/// Steady ticks; everything in the core that waits for a time waits for one.
-const TICK: Duration = Duration::from_millis(25);
-/// Share of a core below which ticks come half as often, and only where no other input
-/// did: waking up for them is a fixed cost.
+/// Time between two ticks. The core acts on its timeouts and deadlines at the next tick at the
+/// latest.
+const TICK_INTERVAL: Duration = Duration::from_millis(25);
+/// Share of a processor core below which ticks come half as often, and only if no other input
+/// arrived for that time, because each wake-up has a fixed cost.
 const SMALL_CORE_SHARE: f64 = 0.04;
 
-/// What has happened.
+/// An event for the event loop.
 pub(super) enum Event {
-    /// A request has arrived; its answer is awaited.
+    /// An HTTP request whose client waits for the answer.
     Request(PendingRequest),
-    /// Anything else.
+    /// Any other input of the core.
     Input(Input),
 }
 
-/// Where inputs come from.
+/// Channels from which inputs are received.
 pub(super) struct Sources {
     /// Results of calls to the store and the cloud.
     pub call_results: UnboundedReceiver<Input>,
-    /// Frames of the other nodes.
+    /// Frames from the other nodes.
     pub frames: Receiver<Frame>,
-    /// Messages of other cells.
+    /// Messages from other cells.
     pub cell_messages: Receiver<CellMessage>,
-    /// Requests of users, workers and the load balancer.
+    /// HTTP requests from users, workers and the load balancer.
     pub requests: Requests,
 }
 
-/// All inputs, one at a time.
+/// All sources of inputs and the tick timer, merged into one sequence of events.
 pub(super) struct Inputs {
     sources: Sources,
     tick: Pin<Box<Sleep>>,
     tick_interval: Duration,
-    /// Whether any input puts the next tick off, so that a busy loop has none.
+    /// Whether every input postpones the next tick, so that a busy loop has no ticks.
     any_input_defers_tick: bool,
 }
 
 impl Inputs {
-    /// Inputs of a node with this share of a core.
+    /// Creates the inputs of a node that has `core_share` of a processor core.
     pub(super) fn new(sources: Sources, core_share: f64) -> Inputs {
         let is_small = core_share < SMALL_CORE_SHARE;
-        let tick_interval = if is_small { TICK * 2 } else { TICK };
+        let tick_interval = if is_small { TICK_INTERVAL * 2 } else { TICK_INTERVAL };
         let tick = Box::pin(tokio::time::sleep(tick_interval));
         Inputs { sources, tick, tick_interval, any_input_defers_tick: is_small }
     }
 
-    /// Time between two ticks.
+    /// Returns the time between two ticks.
     pub(super) fn tick_interval(&self) -> Duration {
         self.tick_interval
     }
 
-    /// Waits for the next event. Results of calls come first, then messages, then requests.
+    /// Waits for the next event. Results of calls have priority over messages, then come
+    /// requests and last the tick.
     pub(super) async fn next(&mut self) -> Event {
         let sources = &mut self.sources;
         let event = tokio::select! {
--- a/src/io/listeners.rs
+++ b/src/io/listeners.rs
@@ -1,7 +1,7 @@
-//! The sockets that a node listens on, and the tasks that serve them.
+//! Listening sockets of a node and the tasks that serve them.
 
-use super::frames::{RECEIVE_QUEUE, listen};
-use super::gate::{self, Pressure};
+use super::frames::{RECEIVE_QUEUE_CAPACITY, listen};
+use super::gate::{self, OverloadController};
 use super::owned_task::OwnedTask;
 use super::requests::Requests;
 use super::server;
@@ -16,15 +16,17 @@
 use tokio::sync::mpsc::{Receiver, channel};
 use woadlever_cells::message::CellMessage;
 
-/// Connections accepted from other nodes at once, old ones that hang included.
+/// Maximum number of open connections from other nodes, including stale ones that are not
+/// closed yet.
 const MAX_PEER_CONNECTIONS: usize = 24;
-/// Connections accepted from each other cell beside these: its leader keeps one, and those
-/// of former leaders may linger.
+/// Number of open connections from each neighboring cell that are allowed in addition to
+/// [`MAX_PEER_CONNECTIONS`]. The cell's leader keeps one, and stale connections of former
+/// leaders may remain.
 const CONNECTIONS_PER_CELL: usize = 4;
-/// Requests that the HTTP server has read and the event loop has not taken yet.
-const REQUEST_QUEUE: usize = 256;
+/// Maximum number of requests that wait between the HTTP server and the event loop.
+const REQUEST_QUEUE_CAPACITY: usize = 256;
 
-/// Why a node can't start. `Display` is the one line that operators see.
+/// Error that prevents a node from starting. Operators see its `Display` form as one line.
 #[derive(Debug, Error)]
 pub enum StartError {
     /// The address for the other nodes can't be bound.
@@ -53,25 +55,25 @@
     },
 }
 
-/// Binds the address for the other nodes.
+/// Binds the address on which the other nodes connect.
 pub(super) async fn bind_peers(platform: &Platform) -> Result<TcpListener, StartError> {
     let address = platform.peer_listen;
     TcpListener::bind(address).await.map_err(|source| StartError::Peers { address, source })
 }
 
-/// Serves the other nodes: their frames come out of the receiver.
+/// Starts to serve the other nodes. Their frames arrive at the returned receiver.
 pub(super) fn serve_peers(listener: TcpListener) -> (Receiver<Frame>, OwnedTask) {
-    let (sender, frames) = channel(RECEIVE_QUEUE);
+    let (sender, frames) = channel(RECEIVE_QUEUE_CAPACITY);
     (frames, OwnedTask::spawn_local(listen(listener, sender, MAX_PEER_CONNECTIONS)))
 }
 
-/// Serves other cells, if load is shared: their messages come out of the receiver. Without,
-/// there is no task, and none ever come.
+/// Starts to serve other cells. Their messages arrive at the returned receiver. If load
+/// sharing is disabled, no task is started and the receiver yields no messages.
 pub(super) async fn serve_cells(
     platform: &Platform,
     settings: &CellSettings,
 ) -> Result<(Receiver<CellMessage>, Option<OwnedTask>), StartError> {
-    let (sender, messages) = channel(RECEIVE_QUEUE);
+    let (sender, messages) = channel(RECEIVE_QUEUE_CAPACITY);
     if !settings.enabled {
         return Ok((messages, None));
     }
@@ -83,22 +85,23 @@
     Ok((messages, Some(task)))
 }
 
-/// Serves users, workers and the load balancer: their requests come out of the result. With
-/// `pressure` connections and requests are chosen by importance.
+/// Starts the HTTP server for users, workers and the load balancer. Returns the queue of their
+/// requests and the server's task. If `overload` is given, it decides under overload which
+/// connections are admitted, and requests are served by importance.
 pub(super) async fn serve_http(
     platform: &Platform,
     settings: &OverloadSettings,
-    pressure: Option<Arc<Pressure>>,
+    overload: Option<Arc<OverloadController>>,
 ) -> Result<(Requests, OwnedTask), StartError> {
     let address = platform.listen;
     let max_connections = max_http_connections(platform.cluster.limits.max_connections);
-    let (sender, incoming) = channel(REQUEST_QUEUE);
-    match pressure {
-        Some(pressure) => {
-            let acceptor = gate::bind(address, max_connections, pressure.clone())
+    let (sender, incoming) = channel(REQUEST_QUEUE_CAPACITY);
+    match overload {
+        Some(overload) => {
+            let acceptor = gate::bind(address, max_connections, overload.clone())
                 .map_err(|source| StartError::Http { address, source: source.into() })?;
             let server = Server::new(acceptor);
-            let requests = Requests::by_importance(incoming, settings.queue, pressure);
+            let requests = Requests::by_importance(incoming, settings.queue, overload);
             Ok((requests, OwnedTask::spawn_local(server.serve(server::service(sender)))))
         }
         None => {
@@ -113,8 +116,9 @@
     }
 }
 
-/// Connections of users and workers: the node's own calls and the other nodes must find a
-/// socket however many of them come.
+/// Returns the maximum number of connections of users and workers. The rest of
+/// `max_connections` is reserved for the node's own calls and for the other nodes, which must
+/// get a socket however many users and workers connect.
 fn max_http_connections(max_connections: usize) -> usize {
     max_connections - (max_connections / 6).clamp(16, 160)
 }
--- a/src/io/mod.rs
+++ b/src/io/mod.rs
@@ -1,8 +1,8 @@
 //! Sockets, timers and the event loop around the core.
 //!
-//! [`driver`] owns the loop: it hands inputs to the core one at a time and has its outputs
-//! carried out. Everything here runs on one thread, as tasks of one local task set; what to
-//! do is decided by the core alone.
+//! [`driver`] owns the loop: it passes inputs to the core one at a time and carries out its
+//! outputs. Everything here runs on one thread, as tasks of one local task set. The core makes
+//! all scheduling decisions; this module only performs the input and output.
 
 mod client;
 mod cloud;
--- a/src/io/outputs.rs
+++ b/src/io/outputs.rs
@@ -1,4 +1,4 @@
-//! Carries out what the core wants done outside of this process.
+//! Carries out the core's outputs: calls to services, messages and commands to workers.
 
 use super::client::{Client, HttpCall, ServiceRequest, call_service};
 use super::links::{CellLinks, PeerLinks};
@@ -12,29 +12,32 @@
 use tokio::sync::mpsc::UnboundedSender;
 use tokio::task::JoinSet;
 
-/// A worker answers direct commands at once, or hangs.
+/// Timeout for sending direct commands. A worker either answers them at once or hangs.
 const DIRECT_COMMANDS_TIMEOUT: Duration = Duration::from_millis(1500);
-/// Idle connections that are kept to each service, and calls to the cloud at once.
+/// Maximum number of idle connections to the store.
 const STORE_IDLE_CONNECTIONS: usize = 8;
+/// Maximum number of idle connections to the cloud.
 const CLOUD_IDLE_CONNECTIONS: usize = 2;
+/// Maximum number of calls to the cloud in flight.
 const MAX_CLOUD_CALLS: usize = 8;
 
-/// The outer services, the other nodes and the workers, as the core's outputs reach them.
+/// Connections to the external services, the other nodes and other cells, and the calls in
+/// flight.
 pub(super) struct Outputs {
     store: Client,
     cloud: Client,
     peers: PeerLinks,
     cells: CellLinks,
-    /// Results of calls go back to the event loop.
+    /// Channel on which results of calls are returned to the event loop.
     results: UnboundedSender<Input>,
-    /// One permit for each worker that direct commands may be under way to.
+    /// One permit for each transmission of direct commands that may be in flight.
     direct_permits: Arc<Semaphore>,
-    /// Calls under way; each ends by its time limit.
+    /// Calls in flight; each ends after its timeout at the latest.
     calls: JoinSet<()>,
 }
 
 impl Outputs {
-    /// Outputs with the results of calls going to `results`.
+    /// Creates the clients of the services. Results of calls are sent to `results`.
     pub(super) fn new(
         platform: &Platform,
         peers: PeerLinks,
@@ -56,7 +59,8 @@
         }
     }
 
-    /// Carries out one output, without waiting. Answers to requests are not among them.
+    /// Starts to carry out an output, without waiting for its end. Ignores answers to requests,
+    /// which the driver sends.
     pub(super) fn carry_out(&mut self, output: Output) {
         while self.calls.try_join_next().is_some() {}
         match output {
@@ -76,7 +80,7 @@
         }
     }
 
-    /// Starts a call to a service; its response becomes an input.
+    /// Starts a call to a service. `to_input` turns its response into an input for the core.
     fn call<R: ServiceRequest + 'static>(
         &mut self,
         client: Client,
@@ -90,9 +94,9 @@
         });
     }
 
-    /// Sends commands to a worker's address, if sockets are to spare: a hundred machines
-    /// may be meant at once, and some of them hang. What is left out here is in the
-    /// response to the worker's next heartbeat.
+    /// Sends commands directly to a worker, unless the limit on such calls is reached. The limit
+    /// saves sockets, because commands may be for a hundred machines at once, some of which hang.
+    /// The response to the worker's next heartbeat contains the commands that were not sent here.
     fn send_direct(&mut self, address: &str, commands: &DirectCommands) {
         let (Ok(address), Ok(body)) = (address.parse(), serde_json::to_vec(commands)) else { return };
         let Ok(permit) = self.direct_permits.clone().try_acquire_owned() else { return };
@@ -103,7 +107,7 @@
                 method: Method::POST,
                 path: "/orders".into(),
                 body: Some(body),
-                time_limit: DIRECT_COMMANDS_TIMEOUT,
+                timeout: DIRECT_COMMANDS_TIMEOUT,
             };
             let _ = client.call(call).await;
         });
--- a/src/io/owned_task.rs
+++ b/src/io/owned_task.rs
@@ -1,4 +1,4 @@
-//! Tasks that end with their owner.
+//! Tasks that are aborted when their owner is dropped.
 
 use tokio::task::JoinHandle;
 
@@ -6,12 +6,12 @@
 pub(super) struct OwnedTask(JoinHandle<()>);
 
 impl OwnedTask {
-    /// Starts the task.
+    /// Spawns the task.
     pub(super) fn spawn_local(future: impl Future<Output = ()> + 'static) -> OwnedTask {
         OwnedTask(tokio::task::spawn_local(future))
     }
 
-    /// Whether the task has ended by itself.
+    /// Whether the task has finished.
     pub(super) fn is_finished(&self) -> bool {
         self.0.is_finished()
     }
--- a/src/io/requests.rs
+++ b/src/io/requests.rs
@@ -1,6 +1,6 @@
-//! Requests on their way from the HTTP server to the core.
+//! The queue of requests between the HTTP server and the core.
 
-use super::gate::Pressure;
+use super::gate::OverloadController;
 use super::server::{PendingRequest, overloaded};
 use crate::core::HttpRequest;
 use std::sync::Arc;
@@ -8,36 +8,37 @@
 use woadlever_overload::class::RequestClass;
 use woadlever_overload::queue::{RequestQueue, Shed};
 
-/// Requests in the order in which the core takes them.
+/// Queue of requests, in the order in which the core processes them.
 pub(super) struct Requests {
     incoming: Receiver<PendingRequest>,
     prioritized: Option<PrioritizedRequests>,
 }
 
-/// Requests ordered by importance, for a node that may be under pressure.
+/// Requests ordered by importance, used if overload control is enabled.
 struct PrioritizedRequests {
     queue: RequestQueue<PendingRequest>,
-    pressure: Arc<Pressure>,
+    overload: Arc<OverloadController>,
 }
 
 impl Requests {
-    /// All requests, in the order in which they arrive.
+    /// Creates a queue of all requests in order of arrival.
     pub(super) fn in_order(incoming: Receiver<PendingRequest>) -> Requests {
         Requests { incoming, prioritized: None }
     }
 
-    /// At most `limit` requests, the most important first.
+    /// Creates a queue of at most `limit` requests, the most important first. Others are answered
+    /// as overloaded.
     pub(super) fn by_importance(
         incoming: Receiver<PendingRequest>,
         limit: usize,
-        pressure: Arc<Pressure>,
+        overload: Arc<OverloadController>,
     ) -> Requests {
         let queue = RequestQueue::new(limit);
-        Requests { incoming, prioritized: Some(PrioritizedRequests { queue, pressure }) }
+        Requests { incoming, prioritized: Some(PrioritizedRequests { queue, overload }) }
     }
 
-    /// The next request; none once the server has ended. Nothing is lost if the future
-    /// is dropped before it is ready.
+    /// Returns the next request, or `None` once the server has ended. Cancel safe: no request is
+    /// lost if the future is dropped before it is ready.
     pub(super) async fn next(&mut self) -> Option<PendingRequest> {
         let Some(prioritized) = &mut self.prioritized else { return self.incoming.recv().await };
         loop {
@@ -56,29 +57,29 @@
 impl PrioritizedRequests {
     fn push(&mut self, pending: PendingRequest) {
         let class = class_of(&pending.request);
-        if let Some(shed) = self.queue.push(class, pending, self.pressure.now()) {
+        if let Some(shed) = self.queue.push(class, pending, self.overload.now()) {
             self.reject(shed);
         }
     }
 
     fn pop(&mut self) -> Option<PendingRequest> {
-        while let Some(shed) = self.queue.pop_expired(self.pressure.now()) {
+        while let Some(shed) = self.queue.pop_expired(self.overload.now()) {
             self.reject(shed);
         }
         loop {
-            let (_, pending) = self.queue.pop(self.pressure.is_limiting())?;
-            // A closed channel: the connection has ended, and nobody waits for the answer.
+            let (_, pending) = self.queue.pop(self.overload.is_limiting())?;
+            // The channel is closed if the connection has ended: no client waits for the answer.
             if !pending.answer.is_closed() {
                 return Some(pending);
             }
-            self.pressure.count_expired();
+            self.overload.count_expired();
         }
     }
 
     fn reject(&self, shed: Shed<PendingRequest>) {
         let (Shed::Expired(_, pending) | Shed::QueueFull(_, pending)) = shed;
-        self.pressure.count_expired();
-        let _ = pending.answer.send(overloaded(self.pressure.retry_after_s()));
+        self.overload.count_expired();
+        let _ = pending.answer.send(overloaded(self.overload.retry_after_s()));
     }
 }
 
--- a/src/io/server.rs
+++ b/src/io/server.rs
@@ -1,5 +1,5 @@
-//! The HTTP interface for users, workers and the load balancer. Handlers read a request,
-//! hand it to the core and wait for its answer; they decide nothing.
+//! The HTTP interface for users, workers and the load balancer. Handlers read a request, pass
+//! it to the core and wait for the core's answer; they contain no logic of their own.
 
 use crate::core::{Answer, HttpRequest};
 use crate::wire::users::{ErrorBody, MAX_BODY_BYTES};
@@ -13,20 +13,21 @@
 use tokio::sync::mpsc::Sender;
 use tokio::sync::oneshot;
 
-/// A request that waits for its answer.
+/// A request with the channel for its answer.
 pub(super) struct PendingRequest {
-    /// What is asked.
+    /// The request.
     pub request: HttpRequest,
-    /// Where the answer goes; closed once nobody waits for it.
+    /// Channel for the answer, closed once the client no longer waits for it.
     pub answer: oneshot::Sender<Answer>,
 }
 
-/// Users give up after 5 s; an answer after that helps no one.
+/// Time within which the core must answer a request. Users give up after 5 s, so a later answer
+/// would be useless.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(4800);
-/// No body of a worker heartbeat may be longer.
+/// Maximum length of the body of a worker heartbeat.
 const MAX_HEARTBEAT_BYTES: usize = 4 << 20;
 
-/// The service that hands all requests to `requests`.
+/// Returns the HTTP service, which sends all requests to `requests`.
 pub(super) fn service(requests: Sender<PendingRequest>) -> Service {
     let core = CoreClient { requests };
     let router = Router::new()
@@ -36,12 +37,12 @@
                 .push(Router::with_path("{id}").get(Status(core.clone())))
                 .push(Router::with_path("{id}/cancel").post(Cancel(core.clone()))),
         )
-        .push(Router::with_path("checkin").post(Checkin(core.clone())))
+        .push(Router::with_path("checkin").post(Heartbeat(core.clone())))
         .push(Router::with_path("ready").get(Ready(core)));
     Service::new(router).catcher(Catcher::default().hoop(json_error))
 }
 
-/// The answer to a request that the node has no time for.
+/// Returns the answer to a request that is rejected because of overload.
 pub(super) fn overloaded(retry_after_s: u32) -> Answer {
     Answer { retry_after_s: Some(retry_after_s), ..error_answer(503, "overloaded", None) }
 }
@@ -62,7 +63,7 @@
     response.body(salvo::http::ResBody::Once(Bytes::from(answer.body)));
 }
 
-/// Hands requests to the core and waits for its answers.
+/// Sends requests to the core and waits for its answers.
 #[derive(Clone)]
 struct CoreClient {
     requests: Sender<PendingRequest>,
@@ -71,7 +72,7 @@
 impl CoreClient {
     async fn ask(&self, request: HttpRequest) -> Answer {
         let (answer, answered) = oneshot::channel();
-        // A full queue means that we can't keep up: say so at once.
+        // A full queue means that the node can't keep up, so the request is rejected at once.
         if self.requests.try_send(PendingRequest { request, answer }).is_err() {
             return error_answer(503, "overloaded", None);
         }
@@ -120,9 +121,9 @@
     }
 }
 
-struct Checkin(CoreClient);
+struct Heartbeat(CoreClient);
 #[handler]
-impl Checkin {
+impl Heartbeat {
     async fn handle(&self, request: &mut Request, response: &mut Response) {
         let body = request.payload_with_max_size(MAX_HEARTBEAT_BYTES).await;
         let answer = match body.map(|body| serde_json::from_slice::<WorkerHeartbeat>(body)) {
@@ -134,7 +135,7 @@
     }
 }
 
-/// Gives errors of the server itself, such as an unknown path, a JSON body.
+/// Adds a JSON body to errors of the HTTP server itself, such as an unknown path.
 #[handler]
 async fn json_error(response: &mut Response, control: &mut FlowCtrl) {
     let status = response.status_code.unwrap_or(StatusCode::NOT_FOUND);
--- a/src/io/store.rs
+++ b/src/io/store.rs
@@ -1,26 +1,27 @@
-//! Calls to the key-value store, as the core asks for them.
+//! HTTP encoding of the core's requests to the key-value store.
 
-use super::client::{CallError, HttpCall, Reply, ServiceRequest};
+use super::client::{CallError, HttpCall, HttpResponse, ServiceRequest};
 use crate::core::{StoreRequest, StoreResponse};
 use crate::wire::store::{CompareAndSwapCommitted, CompareAndSwapConflict, LeaseOpened, OpenLease};
 use hyper::Method;
 use std::time::Duration;
 
-/// A user waits for 5 s, and a read may have to follow a write.
-const TIME_LIMIT: Duration = Duration::from_millis(2000);
-/// Time for the response to a watch beyond the time that it waits for changes.
+/// Timeout of a call. Users wait for 5 s, and one request may need two calls in sequence: a
+/// write and then a read.
+const CALL_TIMEOUT: Duration = Duration::from_millis(2000);
+/// Time that a watch may take beyond the time for which the store blocks waiting for changes.
 const WATCH_SLACK: Duration = Duration::from_millis(3000);
-/// Name of the service in logs.
+/// Name of the service in log lines.
 const SERVICE: &str = "store";
-/// What the body of a 400 says when a lease has expired: an ordinary response to a late
-/// write.
+/// Text in the body of a 400 response if the lease has expired. That is an expected response
+/// to a late write, not a malformed request.
 const NO_SUCH_LEASE: &str = "no such lease";
 
 impl ServiceRequest for StoreRequest {
     type Response = StoreResponse;
 
     fn to_http(&self) -> HttpCall {
-        let mut time_limit = TIME_LIMIT;
+        let mut timeout = CALL_TIMEOUT;
         let (method, path, body) = match self {
             StoreRequest::Get(key) => (Method::GET, format!("/keys/{key}"), None),
             StoreRequest::List { prefix, since, most } => {
@@ -39,30 +40,30 @@
             }
             StoreRequest::EndLease(id) => (Method::DELETE, format!("/holds/{id}"), None),
             StoreRequest::Watch { prefix, since, block_ms } => {
-                time_limit = Duration::from_millis(*block_ms) + WATCH_SLACK;
+                timeout = Duration::from_millis(*block_ms) + WATCH_SLACK;
                 let path = format!("/watch?prefix={prefix}&since={since}&block_ms={block_ms}");
                 (Method::GET, path, None)
             }
         };
-        HttpCall { method, path, body, time_limit }
+        HttpCall { method, path, body, timeout }
     }
 
-    fn read_reply(&self, reply: &Reply) -> Option<StoreResponse> {
-        match (self, reply.status) {
+    fn parse_response(&self, response: &HttpResponse) -> Option<StoreResponse> {
+        match (self, response.status) {
             (_, 429 | 503) => Some(StoreResponse::NotExecuted),
-            (StoreRequest::Get(_), 200) => reply.json(SERVICE).map(StoreResponse::KeyValue),
+            (StoreRequest::Get(_), 200) => response.json(SERVICE).map(StoreResponse::KeyValue),
             (StoreRequest::Get(_), 404) => Some(StoreResponse::NotFound),
-            (StoreRequest::List { .. }, 200) => reply.json(SERVICE).map(StoreResponse::Page),
+            (StoreRequest::List { .. }, 200) => response.json(SERVICE).map(StoreResponse::Page),
             (StoreRequest::CompareAndSwap(_), 200) => {
-                let committed: CompareAndSwapCommitted = reply.json(SERVICE)?;
+                let committed: CompareAndSwapCommitted = response.json(SERVICE)?;
                 Some(StoreResponse::Committed { revision: committed.revision })
             }
             (StoreRequest::CompareAndSwap(_), 409) => {
-                let conflict: CompareAndSwapConflict = reply.json(SERVICE)?;
+                let conflict: CompareAndSwapConflict = response.json(SERVICE)?;
                 Some(StoreResponse::Conflict(conflict.failed))
             }
             (StoreRequest::OpenLease { .. }, 200) => {
-                let opened: LeaseOpened = reply.json(SERVICE)?;
+                let opened: LeaseOpened = response.json(SERVICE)?;
                 Some(StoreResponse::LeaseOpened(opened.lease))
             }
             (StoreRequest::RenewLease(_) | StoreRequest::EndLease(_), 200 | 204) => {
@@ -71,9 +72,9 @@
             (StoreRequest::RenewLease(_) | StoreRequest::EndLease(_), 404) => {
                 Some(StoreResponse::LeaseNotFound)
             }
-            (StoreRequest::Watch { .. }, 200) => reply.json(SERVICE).map(StoreResponse::Watch),
+            (StoreRequest::Watch { .. }, 200) => response.json(SERVICE).map(StoreResponse::Watch),
             (StoreRequest::Watch { .. }, 410) => Some(StoreResponse::Compacted),
-            (StoreRequest::CompareAndSwap(_), 400) if reply.contains(NO_SUCH_LEASE) => {
+            (StoreRequest::CompareAndSwap(_), 400) if response.contains(NO_SUCH_LEASE) => {
                 Some(StoreResponse::LeaseNotFound)
             }
             (_, status @ 400..=499) => {
