--- a/crates/overload/src/class.rs
+++ b/crates/overload/src/class.rs
@@ -1,32 +1,33 @@
-//! The importance of a request, and how long its client waits for the answer.
+//! Classes of requests by importance, and the timeouts of their clients.
 
 use crate::Millis;
 
-/// What a request is about, the most important first.
+/// Class of a request. The most important class comes first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum RequestClass {
-    /// The load balancer checks whether the node is ready.
+    /// A readiness probe of the load balancer.
     Probe,
-    /// A worker's heartbeat: left unanswered for a lease, its tasks are lost.
+    /// A worker's heartbeat. If a worker gets no answer for the duration of its lease, its tasks
+    /// are lost.
     WorkerHeartbeat,
-    /// A user's cancellation.
+    /// A user's cancellation of a job.
     Cancellation,
-    /// A user's submission.
+    /// A user's submission of a job.
     Submission,
-    /// A user's poll for the status of a job.
+    /// A user's query for the status of a job.
     StatusQuery,
 }
 
-/// Bytes at the beginning of a request that are enough to tell its class.
+/// Number of bytes at the beginning of a request that are enough to determine its class.
 pub const HEAD_BYTES: usize = 64;
 
-/// How long a worker waits for the answer to a heartbeat.
+/// Time that a worker waits for the answer to a heartbeat.
 const HEARTBEAT_TIMEOUT_MS: Millis = 4_000;
-/// How long a user waits for the answer to a submission or a cancellation.
+/// Time that a user waits for the answer to a submission or a cancellation.
 const SUBMISSION_TIMEOUT_MS: Millis = 5_000;
-/// How long a user waits for the status of a job.
+/// Time that a user waits for the status of a job.
 const STATUS_QUERY_TIMEOUT_MS: Millis = 2_000;
-/// How long the load balancer waits for the answer to a probe.
+/// Time that the load balancer waits for the answer to a probe.
 const PROBE_TIMEOUT_MS: Millis = 1_000;
 
 impl RequestClass {
@@ -39,8 +40,8 @@
         RequestClass::StatusQuery,
     ];
 
-    /// The class of a request that begins with these bytes. What can't be recognized is
-    /// taken for a status query, the least important class.
+    /// Returns the class of a request that begins with these bytes. A request that isn't
+    /// recognized is treated as a status query, the least important class.
     pub fn from_head(head: &[u8]) -> RequestClass {
         let line = head.split(|byte| *byte == b'\r').next().unwrap_or_default();
         let mut words = line.split(|byte| *byte == b' ');
@@ -54,7 +55,7 @@
         }
     }
 
-    /// How long a client waits for the answer, in milliseconds.
+    /// Returns the time that a client waits for the answer, in milliseconds.
     pub fn client_timeout_ms(self) -> Millis {
         match self {
             RequestClass::Probe => PROBE_TIMEOUT_MS,
@@ -64,7 +65,7 @@
         }
     }
 
-    /// Name in reports for operators.
+    /// Name of the class in reports for operators.
     pub fn name(self) -> &'static str {
         match self {
             RequestClass::Probe => "probe",
--- a/crates/overload/tests/decisions.rs
+++ b/crates/overload/tests/decisions.rs
@@ -1,4 +1,5 @@
-//! Decisions of each part by itself.
+//! Tests of classification, lag detection, admission, retry delays and the queue, each in
+//! isolation.
 
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic, reason = "a test fails by panicking")]
 
@@ -10,7 +11,7 @@
 use woadlever_overload::queue::{RequestQueue, Shed};
 
 #[test]
-fn requests_are_told_apart_by_their_first_line() {
+fn requests_are_classified_by_their_first_line() {
     let cases: [(&[u8], RequestClass); 8] = [
         (b"GET /ready HTTP/1.1\r\nhost: x", RequestClass::Probe),
         (b"POST /checkin HTTP/1.1\r\n", RequestClass::WorkerHeartbeat),
@@ -27,7 +28,7 @@
 }
 
 #[test]
-fn one_late_timer_is_no_pressure_and_lasting_lag_is() {
+fn one_late_timer_is_not_pressure_but_lasting_lag_is() {
     let mut monitor = LagMonitor::new(100, 500);
     monitor.note_timer(1_000, 1_300);
     assert!(!monitor.is_under_pressure(1_300));
@@ -49,7 +50,7 @@
         if now % 100 == 0 {
             admission.note_pressure(true, now);
         }
-        // A thousand heartbeats a second, and ten requests of every other class.
+        // 1000 heartbeats per second, and 10 requests per second of each less important class.
         admitted[1] += u32::from(admission.admit(RequestClass::WorkerHeartbeat, now));
         if now % 100 == 0 {
             for (index, class) in RequestClass::ALL.into_iter().enumerate().skip(2) {
@@ -58,7 +59,7 @@
         }
     }
     assert!(admitted[1] > 400, "{admitted:?}");
-    assert!(admitted[2..].iter().all(|n| *n >= 30), "{admitted:?}");
+    assert!(admitted[2..].iter().all(|count| *count >= 30), "{admitted:?}");
 }
 
 #[test]
@@ -104,7 +105,8 @@
     assert!(queue.is_empty());
 }
 
-/// Fixed seeds, so that each run draws the same; what once failed is kept in the file.
+/// Uses a fixed seed, so that every run generates the same cases. Failed cases are stored in the
+/// regressions file and run again.
 fn fixed_seed() -> ProptestConfig {
     ProptestConfig {
         rng_seed: RngSeed::Fixed(20_261_202),
@@ -118,62 +120,63 @@
 proptest! {
     #![proptest_config(fixed_seed())]
 
-    /// Every request that is pushed comes out once: served, expired or shed as the queue is
-    /// full; the queue keeps its bound, and no request is served before a more important one.
+    /// Every request that is pushed leaves the queue exactly once: served, expired, or dropped
+    /// because the queue is full. The queue never exceeds its limit, and no request is served
+    /// before a more important one.
     #[test]
     fn the_queue_loses_nothing(
         limit in 1_usize..20,
         steps in proptest::collection::vec((0_usize..7, 0_u64..1_500, any::<bool>()), 1..200),
     ) {
         let mut queue = RequestQueue::new(limit);
-        let (mut pushed, mut out, mut now) = (0_u32, Vec::new(), 0);
+        let (mut pushed, mut removed, mut now) = (0_u32, Vec::new(), 0);
         for (action, pause, under_pressure) in steps {
             now += pause;
             match action {
                 0..=4 => {
                     let shed = queue.push(RequestClass::ALL[action], pushed, now);
                     pushed += 1;
-                    out.extend(shed.map(|(Shed::QueueFull(_, n) | Shed::Expired(_, n))| n));
+                    removed.extend(shed.map(|(Shed::QueueFull(_, n) | Shed::Expired(_, n))| n));
                 }
-                5 => out.extend(queue.pop(under_pressure).map(|(_, n)| n)),
+                5 => removed.extend(queue.pop(under_pressure).map(|(_, n)| n)),
                 _ => {
                     while let Some(Shed::Expired(_, n) | Shed::QueueFull(_, n)) = queue.pop_expired(now) {
-                        out.push(n);
+                        removed.push(n);
                     }
                 }
             }
             prop_assert!(queue.len() <= limit);
         }
-        let mut last = RequestClass::Probe;
+        let mut previous_class = RequestClass::Probe;
         while let Some((class, n)) = queue.pop(false) {
-            prop_assert!(class >= last);
-            last = class;
-            out.push(n);
+            prop_assert!(class >= previous_class);
+            previous_class = class;
+            removed.push(n);
         }
-        out.sort_unstable();
-        prop_assert_eq!(out, (0..pushed).collect::<Vec<_>>());
+        removed.sort_unstable();
+        prop_assert_eq!(removed, (0..pushed).collect::<Vec<_>>());
     }
 
-    /// However requests and pressure come, no more than the maximum rate is admitted, and the
-    /// delay before the next connection is bounded.
+    /// For any sequence of requests and pressure, no more connections are admitted than the
+    /// maximum rate allows, and the delay before the next connection is bounded.
     #[test]
     fn admission_keeps_within_its_rate(
-        share in 0.005_f64..1.0,
+        core_share in 0.005_f64..1.0,
         steps in proptest::collection::vec((0_usize..5, 0_u64..400, any::<bool>()), 1..300),
     ) {
         let settings = AdmissionSettings::default();
-        let mut admission = Admission::new(&settings, share, 0);
+        let mut admission = Admission::new(&settings, core_share, 0);
         let (mut now, mut admitted) = (0, 0.0);
-        for (class, pause, late) in steps {
+        for (class, pause, under_pressure) in steps {
             now += pause;
-            admission.note_pressure(late, now);
+            admission.note_pressure(under_pressure, now);
             let class = RequestClass::ALL[class];
             let was_limiting = admission.is_limiting();
             let is_admitted = admission.admit(class, now);
             admitted += f64::from(u8::from(is_admitted && was_limiting && class != RequestClass::Probe));
             prop_assert!(admission.accept_delay_ms(now) <= 1_000);
         }
-        let most = settings.connections_per_core * share * (now as f64 / 1_000.0 + 2.0) + 5.0;
-        prop_assert!(admitted <= most, "{admitted} of {most}");
+        let limit = settings.connections_per_core * core_share * (now as f64 / 1_000.0 + 2.0) + 5.0;
+        prop_assert!(admitted <= limit, "{admitted} of {limit}");
     }
 }
--- a/crates/overload/tests/support/mod.rs
+++ b/crates/overload/tests/support/mod.rs
@@ -1,6 +1,6 @@
-//! A node with a small share of a core, in simulated time: each turn of its event loop
-//! handles all requests that have arrived and lasts as long as that costs. Clients give up
-//! after their timeout and retry later.
+//! Simulation of a node with a small share of a core and of its clients. Each iteration of the
+//! node's event loop handles all requests that have arrived and takes as much simulated time as
+//! they cost. Clients time out and retry later.
 
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
@@ -10,29 +10,31 @@
 use woadlever_overload::class::RequestClass;
 use woadlever_overload::lag::LagMonitor;
 
-/// Microseconds of a whole core.
+/// Cost of a request over a new connection, in microseconds of a whole core.
 pub(crate) const NEW_CONNECTION_US: u64 = 250;
-pub(crate) const KEPT_CONNECTION_US: u64 = 90;
+/// Cost of a request over an open connection, in microseconds of a whole core.
+pub(crate) const OPEN_CONNECTION_US: u64 = 90;
+/// Cost of rejecting a connection, in microseconds of a whole core.
 pub(crate) const REJECTION_US: u64 = 25;
-/// Timers of the event loop.
-const TIMER_MS: Millis = 50;
+/// Interval of the timer of the event loop.
+const TIMER_INTERVAL_MS: Millis = 50;
 const LAG_TARGET_MS: Millis = 100;
 const LAG_INTERVAL_MS: Millis = 500;
-/// Length of the kernel's backlog where none is set.
-const USUAL_BACKLOG: usize = 1_024;
+/// Length of the kernel's backlog if admission control doesn't set it.
+const DEFAULT_BACKLOG: usize = 1_024;
 const US_PER_MS: f64 = 1_000.0;
 
 /// How a client behaves.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Behavior {
     pub class: RequestClass,
-    /// Time between an answer and the next request; none: it sends one request.
+    /// Time between an answer and the next request; `None` if the client sends only one request.
     pub period_ms: Option<Millis>,
-    /// Time between giving up, or being rejected, and the next attempt.
+    /// Time between a timeout or rejection and the next attempt.
     pub retry_ms: Millis,
-    /// Whether it waits for as long as `Retry-After` says.
-    pub heeds_retry_after: bool,
-    /// Time after its first attempt after which it gives up for good; never if absent.
+    /// Whether the client waits as long as `Retry-After` says before it retries.
+    pub honors_retry_after: bool,
+    /// Time after the first attempt at which the client stops retrying; `None` if it never does.
     pub gives_up_after_ms: Option<Millis>,
 }
 
@@ -40,16 +42,19 @@
 struct Client {
     behavior: Behavior,
     is_connected: bool,
-    /// Number of its newest attempt; answers to earlier ones come too late.
+    /// Number of the current attempt. Answers to earlier attempts are too late and are ignored.
     attempt: u64,
-    answered: u64,
+    /// Number of answers received in time.
+    answer_count: u64,
     first_attempt: Millis,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
-    Ask(usize),
-    GiveUp(usize, u64),
+    /// The client with this index sends a request.
+    SendRequest(usize),
+    /// This attempt of the client with this index times out.
+    Timeout(usize, u64),
 }
 
 #[derive(Debug)]
@@ -60,7 +65,7 @@
     sent: Millis,
 }
 
-/// The node with all its clients.
+/// Simulation of a node with all its clients.
 pub(crate) struct Simulation {
     pub now: Millis,
     core_share: f64,
@@ -69,22 +74,22 @@
     clients: Vec<Client>,
     events: BTreeMap<(Millis, u64), Event>,
     next_event: u64,
-    /// Requests over open connections.
+    /// Requests that have arrived over open connections.
     arrived: Vec<Request>,
-    /// Connections that have not been accepted yet.
+    /// Requests over new connections that the node has not accepted yet.
     backlog: VecDeque<Request>,
     backlog_limit: usize,
-    /// Answers that arrived in time, by the second in which they did.
-    pub good_answers: BTreeMap<u64, u64>,
-    /// Longest turn of the event loop in each second.
-    pub longest_turn_ms: BTreeMap<u64, Millis>,
+    /// Number of answers that arrived in time, by the second of their arrival.
+    pub timely_answers: BTreeMap<u64, u64>,
+    /// Duration of the longest iteration of the event loop in each second.
+    pub longest_iteration_ms: BTreeMap<u64, Millis>,
 }
 
 impl Simulation {
     pub(crate) fn new(core_share: f64, with_admission: bool) -> Simulation {
         let admission =
             with_admission.then(|| Admission::new(&AdmissionSettings::default(), core_share, 0));
-        let backlog_limit = admission.as_ref().map_or(USUAL_BACKLOG, |a| a.backlog() as usize);
+        let backlog_limit = admission.as_ref().map_or(DEFAULT_BACKLOG, |a| a.backlog() as usize);
         Simulation {
             now: 0,
             core_share,
@@ -96,8 +101,8 @@
             arrived: Vec::new(),
             backlog: VecDeque::new(),
             backlog_limit,
-            good_answers: BTreeMap::new(),
-            longest_turn_ms: BTreeMap::new(),
+            timely_answers: BTreeMap::new(),
+            longest_iteration_ms: BTreeMap::new(),
         }
     }
 
@@ -107,41 +112,42 @@
             behavior,
             is_connected: false,
             attempt: 0,
-            answered: 0,
+            answer_count: 0,
             first_attempt: first,
         });
-        self.schedule(first, Event::Ask(self.clients.len() - 1));
+        self.schedule(first, Event::SendRequest(self.clients.len() - 1));
     }
 
-    /// The connections of the first clients end, and these reconnect within `spread_ms`.
-    pub(crate) fn drop_connections(&mut self, clients: usize, spread_ms: Millis) {
+    /// Closes the connections of the first `client_count` clients, which then reconnect within
+    /// `spread_ms`.
+    pub(crate) fn drop_connections(&mut self, client_count: usize, spread_ms: Millis) {
         let is_other = |event: &Event| match event {
-            Event::Ask(client) | Event::GiveUp(client, _) => *client >= clients,
+            Event::SendRequest(client) | Event::Timeout(client, _) => *client >= client_count,
         };
         self.events.retain(|_, event| is_other(event));
-        self.arrived.retain(|request| request.client >= clients);
-        self.backlog.retain(|request| request.client >= clients);
-        for index in 0..clients {
+        self.arrived.retain(|request| request.client >= client_count);
+        self.backlog.retain(|request| request.client >= client_count);
+        for index in 0..client_count {
             self.clients[index].is_connected = false;
             self.clients[index].attempt += 1;
-            let at = self.now + index as Millis * spread_ms / clients as Millis;
-            self.schedule(at, Event::Ask(index));
+            let at = self.now + index as Millis * spread_ms / client_count as Millis;
+            self.schedule(at, Event::SendRequest(index));
         }
     }
 
-    /// The node is suspended.
-    pub(crate) fn stall(&mut self, ms: Millis) {
-        self.now += ms;
+    /// Suspends the node for `duration_ms`.
+    pub(crate) fn suspend(&mut self, duration_ms: Millis) {
+        self.now += duration_ms;
     }
 
     pub(crate) fn run_until(&mut self, end: Millis) {
         while self.now < end {
-            let due = self.now + TIMER_MS;
-            let turn_ms = self.turn();
+            let due = self.now + TIMER_INTERVAL_MS;
+            let iteration_ms = self.run_iteration();
             let second = self.now / 1_000;
-            let longest = self.longest_turn_ms.entry(second).or_default();
-            *longest = (*longest).max(turn_ms);
-            self.now = (self.now + turn_ms).max(due);
+            let longest = self.longest_iteration_ms.entry(second).or_default();
+            *longest = (*longest).max(iteration_ms);
+            self.now = (self.now + iteration_ms).max(due);
             self.monitor.note_timer(due, self.now);
             if let Some(admission) = &mut self.admission {
                 admission.note_pressure(self.monitor.is_under_pressure(self.now), self.now);
@@ -149,21 +155,27 @@
         }
     }
 
-    /// Answers in time per second, over the seconds from `from_s` to `to_s`.
+    /// Returns the number of timely answers per second, over the seconds from `from_s` to `to_s`.
     pub(crate) fn goodput(&self, from_s: u64, to_s: u64) -> f64 {
-        let sum: u64 = self.good_answers.range(from_s..to_s).map(|(_, n)| n).sum();
+        let sum: u64 = self.timely_answers.range(from_s..to_s).map(|(_, count)| count).sum();
         sum as f64 / (to_s - from_s) as f64
     }
 
-    /// Share of the clients that were answered at all since `answers` was taken.
-    pub(crate) fn share_answered_since(&self, answers: &[u64]) -> f64 {
-        let answered =
-            self.clients.iter().zip(answers).filter(|(client, n)| client.answered > **n).count();
+    /// Returns the share of clients that got at least one answer since [`Self::answer_counts`]
+    /// returned `earlier_counts`.
+    pub(crate) fn share_answered_since(&self, earlier_counts: &[u64]) -> f64 {
+        let answered = self
+            .clients
+            .iter()
+            .zip(earlier_counts)
+            .filter(|(client, count)| client.answer_count > **count)
+            .count();
         answered as f64 / self.clients.len() as f64
     }
 
-    pub(crate) fn answers(&self) -> Vec<u64> {
-        self.clients.iter().map(|client| client.answered).collect()
+    /// Returns the number of timely answers to each client.
+    pub(crate) fn answer_counts(&self) -> Vec<u64> {
+        self.clients.iter().map(|client| client.answer_count).collect()
     }
 
     fn schedule(&mut self, at: Millis, event: Event) {
@@ -171,21 +183,21 @@
         self.events.insert((at, self.next_event), event);
     }
 
-    /// Plays what clients do up to now.
-    fn play_clients(&mut self) {
+    /// Processes the events of clients that are due.
+    fn process_client_events(&mut self) {
         while let Some(entry) = self.events.first_entry() {
             let (at, _) = *entry.key();
             if at > self.now {
                 return;
             }
             match entry.remove() {
-                Event::Ask(index) => self.ask(index, at),
-                Event::GiveUp(index, attempt) => self.give_up(index, attempt, at),
+                Event::SendRequest(index) => self.send_request(index, at),
+                Event::Timeout(index, attempt) => self.on_timeout(index, attempt, at),
             }
         }
     }
 
-    fn ask(&mut self, index: usize, at: Millis) {
+    fn send_request(&mut self, index: usize, at: Millis) {
         let client = &mut self.clients[index];
         client.attempt += 1;
         let (attempt, is_new_connection) = (client.attempt, !client.is_connected);
@@ -196,15 +208,15 @@
         } else if self.backlog.len() < self.backlog_limit {
             self.backlog.push_back(request);
         } else {
-            // Refused by the kernel.
+            // The backlog is full, so the kernel refuses the connection.
             client.attempt += 1;
             let retry_at = at + client.behavior.retry_ms;
-            return self.try_again(index, retry_at);
+            return self.schedule_retry(index, retry_at);
         }
-        self.schedule(at + client_timeout_ms, Event::GiveUp(index, attempt));
+        self.schedule(at + client_timeout_ms, Event::Timeout(index, attempt));
     }
 
-    fn give_up(&mut self, index: usize, attempt: u64, at: Millis) {
+    fn on_timeout(&mut self, index: usize, attempt: u64, at: Millis) {
         let client = &mut self.clients[index];
         if client.attempt != attempt {
             return;
@@ -212,39 +224,39 @@
         client.attempt += 1;
         client.is_connected = false;
         let retry_at = at + client.behavior.retry_ms;
-        self.try_again(index, retry_at);
+        self.schedule_retry(index, retry_at);
     }
 
-    fn try_again(&mut self, index: usize, at: Millis) {
+    fn schedule_retry(&mut self, index: usize, at: Millis) {
         let client = &self.clients[index];
         let end = client.behavior.gives_up_after_ms.map(|ms| client.first_attempt + ms);
         if end.is_none_or(|end| at < end) {
-            self.schedule(at, Event::Ask(index));
+            self.schedule(at, Event::SendRequest(index));
         }
     }
 
-    /// One turn of the event loop; how long it lasts.
-    fn turn(&mut self) -> Millis {
-        self.play_clients();
+    /// Runs one iteration of the event loop and returns its duration.
+    fn run_iteration(&mut self) -> Millis {
+        self.process_client_events();
         let mut cost_us = 0;
         let mut requests = std::mem::take(&mut self.arrived);
         while let Some(request) = self.backlog.pop_front() {
             requests.push(request);
         }
         for request in requests {
-            if request.is_new_connection && self.must_pause() {
+            if request.is_new_connection && self.is_accept_delayed() {
                 self.backlog.push_back(request);
                 continue;
             }
             let class = self.clients[request.client].behavior.class;
             let is_admitted = !request.is_new_connection
                 || self.admission.as_mut().is_none_or(|admission| admission.admit(class, self.now));
-            // A client that has given up costs as much as one that still waits: the request
-            // is read before the end of the connection shows.
+            // A request of a client that has timed out costs as much as any other, because the
+            // request is read before the end of the connection is seen.
             cost_us += match (is_admitted, request.is_new_connection) {
                 (false, _) => REJECTION_US,
                 (true, true) => NEW_CONNECTION_US,
-                (true, false) => KEPT_CONNECTION_US,
+                (true, false) => OPEN_CONNECTION_US,
             };
             let answered_at = self.now + (cost_us as f64 / US_PER_MS / self.core_share) as Millis;
             self.answer(&request, is_admitted, answered_at);
@@ -252,7 +264,7 @@
         (cost_us as f64 / US_PER_MS / self.core_share) as Millis
     }
 
-    fn must_pause(&mut self) -> bool {
+    fn is_accept_delayed(&mut self) -> bool {
         self.admission.as_mut().is_some_and(|admission| admission.accept_delay_ms(self.now) > 0)
     }
 
@@ -266,18 +278,18 @@
         if !is_admitted {
             let mut wait_ms = client.behavior.retry_ms;
             if let Some(admission) =
-                self.admission.as_mut().filter(|_| client.behavior.heeds_retry_after)
+                self.admission.as_mut().filter(|_| client.behavior.honors_retry_after)
             {
                 let random = (request.client as u32).wrapping_mul(2_654_435_761) >> 8;
                 wait_ms = wait_ms.max(Millis::from(admission.retry_after_s(random, self.now)) * 1_000);
             }
-            return self.try_again(request.client, at + wait_ms);
+            return self.schedule_retry(request.client, at + wait_ms);
         }
         client.is_connected = true;
-        client.answered += 1;
-        *self.good_answers.entry(at / 1_000).or_default() += 1;
+        client.answer_count += 1;
+        *self.timely_answers.entry(at / 1_000).or_default() += 1;
         if let Some(period_ms) = client.behavior.period_ms {
-            self.schedule(at + period_ms, Event::Ask(request.client));
+            self.schedule(at + period_ms, Event::SendRequest(request.client));
         }
     }
 }
