--- a/src/io/driver.rs
+++ b/src/io/driver.rs
@@ -46,7 +46,8 @@
         let mut rng = rand::rng();
         let started = Instant::now();
         let incarnation = new_incarnation(&mut rng);
-        let core = Core::new(platform.clone(), operator, incarnation, rng.random(), steady_ms(started));
+        let core =
+            Core::new(platform.clone(), operator, incarnation, rng.random(), monotonic_ms(started));
         let operator = &core.context.operator;
 
         let peer_listener = listeners::bind_peers(&platform).await?;
@@ -87,7 +88,7 @@
             Event::Request(pending) => self.answers.register(pending),
             Event::Input(input) => input,
         };
-        for output in self.core.step(steady_ms(self.started), wall_ms(), input) {
+        for output in self.core.step(monotonic_ms(self.started), wall_ms(), input) {
             match output {
                 Output::Answer { request_id, answer } => self.answers.send(request_id, answer),
                 other => self.outputs.carry_out(other),
@@ -142,7 +143,7 @@
 }
 
 /// Monotonic time in milliseconds, which starts at 1.
-fn steady_ms(started: Instant) -> u64 {
+fn monotonic_ms(started: Instant) -> u64 {
     started.elapsed().as_millis() as u64 + 1
 }
 
--- a/src/io/frames/listener.rs
+++ b/src/io/frames/listener.rs
@@ -33,9 +33,9 @@
     UnreadableFrame,
 }
 
-/// Accepts connections until it is dropped and sends their messages to `received`. If more than
-/// `max_connections` are open, the oldest is closed: a node that was suspended finds several
-/// connections that their senders have abandoned, and the newest is the one in use.
+/// Accepts connections until it is dropped and sends their messages to `received`. If
+/// `max_connections` are already open, the oldest is closed: a node that was suspended finds
+/// several connections that their senders have abandoned, and the newest is the one in use.
 pub async fn listen<T: Payload>(listener: TcpListener, received: Sender<T>, max_connections: usize) {
     let mut connections: VecDeque<OwnedTask> = VecDeque::new();
     loop {
--- a/src/io/gate/overload.rs
+++ b/src/io/gate/overload.rs
@@ -106,7 +106,8 @@
         self.state().admission.retry_after_s(rand::random(), now)
     }
 
-    /// Returns how long to wait before the next connection is accepted, if at all.
+    /// Returns how long to wait before the next connection is accepted, or `None` if it can be
+    /// accepted at once.
     pub(crate) fn accept_delay(&self) -> Option<Duration> {
         let now = self.now();
         let accept_delay_ms = self.state().admission.accept_delay_ms(now);
--- a/src/io/outputs.rs
+++ b/src/io/outputs.rs
@@ -30,7 +30,7 @@
     cells: CellLinks,
     /// Channel on which results of calls are returned to the event loop.
     results: UnboundedSender<Input>,
-    /// One permit for each transmission of direct commands that may be in flight.
+    /// One permit for each worker to which direct commands may be in flight.
     direct_permits: Arc<Semaphore>,
     /// Calls in flight; each ends after its timeout at the latest.
     calls: JoinSet<()>,
