--- a/src/io/client.rs
+++ b/src/io/client.rs
@@ -169,7 +169,7 @@
     let (connection, driver) = handshake(TokioIo::new(stream)).await.map_err(|_| CallError::NotSent)?;
     tokio::task::spawn_local(async move {
         if let Err(error) = driver.await {
-            tracing::debug!(%error, "HTTP connection ended with an error");
+            tracing::debug!(%error, "outgoing HTTP connection failed");
         }
     });
     Ok(connection)
