--- a/tests/scenarios/cancellation.rs
+++ b/tests/scenarios/cancellation.rs
@@ -1,10 +1,10 @@
-//! Cancelled jobs are gone in time and stay cancelled.
+//! Cancelled jobs end within the time limit and stay cancelled.
 
 use crate::fixtures::{busy_machine, busy_world, world};
 use crate::support::job;
 
 #[test]
-fn a_cancelled_job_is_gone_in_time_and_stays_cancelled() {
+fn a_cancelled_job_ends_in_time_and_stays_cancelled() {
     let mut world = world(4);
     world.run_ms = 300_000;
     world.accept(0, &job(1, "t1", 8, 300.0));
@@ -26,10 +26,10 @@
     world.assert_rules_kept();
 }
 
-/// Invariant 5: a shard owner cut off from all but its workers must let their
-/// leases end before a cancellation that it never saw is overdue.
+/// Invariant 5: a shard owner that can reach only its workers must let their leases end before the
+/// time limit of a cancellation that it has not seen.
 #[test]
-fn a_shard_owner_cut_off_from_all_but_its_workers_keeps_nothing_cancelled() {
+fn a_shard_owner_that_reaches_only_its_workers_lets_cancelled_tasks_end_in_time() {
     let mut world = busy_world(5, 8);
     let (_, victim) = busy_machine(&world);
     for other in (0..3).filter(|node| *node != victim) {
@@ -37,7 +37,7 @@
     }
     world.store.refuses.insert(victim);
 
-    // Nor can the machines be returned.
+    // The machines can't be terminated through the cloud either.
     world.cloud.is_down = true;
     world.run(500);
     let leader = world.leader().unwrap();
@@ -48,10 +48,10 @@
     world.assert_rules_kept();
 }
 
-/// Invariant 7: done and cancelled exclude each other, however late the leader
-/// hears of a cancellation.
+/// Invariant 7: a job is never both done and cancelled, however late the leader learns of a
+/// cancellation.
 #[test]
-fn a_cancelled_job_is_never_called_done() {
+fn a_cancelled_job_is_never_reported_done() {
     let mut world = world(46);
     world.accept(0, &job(1, "t1", 4, 10.0));
     let leader = world.leader().unwrap();
@@ -59,7 +59,7 @@
         world.run(500);
     }
 
-    // The tasks end, and the leader's record of it is under way for long.
+    // The tasks end while the leader's write that records this is in flight for 9 s.
     world.store_faults.slow_writes.insert(leader, 9_000);
     world.run(12_500);
     assert_eq!(world.cancel((leader + 1) % 3, "run-000001"), 200);
--- a/tests/scenarios/failover.rs
+++ b/tests/scenarios/failover.rs
@@ -1,9 +1,10 @@
-//! Leaders and shard owners crash, come back, or write late.
+//! Leaders and shard owners crash, restart, or have delayed writes.
 
 use crate::fixtures::{busy_machine, busy_world, idle_east, world};
 use crate::support::{World, ZONES, job};
 
-/// Twelve tasks on three of the machines: at least one of them is n0's.
+/// Submits a job of twelve tasks while the writes of n0 are delayed. The tasks need three of the
+/// four machines, so that n0 owns the shard of at least one of them.
 fn admit_to_a_slow_shard_owner(world: &mut World, delay_ms: u64) {
     world.store_faults.slow_writes.insert(0, delay_ms);
     let request = world.submit(1, &job(1, "t1", 12, 60.0));
@@ -11,8 +12,8 @@
     assert_eq!(world.users.answers[&request].status, 201);
 }
 
-/// Invariant 1, the shard's fencing token: a shard owner whose write is slow, and that has
-/// not heard that its shard went elsewhere, must not get the write through.
+/// Invariant 1, the shard's fencing token: a delayed write of a shard owner must fail if the shard
+/// has been assigned to another node since, even though the former owner doesn't know it yet.
 #[test]
 fn a_slow_write_of_a_former_shard_owner_fails() {
     let mut world = idle_east();
@@ -25,13 +26,13 @@
     world.assert_rules_kept();
 }
 
-/// Invariant 1, the term: the placement of a task that a former leader admitted, written
-/// late, must not stand beside what the new leader has admitted since.
+/// Invariant 1, the term: a delayed write of a placement that a former leader admitted must fail,
+/// because the new leader may have admitted other tasks in the meantime.
 #[test]
 fn a_slow_write_for_a_former_leader_fails() {
     let mut world = idle_east();
-    // Late enough for the new leader to have read the records, and before it
-    // takes the shard from a shard owner without a store.
+    // The write arrives after the new leader has read the records, and before the new leader
+    // reassigns the shard of the owner that the store refuses.
     admit_to_a_slow_shard_owner(&mut world, 6_500);
     world.store.refuses.insert(0);
     world.crash(1, 90_000);
@@ -41,7 +42,7 @@
 }
 
 #[test]
-fn a_restart_of_all_nodes_keeps_running_tasks_and_forgets_nothing() {
+fn running_tasks_survive_a_restart_of_all_nodes() {
     let mut world = world(6);
     world.run_ms = 40_000;
     world.accept(0, &job(1, "t1", 8, 40.0));
@@ -57,13 +58,13 @@
     assert_eq!(world.status(1, "run-000001"), "done");
 
     for (task, count) in &world.oracle.starts {
-        assert_eq!(*count, 1, "{task} was started again although its lease lasted");
+        assert_eq!(*count, 1, "{task} was started again although its lease had not ended");
     }
     world.assert_rules_kept();
 }
 
 #[test]
-fn a_crashed_leader_is_replaced_and_work_goes_on() {
+fn a_crashed_leader_is_replaced_and_jobs_complete() {
     let mut world = world(7);
     world.accept(0, &job(1, "t1", 24, 10.0));
     world.run(25_000);
@@ -76,7 +77,7 @@
 }
 
 #[test]
-fn a_leader_back_at_once_gives_up_its_former_lease() {
+fn a_leader_that_restarts_at_once_does_not_wait_for_its_former_lease() {
     let mut world = world(8);
     let old = world.leader().unwrap();
     let term = world.store.records["w/leader"].version;
@@ -85,12 +86,12 @@
     assert!(world.leader().is_some());
     assert!(
         world.store.records["w/leader"].version > term,
-        "waited for the lease of a process known to be gone"
+        "waited for the lease of a process that is known to have ended"
     );
 }
 
-/// Invariant 7: a success is cleared from its machine only once it is on
-/// record; until then the machine is the only one that knows.
+/// Invariant 7: a finished task is cleared from its machine only after its success is recorded in
+/// the store; until then only the machine knows of it.
 #[test]
 fn a_success_that_the_leader_could_not_record_is_not_lost() {
     let mut world = world(47);
@@ -107,10 +108,10 @@
     assert!(world.each_task_started_once(), "{:?}", world.oracle.starts);
 }
 
-/// A reported state that was under way when the leader admitted a task says nothing about
-/// that task.
+/// A reported state that was in flight when the leader admitted a task must not be read as the
+/// absence of that task.
 #[test]
-fn a_reported_state_older_than_the_admission_loses_nothing() {
+fn a_reported_state_older_than_an_admission_drops_no_task() {
     let mut world = world(48);
     world.network.frame_ms = 1_200;
     world.accept(0, &job(1, "t1", 16, 10.0));
@@ -119,8 +120,8 @@
     world.assert_rules_kept();
 }
 
-/// A shard owner that hears of a job later than of its tasks gives the tasks up; it
-/// must not place them after all when the job shows up.
+/// A shard owner that learns of a job only after the desired state that names its tasks gives the
+/// tasks up. It must not place them later, when the job becomes known.
 #[test]
 fn tasks_given_up_for_an_unknown_job_are_not_bound_later() {
     for delay_ms in [2_800, 3_000, 3_200] {
@@ -132,7 +133,7 @@
             if step == 6 {
                 answer = world.submit(1, &job(1, "t1", 12, 60.0));
             }
-            // Other calls of the node are served, so that it counts as alive.
+            // The node's other calls to the store are served, so that the node counts as alive.
             world.status(0, "run-000009");
             world.run(700);
         }
@@ -143,7 +144,7 @@
     }
 }
 
-/// A change of shard owner, or its restart, is no sign that a machine is unreachable.
+/// A machine must not be taken for unreachable because its shard owner restarts or changes.
 #[test]
 fn restarts_of_shard_owners_leave_machines_in_use() {
     let mut world = busy_world(59, 4);
@@ -155,7 +156,7 @@
     }
     assert!(world.each_task_started_once(), "{:?}", world.oracle.starts);
 
-    // Several heartbeats later, machines with free capacity are still used.
+    // Machines with free capacity are still used several heartbeats later.
     for number in 80..84 {
         world.add_worker(number, ZONES[number % 2], false, 100);
     }
@@ -168,11 +169,11 @@
     world.assert_rules_kept();
 }
 
-/// Machines go with their leader and shard owner. The new leader has never heard of
-/// them, but a placement record names them and no list does: they are terminated at once, and
-/// their tasks don't wait for the end of every lease that might have been.
+/// A machine is lost together with the leader and its shard owner. The new leader has received no
+/// heartbeat of it, but a placement record names it and the cloud's list doesn't: it is terminated
+/// at once, and its tasks are started elsewhere without waiting for a lease that may still be held.
 #[test]
-fn machines_that_went_with_their_leader_are_noticed() {
+fn machines_lost_together_with_the_leader_are_detected() {
     let mut world = busy_world(71, 6);
     for number in 60..64 {
         world.add_worker(number, ZONES[number % 2], false, 100);
@@ -191,10 +192,10 @@
     world.assert_rules_kept();
 }
 
-/// Processes back within a fraction of a second, the leader's and a
-/// candidate's, before and amid the election.
+/// The processes of the leader and of a candidate restart within a fraction of a second, before
+/// and during the election.
 #[test]
-fn processes_back_at_once_amid_an_election_change_nothing() {
+fn fast_restarts_around_an_election_start_no_task_again() {
     for (seed, back) in [(64, 30), (65, 150), (66, 400), (67, 900)] {
         let mut world = busy_world(seed, 6);
         for round in 0..4 {
--- a/tests/scenarios/fairness.rs
+++ b/tests/scenarios/fairness.rs
@@ -1,12 +1,12 @@
-//! Nobody starves; lower priorities and work beyond a guarantee give way.
+//! No job starves; lower priorities and work beyond a guarantee are preempted.
 
 use crate::fixtures::world;
 use crate::support::{World, job};
 use serde_json::json;
 
-/// A burst of urgent work of twice what the machines can do, for minutes. Every
-/// other job begins within four minutes all the same: of a low priority, of
-/// tasks as large as a machine, of another team; and completes in the end.
+/// For minutes, urgent jobs arrive at twice the rate that the machines can handle. Jobs of low
+/// priority, with tasks as large as a machine, or of another team still begin within four minutes
+/// and complete in the end.
 #[test]
 fn nobody_starves_under_a_lasting_burst() {
     let mut world = world(62);
@@ -39,13 +39,14 @@
         assert!(began, "job {id} has not begun after four minutes");
     }
     for id in 1..4 {
-        assert!(world.until_done(&format!("run-{id:06}"), 1_500_000), "job {id} never ends");
+        assert!(world.until_done(&format!("run-{id:06}"), 1_500_000), "job {id} does not complete");
     }
     world.assert_rules_kept();
 }
 
-/// Two machines full of long tasks; the wait of a newcomer decides.
-fn full_world(seed: u64, urgency: &str, team: &str) -> World {
+/// Returns a world of two machines that are full of long tasks, so that a further job has to wait or
+/// to preempt them.
+fn world_without_free_capacity(seed: u64, urgency: &str, team: &str) -> World {
     let mut world = world(seed);
     world.run_ms = 600_000;
     world.cloud.capacity = 2;
@@ -57,7 +58,8 @@
     world
 }
 
-fn newcomer(world: &mut World, urgency: &str, team: &str) -> usize {
+/// Submits a second job and returns how many of its tasks have started after six minutes.
+fn starts_of_second_job(world: &mut World, urgency: &str, team: &str) -> usize {
     world.run_ms = 5_000;
     let mut submission = job(2, team, 2, 5.0);
     submission["urgency"] = json!(urgency);
@@ -68,22 +70,22 @@
 }
 
 #[test]
-fn a_lower_priority_gives_way() {
-    let mut world = full_world(50, "normal", "t1");
-    assert_eq!(newcomer(&mut world, "urgent", "t1"), 2);
-    // What was stopped runs again afterwards.
+fn a_job_of_lower_priority_is_preempted() {
+    let mut world = world_without_free_capacity(50, "normal", "t1");
+    assert_eq!(starts_of_second_job(&mut world, "urgent", "t1"), 2);
+    // The preempted tasks run again afterwards.
     assert!(world.until_done("run-000001", 700_000));
     world.assert_rules_kept();
 }
 
 #[test]
-fn work_beyond_a_guarantee_gives_way_to_a_guarantee() {
-    let mut world = full_world(51, "urgent", "t1");
-    assert_eq!(newcomer(&mut world, "normal", "t0"), 2);
+fn work_beyond_a_guarantee_is_preempted_by_guaranteed_work() {
+    let mut world = world_without_free_capacity(51, "urgent", "t1");
+    assert_eq!(starts_of_second_job(&mut world, "normal", "t0"), 2);
 }
 
 #[test]
-fn equal_work_of_the_same_team_waits() {
-    let mut world = full_world(52, "normal", "t1");
-    assert_eq!(newcomer(&mut world, "normal", "t1"), 0);
+fn a_job_of_equal_priority_of_the_same_team_waits() {
+    let mut world = world_without_free_capacity(52, "normal", "t1");
+    assert_eq!(starts_of_second_job(&mut world, "normal", "t1"), 0);
 }
--- a/tests/scenarios/fixtures.rs
+++ b/tests/scenarios/fixtures.rs
@@ -1,16 +1,17 @@
-//! Worlds, and questions about them, that several subjects share.
+//! Worlds and helper functions that several modules share.
 
 use crate::support::{World, job};
 use serde_json::json;
 
-/// A small world in which a leader has been elected.
+/// Returns a small world in which a leader has been elected.
 pub(crate) fn world(seed: u64) -> World {
     let mut world = World::new(3, seed);
     world.run(5_000);
     world
 }
 
-/// A world with jobs in both zones, so that several nodes own shards with busy machines.
+/// Returns a world with running jobs in both zones, so that several nodes own shards with busy
+/// machines.
 pub(crate) fn busy_world(seed: u64, tasks: u32) -> World {
     let mut world = world(seed);
     world.run_ms = 600_000;
@@ -24,7 +25,7 @@
     world
 }
 
-/// A busy machine whose shard owner is not the leader.
+/// Returns a busy machine whose shard owner is not the leader, and that shard owner.
 pub(crate) fn busy_machine(world: &World) -> (usize, usize) {
     let leader = world.leader().unwrap();
     (0..world.workers.len())
@@ -34,7 +35,8 @@
         .expect("a busy machine of a follower's shard")
 }
 
-/// Four idle machines in the east, two with each of n0 and n2; n1 leads.
+/// Returns a world that n1 leads, with four idle machines in the east: two in a shard of n0, two in
+/// a shard of n2.
 pub(crate) fn idle_east() -> World {
     for seed in 60..100 {
         let mut world = World::new(3, seed);
@@ -48,5 +50,5 @@
             return world;
         }
     }
-    panic!("n1 never leads");
+    panic!("n1 leads with none of the seeds");
 }
--- a/tests/scenarios/fleet.rs
+++ b/tests/scenarios/fleet.rs
@@ -1,16 +1,16 @@
-//! Scale-out and scale-in, as forecast windows and the cloud allow.
+//! Scale-out and scale-in by forecast windows, within the limits of the cloud.
 
 use crate::fixtures::world;
 use crate::support::{World, ZONES, job};
 
-/// Demand that grows far beyond the fleet between two forecast windows does not wait for
-/// the next one.
+/// Demand that grows far beyond the fleet starts a forecast window at once instead of waiting for
+/// the next regular one.
 #[test]
-fn demand_far_beyond_the_fleet_opens_a_window() {
+fn demand_far_beyond_the_fleet_starts_a_forecast_window() {
     let mut world = World::large(3, 72);
     world.cloud.capacity = 400;
     world.run(5_000);
-    // One machine is up, so that no job is unschedulable.
+    // One machine is up, so that the jobs below count as schedulable.
     world.submit(0, &job(1, "t1", 4, 60.0));
     world.run(21_000);
     let before = world.cloud.rented;
@@ -22,8 +22,8 @@
     world.assert_rules_kept();
 }
 
-/// With no machine up, present demand alone decides, and all of it at once:
-/// machines come fifty to a call, within the cloud's rate.
+/// With no machine up, the scale-out follows the present demand alone and covers all of it at once:
+/// each call rents up to fifty machines, within the cloud's rate limit.
 #[test]
 fn a_first_scale_out_to_hundreds_of_machines_takes_few_calls() {
     let mut world = World::large(3, 55);
@@ -45,8 +45,8 @@
     world.assert_rules_kept();
 }
 
-/// A new leader has not heard of machines that run well; it must not take
-/// them for machines that never booted.
+/// A new leader has not yet received heartbeats of machines that run well; it must not mistake them
+/// for machines that failed to boot.
 #[test]
 fn a_new_leader_terminates_no_machine_that_runs() {
     let mut world = world(16);
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn refused_capacity_is_not_asked_for_in_a_loop() {
+fn refused_capacity_is_not_requested_in_a_loop() {
     let mut world = world(31);
     world.cloud.capacity = 1;
     world.accept(0, &job(1, "t1", 12, 10.0));
@@ -80,16 +80,16 @@
     world.assert_rules_kept();
 }
 
-/// A process that leads right after its start knows machines older than itself,
-/// and drains at once those that nobody needs any more.
+/// A process that becomes leader right after its start finds machines that are older than itself,
+/// and drains those without demand at once.
 #[test]
-fn a_leader_that_has_just_started_drains_what_is_surplus() {
+fn a_leader_that_has_just_started_drains_surplus_machines() {
     let mut world = world(91);
     world.accept(0, &job(1, "t1", 16, 10.0));
     assert!(world.until_done("run-000001", 90_000));
 
     world.run(60_000);
-    let there = world.workers.iter().filter(|worker| worker.alive).count();
+    let alive_before = world.workers.iter().filter(|worker| worker.alive).count();
     for number in 0..8 {
         world.add_worker(500 + number, ZONES[number % 2], false, 100);
     }
@@ -98,23 +98,23 @@
         world.crash(node, 1_000);
     }
 
-    // Well over a minute old by now, and idle.
+    // The machines are well over a minute old by now, and idle.
     world.run(45_000);
-    let left = world.workers.iter().filter(|worker| worker.alive).count();
-    assert!(left <= there + 1, "{left} machines are still there");
+    let alive_after = world.workers.iter().filter(|worker| worker.alive).count();
+    assert!(alive_after <= alive_before + 1, "{alive_after} machines are still alive");
     world.assert_rules_kept();
 }
 
-/// The longer the history and the more machine types, the longer the fleet record; past
-/// the limit no forecast window would be kept any more.
+/// The fleet record grows with the history and the number of machine types. Beyond the store's
+/// value limit, no further forecast window could be saved.
 #[test]
-fn the_record_of_the_fleet_stays_within_the_limit() {
+fn the_fleet_record_stays_within_the_value_limit() {
     let mut world = World::new(1, 83);
     world.cloud.more_types = 14;
     world.run(5_000);
     world.accept(0, &job(1, "t0", 2, 5.0));
     world.run(900_000);
     let newest_ms = world.store.records["fleet"].value["at"].as_u64().unwrap();
-    assert!(newest_ms + 11_000 > 1_000_000_000 + world.now, "the newest window is on record");
+    assert!(newest_ms + 11_000 > 1_000_000_000 + world.now, "the newest window is not on record");
     world.assert_rules_kept();
 }
--- a/tests/scenarios/main.rs
+++ b/tests/scenarios/main.rs
@@ -1,4 +1,4 @@
-//! Scenarios of the whole service on fakes: one per rule and invariant.
+//! Scenario tests of the whole service on fakes, at least one for each rule and invariant.
 
 #![allow(unreachable_pub, reason = "modules of a test program are not a library")]
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic, reason = "a test fails by panicking")]
--- a/tests/scenarios/partitions.rs
+++ b/tests/scenarios/partitions.rs
@@ -1,11 +1,11 @@
-//! Nodes are cut off, silent, slow or suspended, and their links are opened anew.
+//! Nodes that are cut off, silent, slow or suspended, and how their links are reopened.
 
 use crate::fixtures::{busy_machine, busy_world, world};
 use crate::support::job;
 
-/// A node, leader or shard owner, that loses the store and the other nodes
-/// but not its workers: they go on to the new shard owner before their leases end,
-/// what is cancelled meanwhile ends in time, and the node takes part again.
+/// A leader or shard owner loses the store and the other nodes, but still reaches its workers. The
+/// workers move to the new shard owner before their leases end, a job that is cancelled meanwhile
+/// ends in time, and the node owns shards again after the fault.
 #[test]
 fn a_node_alone_with_its_workers_stops_answering_them_in_time() {
     for leader in [false, true] {
@@ -35,14 +35,14 @@
             .store
             .records_under("w/block/")
             .any(|(_, record)| record.value["node"] == name.as_str());
-        assert!(owns_a_shard, "it does not take part again");
+        assert!(owns_a_shard, "it owns no shard after the fault");
         assert_eq!(world.status(victim, "run-000001"), "running");
         world.assert_rules_kept();
     }
 }
 
 #[test]
-fn a_watch_that_fell_behind_leads_to_a_fresh_read() {
+fn a_watch_that_fell_behind_is_replaced_by_a_full_read() {
     let mut world = world(15);
     world.accept(0, &job(1, "t1", 2, 10.0));
     world.store.floor = u64::MAX;
@@ -54,8 +54,8 @@
     world.assert_rules_kept();
 }
 
-/// Frames written into a connection to a process that is no more vanish
-/// without an error; the sender has to leave it by itself.
+/// Frames written to a connection whose peer process has ended are lost without an error, so the
+/// sender has to abandon such a connection by itself.
 #[test]
 fn links_to_a_restarted_or_silent_node_are_opened_anew() {
     let mut world = world(17);
@@ -69,9 +69,9 @@
     assert!(world.network.reconnects.iter().any(|(node, to)| *node == 0 && to == "n1"));
 }
 
-/// After a suspension a node may hear nobody while all hear it. It was given its
-/// shards back and kept them without ever placing a task. The others must open
-/// their links anew, and it owns no shard until it hears the leader.
+/// After a suspension, a node may receive nothing from its peers while they receive its frames. Such
+/// a node was once assigned its shards again and kept them without ever placing a task. The peers
+/// must reopen their links to it, and it must own no shard until it receives the leader's frames.
 #[test]
 fn a_node_that_hears_nobody_is_told_and_owns_no_shard() {
     let mut world = busy_world(81, 6);
@@ -94,16 +94,16 @@
     world.run(12_000);
     assert!(
         (0..world.workers.len()).any(|index| world.shard_owner_of(index) == victim),
-        "it never owns its shards again"
+        "it does not own its shards again"
     );
     world.assert_rules_kept();
 }
 
-/// A leader that also owns shards is suspended for longer than any control lease lasts:
-/// its work is done elsewhere meanwhile. On waking it finds a pile of old heartbeats,
-/// answers and records, and may do nothing on them.
+/// A leader that also owns shards is suspended for longer than a control lease lasts, and other
+/// nodes take over its work. When it resumes, it receives a backlog of old heartbeats, answers and
+/// records, and must not act on them.
 #[test]
-fn a_node_that_was_suspended_is_replaced_and_harms_nothing() {
+fn a_suspended_node_is_replaced_and_breaks_no_rule() {
     for seed in [84, 85, 86] {
         let mut world = busy_world(seed, 8);
         world.run_ms = 8_000;
@@ -128,10 +128,10 @@
     }
 }
 
-/// A node several times slower than its peers, shard owner or leader, keeps what it
-/// can and harms nothing; when it gets still slower its shards go elsewhere.
+/// A shard owner or leader that is several times slower than its peers keeps its roles as long as
+/// it can and breaks no rule; if it is slower still, its shards are assigned to other nodes.
 #[test]
-fn a_node_several_times_slower_loses_and_doubles_nothing() {
+fn a_much_slower_node_loses_and_duplicates_no_task() {
     for (seed, lag, leads) in [(93, 400, true), (94, 900, false), (95, 2_500, false), (96, 2_500, true)]
     {
         let mut world = busy_world(seed, 6);
@@ -158,8 +158,8 @@
     }
 }
 
-/// Two zones are apart and packets between them wait; within the cut the leader,
-/// or another node, crashes. When the cut ends, all that waited arrives at once.
+/// Two zones are partitioned and the packets between them are held back. During the partition the
+/// leader or another node crashes. When it ends, all held packets arrive at once.
 #[test]
 fn a_zone_cut_with_packets_held_and_a_crash_in_it_harms_nothing() {
     for (seed, cut_ms, leader_too) in [(97, 12_000, true), (98, 40_000, true), (99, 40_000, false)] {
@@ -173,8 +173,8 @@
         world.run(4_000);
         world.crash(if leader_too { leader } else { (leader + 1) % 3 }, 3_000);
         world.run(cut_ms);
-        let now = world.leader().unwrap();
-        assert_eq!(world.cancel(now, "run-000002"), 200);
+        let new_leader = world.leader().unwrap();
+        assert_eq!(world.cancel(new_leader, "run-000002"), 200);
 
         world.join_zones();
         world.run(30_000);
--- a/tests/scenarios/placement.rs
+++ b/tests/scenarios/placement.rs
@@ -1,4 +1,4 @@
-//! Quotas, zones, machine types and the capacity of machines are respected, and tasks start
+//! Placement respects quotas, zones, machine types and the capacity of machines, and tasks start
 //! soon.
 
 use crate::fixtures::world;
@@ -6,7 +6,7 @@
 use serde_json::json;
 
 #[test]
-fn a_job_runs_once_and_is_called_done_by_every_node() {
+fn a_job_runs_once_and_every_node_reports_it_done() {
     let mut world = world(1);
     world.accept(0, &job(1, "t0", 6, 10.0));
     assert!(world.until_done("run-000001", 90_000));
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn the_team_limit_holds_however_much_is_asked() {
+fn the_team_limit_holds_for_any_number_of_submitted_tasks() {
     let mut world = world(2);
     world.accept(0, &job(1, "t0", 30, 10.0));
     world.accept(1, &job(2, "t0", 30, 10.0));
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn zones_types_and_spot_are_as_the_job_allows() {
+fn placement_follows_the_zone_and_spot_constraints_of_a_job() {
     let mut world = world(3);
     let mut spread = job(1, "t1", 9, 10.0);
     spread["scatter"] = json!(true);
@@ -47,8 +47,8 @@
     world.assert_rules_kept();
 }
 
-/// Many tasks on many machines, within the store's rates: the placements of a scheduling
-/// cycle cost one mutation for each placement record, not one for each machine.
+/// Hundreds of tasks start on hundreds of machines within the store's rate limits: the placements of
+/// a scheduling cycle cost one mutation per placement record, not one per machine.
 #[test]
 fn hundreds_of_tasks_start_within_the_rate_of_mutations() {
     let mut world = World::large(3, 54);
@@ -67,7 +67,7 @@
     }
     assert_eq!(world.oracle.starts.len(), 600);
     assert!(world.now < from + 8_000, "took {} ms", world.now - from);
-    assert!(world.store.writes - writes < 100, "{} changes", world.store.writes - writes);
+    assert!(world.store.writes - writes < 100, "{} mutations", world.store.writes - writes);
 
     for id in 0..12 {
         assert!(world.until_done(&format!("run-{id:06}"), 60_000));
@@ -77,14 +77,14 @@
     world.assert_rules_kept();
 }
 
-/// Small tasks of all lengths refill a machine before it is ever free; one that
-/// has waited for all of it gets it kept.
+/// Small tasks of varying lengths refill a machine before it is ever empty. A task that needs a
+/// whole machine gets one reserved once it has waited long enough.
 #[test]
-fn a_task_as_large_as_a_machine_gets_one_kept() {
+fn a_machine_is_reserved_for_a_task_of_its_size() {
     let mut world = World::new(3, 70);
     world.cloud.capacity = 0;
 
-    // All in one shard, so that its shard owner has a choice.
+    // All machines are in one shard, so that its shard owner can choose among them.
     for number in 0..4 {
         world.add_worker(1 + 2 * number, "east", false, 1_000);
     }
@@ -108,8 +108,8 @@
     world.assert_rules_kept();
 }
 
-/// More tasks on one machine than one placement record takes: the next record takes them.
-/// A shard owner that refused them would have the leader admit them again for ever.
+/// If a machine has more tasks than one placement record holds, the next record holds the rest. If
+/// the shard owner refused them instead, the leader would admit them again and again.
 #[test]
 fn a_full_placement_record_refuses_no_task() {
     let mut world = World::large(3, 57);
@@ -139,11 +139,11 @@
     world.assert_rules_kept();
 }
 
-/// Where heartbeats are rare, a machine whose next one is only due is no reason to scale
-/// out.
+/// Where heartbeats are rare, a machine whose next heartbeat is merely due still counts as capacity
+/// and must not lead to a scale-out.
 #[test]
 fn a_machine_between_two_rare_heartbeats_still_gets_work() {
-    // One of these starts meets the beginning of a forecast window.
+    // One of these start times coincides with the start of a forecast window.
     for start in 0..4 {
         let mut world = World::large(3, 56);
         world.run(5_000 + 2_500 * start);
@@ -152,7 +152,7 @@
         world.add_worker(2, "east", false, 100);
         world.run(1_500);
 
-        // The next heartbeats are lost on their way.
+        // The next heartbeats are lost.
         for worker in &mut world.workers {
             worker.cut = true;
         }
@@ -164,14 +164,15 @@
             worker.cut = false;
         }
         assert!(world.until_done("run-000001", 60_000));
-        assert_eq!(world.cloud.rented, 0, "free machines were passed over");
+        assert_eq!(world.cloud.rented, 0, "machines were rented although free ones existed");
         world.assert_rules_kept();
     }
 }
 
-/// With machines in one zone only, no more than half of the tasks run at once.
+/// A job that must spread over the zones runs no more than half of its tasks at once if only one
+/// zone has machines.
 #[test]
-fn spread_tasks_wait_rather_than_crowd_one_zone() {
+fn tasks_that_must_spread_wait_while_one_zone_has_machines() {
     let mut world = World::new(3, 49);
     world.cloud.capacity = 0;
     for number in 1..5 {
@@ -188,7 +189,7 @@
 }
 
 #[test]
-fn a_job_of_many_tasks_is_accepted_recorded_and_survives_a_new_leader() {
+fn a_job_of_many_tasks_survives_a_change_of_leader() {
     let mut world = world(18);
     world.run_ms = 300;
     let mut submission = job(1, "t1", 100_000, 1.0);
--- a/tests/scenarios/random_faults.rs
+++ b/tests/scenarios/random_faults.rs
@@ -1,4 +1,4 @@
-//! Faults drawn at random break no rule.
+//! Random faults, under which every rule must hold.
 
 use crate::fixtures::world;
 use crate::support::network::WORKERS;
@@ -7,7 +7,7 @@
 use serde_json::json;
 use woadlever::wire::workers::WorkerHeartbeat;
 
-/// Copies of heartbeats from seconds to minutes ago reach any node.
+/// Delivers copies of heartbeats that are seconds to minutes old to random nodes.
 fn repeat_old_heartbeats(world: &mut World, copies: &mut Vec<WorkerHeartbeat>) {
     for _ in 0..4 {
         let index = world.rng.random_range(0..world.workers.len());
@@ -18,7 +18,7 @@
     }
 }
 
-/// One fault, drawn at random, or the end of one.
+/// Starts or ends a randomly chosen fault.
 fn random_fault(world: &mut World, ids: &[String], copies: &mut Vec<WorkerHeartbeat>) {
     match world.rng.random_range(0..19) {
         0 => {
@@ -62,7 +62,7 @@
             repeat_old_heartbeats(world, copies);
         }
         16 => {
-            // Alone with its workers.
+            // The node reaches only its workers.
             let node = world.rng.random_range(0..3);
             world.store.refuses.insert(node);
             world.network.cuts.extend((0..3).filter(|peer| *peer != node).map(|peer| (node, peer)));
@@ -76,7 +76,7 @@
     }
 }
 
-/// Everything works again, but for machines that are cut off.
+/// Ends all faults except the cut-off machines.
 fn end_faults(world: &mut World) {
     world.store.down = false;
     world.store.refuses.clear();
@@ -87,8 +87,8 @@
     world.run(5_000);
 }
 
-/// Random faults of every kind over the whole service, with the rules as the
-/// oracle. What was accepted has to complete once the faults are over.
+/// Injects random faults of every kind into the whole service and checks every rule. Accepted jobs
+/// have to complete once the faults are over.
 #[test]
 fn random_faults_break_no_rule() {
     for seed in 0..20 {
@@ -114,7 +114,7 @@
         }
         end_faults(&mut world);
 
-        // Whatever happened, what was accepted is known to all.
+        // Every node knows every accepted job, whatever faults occurred.
         for id in &ids {
             for node in 0..3 {
                 let status = world.status(node, id);
--- a/tests/scenarios/scale.rs
+++ b/tests/scenarios/scale.rs
@@ -1,11 +1,10 @@
-//! Thousands of machines, and an idle cluster.
+//! Fleets of thousands of machines, and the cost of an idle cluster.
 
 use crate::fixtures::world;
 use crate::support::{World, ZONES, job};
 
-/// A fleet far larger than ever, through a crash of all nodes at its busiest:
-/// all that it asks of the outer systems stays within the settings, machines
-/// keep their tasks, and every job completes.
+/// Crashes all nodes of a very large fleet at its busiest: requests to the store and the cloud stay
+/// within the configured rates, machines keep their tasks, and every job completes.
 fn fleet_scenario(nodes: usize, machines: usize, jobs: u32, seed: u64) {
     let mut world = World::fleet(nodes, seed);
     world.run_ms = 20_000;
@@ -25,16 +24,16 @@
     for node in 0..nodes {
         world.crash(node, 3_000 + 400 * node as u64);
     }
-    let left = |world: &World| {
+    let unfinished = |world: &World| {
         let done = |id: &u32| world.store.job(&format!("run-{id:06}")).unwrap()["s"] == "d";
         (0..jobs).filter(|id| !done(id)).count()
     };
     let from = world.now;
-    while left(&world) > 0 && world.now < from + 120_000 {
+    while unfinished(&world) > 0 && world.now < from + 120_000 {
         world.run(500);
     }
-    assert_eq!(left(&world), 0, "jobs that did not complete");
-    assert!(world.each_task_started_once(), "a lease lasted, its tasks did not");
+    assert_eq!(unfinished(&world), 0, "jobs that did not complete");
+    assert!(world.each_task_started_once(), "a task was started again although its lease had not ended");
     assert_eq!((world.store.refused, world.cloud.refused), (0, 0));
     assert!(
         world.network.longest_frame < woadlever::wire::peer::MAX_FRAME / 4,
@@ -45,29 +44,30 @@
 }
 
 #[test]
-fn twelve_hundred_machines_on_three_nodes_outlast_a_crash_of_all() {
+fn twelve_hundred_machines_on_three_nodes_survive_a_crash_of_all_nodes() {
     fleet_scenario(3, 1_200, 70, 71);
 }
 
 #[test]
-fn twenty_three_hundred_machines_on_five_nodes_outlast_a_crash_of_all() {
+fn twenty_three_hundred_machines_on_five_nodes_survive_a_crash_of_all_nodes() {
     fleet_scenario(5, 2_300, 80, 72);
 }
 
-/// With nothing to do a node costs little: on the smallest machines what it does all
-/// the same is the larger part of its processor time.
+/// An idle cluster sends few requests and frames. On the smallest machines this background work is
+/// the larger part of a node's processor time.
 #[test]
-fn an_idle_cluster_asks_and_tells_little() {
+fn an_idle_cluster_sends_few_requests_and_frames() {
     let mut world = world(610);
     world.run(20_000);
     let (requests, frames, calls) = (world.store.requests, world.network.frames, world.cloud.calls);
     world.run(60_000);
     let per_second = |count: u64| count as f64 / 60.0;
-    // Watches of two seconds on three nodes, renewals of a lease, a record in each window.
+    // The requests are watches of two seconds on three nodes, renewals of a lease, and a record in
+    // each forecast window.
     let requests = per_second(world.store.requests - requests);
     assert!(requests < 3.0, "{requests} requests a second");
-    // Two peer heartbeats a second each way make 12, and two state messages a second both ways for
-    // each of two shards that are not the leader's own another 8.
+    // Two peer heartbeats a second in each direction make 12 frames a second. Two state messages a
+    // second in both directions, for each of the two shards that the leader doesn't own, make 8 more.
     let frames = per_second(world.network.frames - frames);
     assert!(frames < 21.0, "{frames} frames a second");
     assert!(world.cloud.calls - calls < 25, "{} calls to the cloud", world.cloud.calls - calls);
--- a/tests/scenarios/store.rs
+++ b/tests/scenarios/store.rs
@@ -1,10 +1,10 @@
-//! The key-value store is out, refuses a node, or loses answers.
+//! The key-value store has an outage, refuses a node, or loses answers.
 
 use crate::fixtures::world;
 use crate::support::{World, ZONES, job};
 use woadlever::core::HttpRequest;
 
-/// After an outage shorter than the leases, work goes on where it was.
+/// After an outage that is shorter than the leases, tasks continue where they ran.
 #[test]
 fn a_short_outage_of_the_store_loses_no_work() {
     let mut world = world(9);
@@ -13,7 +13,7 @@
     world.run(35_000);
     world.store.down = true;
     world.run(10_000);
-    assert_eq!(world.status(0, "run-999999"), "503", "no answer may rest on what is not known");
+    assert_eq!(world.status(0, "run-999999"), "503", "answered without knowing the state of the job");
     world.store.down = false;
     assert!(world.until_done("run-000001", 150_000));
     assert!(world.each_task_started_once());
@@ -33,10 +33,10 @@
     world.assert_rules_kept();
 }
 
-/// A node that the store refuses alone is not ready and loses its
-/// shards; in an outage for all, everyone stays ready.
+/// A node is not ready and loses its shards if the store refuses it alone; in an outage that affects
+/// all nodes, every node stays ready.
 #[test]
-fn readiness_tells_a_lone_refusal_from_an_outage() {
+fn readiness_distinguishes_a_refused_node_from_an_outage() {
     let mut world = world(11);
     let victim = (world.leader().unwrap() + 1) % 3;
     let ready = |world: &mut World, node: usize| {
@@ -51,7 +51,7 @@
     let name = format!("n{victim}");
     let owns_a_shard =
         world.store.records_under("w/block/").any(|(_, record)| record.value["node"] == name.as_str());
-    assert!(!owns_a_shard, "it keeps shards that it can't serve");
+    assert!(!owns_a_shard, "it owns shards that it can't serve");
 
     world.store.refuses.clear();
     world.run(5_000);
@@ -64,10 +64,10 @@
     }
 }
 
-/// Invariant 2 and 3: an answer that the worker never got proves nothing, and
-/// the `run` in it is sent again instead of the task being put elsewhere.
+/// Invariants 2 and 3: an answer that the worker has not received proves nothing, and the `run`
+/// command in it is sent again instead of placing the task on another machine.
 #[test]
-fn a_lost_answer_neither_loses_nor_doubles_a_task() {
+fn a_lost_answer_neither_loses_nor_duplicates_a_task() {
     let mut world = world(12);
     world.accept(0, &job(1, "t1", 8, 10.0));
     world.run(12_000);
@@ -79,9 +79,9 @@
     world.assert_rules_kept();
 }
 
-/// Transactions whose answer is lost, and that run seconds later.
+/// Transactions whose answer is lost, and that the store carries out seconds later.
 #[test]
-fn late_writes_do_no_harm() {
+fn late_writes_break_no_rule() {
     for seed in 0..4 {
         let mut world = world(20 + seed);
         world.store_faults.loss = 0.3;
@@ -95,9 +95,9 @@
     }
 }
 
-/// What is tried again and again in a long outage must not be paid for after it:
-/// the node that leads writes and places as soon as it is over. And machines
-/// that nobody could answer meanwhile were not silent.
+/// Retries during a long outage must not use up the rate budget for the time after it: the leader
+/// writes and places tasks as soon as the outage is over. Machines whose heartbeats nobody could
+/// answer during the outage must not count as silent.
 #[test]
 fn a_long_outage_leaves_no_debt_and_costs_no_machine() {
     let mut world = World::large(3, 92);
@@ -113,7 +113,7 @@
         world.run(100);
     }
 
-    // More than all machines can take at once, so that none is surplus.
+    // More tasks than all machines can run at once, so that no machine is surplus.
     world.submit(0, &job(50, "t1", 600, 12.0));
     world.run(4_000);
     world.store.down = true;
--- a/tests/scenarios/users.rs
+++ b/tests/scenarios/users.rs
@@ -1,14 +1,15 @@
-//! Answers to users: never forgotten, never older than what was said, refusals by field.
+//! Answers to users: accepted jobs stay known, answers never go back in time, and rejections name
+//! the field.
 
 use crate::fixtures::world;
 use crate::support::{World, job};
 use serde_json::{Value, json};
 use woadlever::core::HttpRequest;
 
-/// What was accepted is known, however it was accepted and whoever is asked:
-/// before a crash of all nodes, with a write of unknown outcome, in an election.
+/// An accepted job is known to every node, also if it was accepted just before a crash of all
+/// nodes, with a write of unknown outcome, or during an election.
 #[test]
-fn an_accepted_job_is_known_to_every_node_ever_after() {
+fn an_accepted_job_stays_known_to_every_node() {
     let mut world = world(68);
     let mut known = Vec::new();
     let mut id = 1;
@@ -33,14 +34,14 @@
         world.store.down = false;
         world.store_faults.loss = 0.0;
         world.run(3_000);
-        let taken = |request: &u64| {
+        let accepted = |request: &u64| {
             world
                 .users
                 .answers
                 .get(request)
                 .is_some_and(|answer| answer.status == 200 || answer.status == 201)
         };
-        known.extend(asked.iter().filter(|(_, request)| taken(request)).map(|(id, _)| *id));
+        known.extend(asked.iter().filter(|(_, request)| accepted(request)).map(|(id, _)| *id));
     }
     assert!(known.len() > 12, "{}", known.len());
 
@@ -59,10 +60,10 @@
     world.assert_rules_kept();
 }
 
-/// Questions by the hundred while the store is slow: what can't be
-/// answered is turned away at once, and no id waits behind another for good.
+/// Hundreds of status requests arrive while the store is slow: requests that can't be answered are
+/// rejected at once, and no id waits behind another one forever.
 #[test]
-fn a_flood_of_questions_leaves_none_unanswered() {
+fn a_flood_of_status_requests_leaves_none_unanswered() {
     let mut world = world(69);
     world.accept(0, &job(1, "t1", 1, 5.0));
     world.store_faults.slow.insert(0, 1_500);
@@ -76,7 +77,7 @@
         .collect();
     world.run(200);
     let at_once = asked.iter().filter(|request| world.users.answers.contains_key(request)).count();
-    assert!(at_once >= 500, "{at_once} were turned away at once");
+    assert!(at_once >= 500, "only {at_once} were rejected at once");
 
     world.run(4_000);
     assert!(asked.iter().all(|request| world.users.answers.contains_key(request)));
@@ -91,7 +92,7 @@
 }
 
 #[test]
-fn what_cannot_be_taken_is_answered_at_once_and_names_the_field() {
+fn invalid_submissions_are_rejected_at_once_and_name_the_field() {
     let mut world = world(19);
     let cases: Vec<(&str, Value, u16)> = vec![
         ("name_id", json!("job-1"), 400),
@@ -133,7 +134,7 @@
 }
 
 #[test]
-fn before_the_types_are_known_users_are_told_to_come_back() {
+fn submissions_are_deferred_until_machine_types_are_known() {
     let mut world = World::new(3, 30);
     world.cloud.is_down = true;
     world.run(4_000);
--- a/tests/scenarios/workers.rs
+++ b/tests/scenarios/workers.rs
@@ -1,12 +1,12 @@
-//! Workers are late, silent, unreachable, restarted or sick.
+//! Workers that are late, silent, unreachable, restarted or faulty.
 
 use crate::fixtures::{busy_machine, busy_world, idle_east, world};
 use crate::support::store::StoredRecord;
 use crate::support::{Worker, World, job};
 use serde_json::{Value, json};
 
-/// Invariant 3: a heartbeat from before the task started, arriving late at a new
-/// shard owner, proves nothing about the task.
+/// Invariant 3: a heartbeat that was sent before a task started, and that reaches a new shard owner
+/// late, does not prove that the task is absent.
 #[test]
 fn a_late_heartbeat_is_no_proof_of_absence() {
     let mut world = busy_world(44, 8);
@@ -18,10 +18,10 @@
     world.workers[machine].cut = true;
     world.crash(shard_owner, 30_000);
     world.run(6_000);
-    let now = world.shard_owner_of(machine);
-    assert_ne!(now, shard_owner);
+    let new_owner = world.shard_owner_of(machine);
+    assert_ne!(new_owner, shard_owner);
 
-    world.late_heartbeat(now, old);
+    world.late_heartbeat(new_owner, old);
     world.run(3_000);
     world.workers[machine].cut = false;
     world.run(30_000);
@@ -29,8 +29,8 @@
     assert!(world.each_task_started_once(), "given up because of a late heartbeat");
 }
 
-/// Records may list an older attempt, gone long ago, beside the newer one that
-/// runs. When the older one's machine is given up, the task stays where it is.
+/// Records may list an older attempt that ended long ago beside the newer one that runs. When the
+/// machine of the older attempt is given up, the newer attempt keeps running.
 #[test]
 fn a_stale_record_of_an_older_attempt_starts_nothing() {
     let mut world = busy_world(45, 6);
@@ -41,9 +41,9 @@
     world.workers[machine].alive = false;
     world.run(60_000);
     let again: u32 = world.oracle.starts.values().filter(|starts| **starts == 2).count() as u32;
-    assert!(again > 0, "its tasks run elsewhere now");
+    assert!(again > 0, "its tasks were not started elsewhere");
 
-    // Where they run, no capacity is left; elsewhere there is some.
+    // No capacity is left on the machines that run the tasks, but there is some on other machines.
     let zone = world.workers[machine].zone.clone();
     let mut fill = job(3, "t0", 2, 600.0);
     fill["yard"] = json!(zone);
@@ -52,13 +52,13 @@
     world.add_worker(90, &zone, false, 100);
     world.add_worker(91, &zone, false, 100);
 
-    // A late write brings the old record back, and no termination resolves it.
+    // A late write restores the old record, and with the cloud down no termination resolves it.
     world.cloud.is_down = true;
     world.store.revision += 1;
     let revision = world.store.revision;
     let mut placements = world.store.records[&key].value.clone();
 
-    // The old row counts jobs by their place in the old record.
+    // The old row refers to jobs by their index in the old record.
     let jobs = placements["j"].as_array().unwrap().len();
     let old_jobs = old["j"].as_array().unwrap().clone();
     placements["j"].as_array_mut().unwrap().extend(old_jobs);
@@ -66,9 +66,9 @@
     let number = |value: &Value| value.as_u64().unwrap();
     let base = number(&placements["b"]).min(number(&old["b"]));
     for row in placements["m"].as_array_mut().unwrap().iter_mut() {
-        let more = number(&world.store.records[&key].value["b"]) - base;
+        let offset = number(&world.store.records[&key].value["b"]) - base;
         for attempt in row[3].as_array_mut().unwrap().chunks_mut(3) {
-            attempt[2] = json!(number(&attempt[2]) + more);
+            attempt[2] = json!(number(&attempt[2]) + offset);
         }
     }
     for attempt in row[3].as_array_mut().unwrap().chunks_mut(3) {
@@ -88,8 +88,8 @@
     assert!(world.oracle.starts.values().all(|starts| *starts <= 2), "{:?}", world.oracle.starts);
 }
 
-/// The first heartbeat of a machine that comes up long after its shard was assigned is
-/// parked like any other; that doesn't mean that its lease has ended.
+/// The first heartbeat of a machine that boots long after its shard was assigned is parked like any
+/// other. This must not be taken to mean that the machine's lease has ended.
 #[test]
 fn a_machine_that_comes_up_late_keeps_the_work_of_its_first_heartbeat() {
     let mut world = World::new(3, 53);
@@ -101,27 +101,28 @@
         world.add_worker(number, "east", false, 9_000);
     }
 
-    // The list names them while they boot.
+    // The cloud lists the machines while they boot.
     world.run(9_600);
     let request = world.submit(1, &job(1, "t1", 16, 10.0));
     world.run(1_200);
     assert_eq!(world.users.answers[&request].status, 201);
-    assert_eq!(world.oracle.starts.len(), 16, "they were taken for lost");
+    assert_eq!(world.oracle.starts.len(), 16, "the tasks were taken for lost");
 
     world.run(20_000);
     assert!(world.each_task_started_once(), "{:?}", world.oracle.starts);
     world.assert_rules_kept();
 }
 
-/// Heartbeats arrive, answers don't: its lease ends again and again while it looks
-/// alive. Its tasks go elsewhere, it gets no more, and it is terminated.
+/// The heartbeats of a machine arrive, but the answers to them don't, so that its lease ends again
+/// and again while it looks alive. Its tasks are placed elsewhere, it gets no further tasks, and it
+/// is terminated.
 #[test]
 fn an_unreachable_machine_gets_no_work_and_is_terminated() {
     let mut world = world(58);
     world.run_ms = 8_000;
     world.cloud.capacity = 3;
 
-    // More work than the machines can take, so that none of them is surplus.
+    // More tasks than the machines can run at once, so that none of them is surplus.
     for id in 1..6 {
         world.accept(0, &job(id, "t1", 24, 8.0));
     }
@@ -130,14 +131,14 @@
     world.network.lose_replies.insert(victim);
     world.run(35_000);
 
-    // Its lease has ended. What was sent there in vain has been given up, and no new task is
-    // placed on it.
+    // Its lease has ended. The attempts whose commands never reached it have been given up, and no
+    // new task is placed on it.
     let name = world.workers[victim].name.clone();
     let row = world.placement_of(&name).map(|(_, row)| row[3].as_array().unwrap().len());
     assert!(row.unwrap_or(0) == 0, "{row:?}");
 
     world.run(25_000);
-    assert!(world.cloud.returned.contains(&name), "it is still there");
+    assert!(world.cloud.returned.contains(&name), "it was not terminated");
 
     for id in 1..6 {
         assert!(world.until_done(&format!("run-{id:06}"), 120_000));
@@ -145,15 +146,15 @@
     world.assert_rules_kept();
 }
 
-/// What an answer carried that never arrived is proven absent by the next
-/// heartbeat, and a machine that is reached again gets work again.
+/// After an answer with commands was lost, the next heartbeat proves that their tasks are absent,
+/// and a machine that can be reached again gets tasks again.
 #[test]
 fn a_machine_that_is_reached_again_is_used_again() {
     let mut world = idle_east();
     world.run_ms = 5_000;
     world.network.lose_replies = (0..4).collect();
     let request = world.submit(1, &job(1, "t1", 12, 5.0));
-    // Long enough for each to come back after it has tried the other nodes.
+    // Long enough for each worker to return to its shard owner after trying the other nodes.
     world.run(18_000);
     assert_eq!(world.users.answers[&request].status, 201);
     assert!(world.oracle.starts.is_empty());
@@ -164,8 +165,8 @@
     world.assert_rules_kept();
 }
 
-/// Copies of old heartbeats arrive at shard owners that have seen nothing yet: they
-/// bring no machine back, prove nothing, and hold up no true worker.
+/// Copies of old heartbeats reach shard owners that have received no other heartbeat yet. They must
+/// not bring a lost machine back, prove anything about tasks, or delay the actual workers.
 #[test]
 fn late_copies_of_heartbeats_change_nothing() {
     let mut world = busy_world(60, 8);
@@ -173,8 +174,8 @@
     let copies: Vec<_> = world.workers.iter().map(Worker::heartbeat).collect();
     let (machine, shard_owner) = busy_machine(&world);
 
-    // A machine goes for good, and its node with it; later copies of all
-    // heartbeats reach every node, again and again.
+    // A machine is lost for good and its shard owner crashes; then copies of all heartbeats reach
+    // every node again and again.
     world.workers[machine].alive = false;
     let name = world.workers[machine].name.clone();
     world.cloud.returned.push(name.clone());
@@ -193,19 +194,19 @@
     assert!(gone.is_none_or(|machine| world.workers[machine].incarnation == 1));
     assert!(
         world.workers.iter().all(|worker| !worker.alive || worker.incarnation == 1),
-        "a true worker lost its lease"
+        "a live worker lost its lease"
     );
 
     let again = world.oracle.starts.values().filter(|starts| **starts > 1).count();
-    assert_eq!(again, lost, "just what was lost runs again");
+    assert_eq!(again, lost, "exactly the lost tasks run again");
     assert!(world.placement_of(&name).is_none_or(|(_, row)| row[3].as_array().unwrap().is_empty()));
     world.assert_rules_kept();
 }
 
-/// A worker that starts anew under its old name counts from the beginning. What
-/// it had is gone, and nothing of it runs twice.
+/// A worker process that restarts under its old name counts its incarnations from 1 again. Its
+/// former tasks are lost, and each of them is started once more, but no other task.
 #[test]
-fn a_worker_back_at_once_with_a_lower_count_loses_and_doubles_nothing() {
+fn a_restarted_worker_with_a_lower_incarnation_loses_and_duplicates_no_task() {
     let mut world = busy_world(61, 8);
     world.cloud.capacity = world.workers.len();
     let (machine, _) = busy_machine(&world);
@@ -214,8 +215,8 @@
     world.run(8_000);
     world.restart_worker(machine);
     world.run(26_000);
-    assert!(world.workers[machine].fencing_token > 0, "nobody answers it");
-    assert!(!world.cloud.returned.contains(&world.workers[machine].name), "taken for silent");
+    assert!(world.workers[machine].fencing_token > 0, "no shard owner answers it");
+    assert!(!world.cloud.returned.contains(&world.workers[machine].name), "terminated as silent");
 
     world.run(30_000);
     assert_eq!(world.oracle.starts.values().filter(|starts| **starts == 2).count(), lost);
@@ -223,8 +224,8 @@
     world.assert_rules_kept();
 }
 
-/// All nodes are new and know nothing of a return; a heartbeat that was under way
-/// since before it brings no work to a machine that is no more.
+/// All nodes have just started and don't know that a machine was terminated. A heartbeat that the
+/// machine sent before its termination, and that arrives late, must not get it any tasks.
 #[test]
 fn a_late_heartbeat_of_a_terminated_machine_gets_no_work() {
     let mut world = idle_east();
@@ -243,7 +244,7 @@
     for _ in 0..12 {
         world.run(500);
         let row = world.placement_of(&name).map(|(_, row)| row[3].as_array().unwrap().len());
-        assert!(row.unwrap_or(0) == 0, "work for a machine that is gone");
+        assert!(row.unwrap_or(0) == 0, "tasks were placed on a terminated machine");
     }
     assert_eq!(world.users.answers[&request].status, 201);
     assert_eq!(world.oracle.starts.len(), 12);
@@ -251,7 +252,7 @@
 }
 
 #[test]
-fn a_silent_machine_gives_its_tasks_up_only_with_its_lease() {
+fn a_silent_machine_keeps_its_tasks_until_its_lease_ends() {
     let mut world = world(13);
     world.run_ms = 15_000;
     world.accept(0, &job(1, "t1", 8, 15.0));
@@ -274,16 +275,15 @@
     }
     assert!(world.until_done("run-000001", 200_000));
     let failed: u32 = world.oracle.starts.values().sum::<u32>() - 8;
-    assert!(failed <= 12, "the sick machine took {failed} starts");
+    assert!(failed <= 12, "{failed} starts failed on the faulty machine");
     world.assert_rules_kept();
 }
 
-/// Half of all machines hang at once and go on within their lease, while the
-/// leader crashes: nothing is lost and nothing runs twice. Those that hang for
-/// longer give their tasks up.
+/// Half of all machines hang at once while the leader crashes. If they resume within their lease, no
+/// task is lost or runs twice; if they hang for longer, their tasks are started again.
 #[test]
-fn machines_that_hang_in_numbers_keep_their_tasks_within_the_lease() {
-    for (seed, hang, keeps) in [(87, 12_000, true), (88, 40_000, false)] {
+fn many_hanging_machines_keep_their_tasks_within_the_lease() {
+    for (seed, hang_ms, keeps_tasks) in [(87, 12_000, true), (88, 40_000, false)] {
         let mut world = busy_world(seed, 8);
         let before = world.oracle.starts.len();
         for index in (0..world.workers.len()).step_by(2) {
@@ -291,13 +291,13 @@
         }
         world.run(2_000);
         world.crash(world.leader().unwrap(), 3_000);
-        world.run(hang);
+        world.run(hang_ms);
         for worker in &mut world.workers {
             worker.cut = false;
         }
         world.run(40_000);
         assert_eq!(world.oracle.starts.len(), before);
-        assert_eq!(world.each_task_started_once(), keeps, "{:?}", world.oracle.starts);
+        assert_eq!(world.each_task_started_once(), keeps_tasks, "{:?}", world.oracle.starts);
         world.assert_rules_kept();
     }
 }
