--- a/tests/combined_faults/answers.rs
+++ b/tests/combined_faults/answers.rs
@@ -1,12 +1,12 @@
-//! Users ask within milliseconds, oddly, or through a slow store.
+//! Users send requests within milliseconds, with odd contents, or while the store is slow.
 
-use crate::fixtures::{busy, id};
+use crate::fixtures::{busy_world, id};
 use crate::support::{CANCEL_MS, World, job};
 use serde_json::json;
 use woadlever::core::HttpRequest;
 
-/// Right after a job was accepted, cancelled or ended, all nodes are asked within
-/// milliseconds, also by a repeated submission, while their watches lag.
+/// Within milliseconds after a job was accepted, cancelled or done, all nodes get status requests and
+/// repeated submissions of it, while their watches lag. No answer may be older than an earlier one.
 #[test]
 fn no_node_answers_something_older_within_milliseconds() {
     let mut world = World::new(3, 530);
@@ -21,7 +21,7 @@
         let first_node = number as usize % 3;
         let first = world.submit(first_node, &body);
 
-        // The same again before the first has its outcome: one of them creates the record.
+        // The same submission again before the first is answered: one of the two creates the record.
         let again = world.submit((first_node + 1) % 3, &body);
         while world.users.answers.get(&first).is_none_or(|answer| answer.status != 201)
             && world.users.answers.get(&again).is_none_or(|answer| answer.status != 201)
@@ -48,7 +48,7 @@
     world.assert_rules_kept();
 }
 
-/// A job is cancelled at one node; all nodes give the same answer from then on.
+/// Cancels a job at one node and checks that all nodes give the same answer from then on.
 fn check_answers_after_cancellation(world: &mut World, number: u32) {
     let body = job(number, "t0", 1, 5.0);
     let cancelling_node = (number as usize + 2) % 3;
@@ -72,7 +72,7 @@
     }
 }
 
-/// One node calls a job done; all nodes do from then on.
+/// Waits until one node reports a job done and checks that all nodes do from then on.
 fn check_answers_after_completion(world: &mut World, number: u32) {
     let body = job(number, "t0", 1, 5.0);
     let polled_node = number as usize % 3;
@@ -93,14 +93,14 @@
     }
 }
 
-/// The end of a job becomes known while an answer that says otherwise is still
-/// under way: the newer knowledge is told.
+/// A node learns of a job's cancellation while an older read for a status request is still in flight:
+/// the status request must be answered with the newer state.
 #[test]
 fn an_answer_under_way_is_not_older_than_what_is_known() {
     let mut world = World::new(3, 531);
     world.run(5_000);
     world.accept(0, &job(1, "t0", 1, 300.0));
-    // Read before the cancellation; what was read comes in after it.
+    // The store is read before the cancellation, and the result arrives after it.
     world.network.lag.insert(1, 900);
     let asked = world.ask(1, HttpRequest::Status(id(1)));
     world.run(25);
@@ -111,12 +111,12 @@
     world.assert_rules_kept();
 }
 
-/// The store answers slowly, then refuses the leader alone, then is out for all
-/// for longer than a cancellation may take, while users cancel and ask: whatever
-/// can't be answered is answered so at once, and nothing is forgotten.
+/// Users cancel jobs and ask for their status while the store is slow, then refuses the leader alone,
+/// and then is down for all nodes for longer than a cancellation may take. Requests that can't be
+/// answered are rejected at once, and no job is forgotten.
 #[test]
 fn users_ask_and_cancel_through_a_slow_store_and_an_outage() {
-    let mut world = busy(601, 6);
+    let mut world = busy_world(601, 6);
     for node in 0..3 {
         world.store_faults.slow.insert(node, 700);
     }
@@ -124,7 +124,7 @@
     let old = world.leader().unwrap();
     world.store.refuses.insert(old);
     world.run(2_000);
-    assert_eq!(world.cancel((old + 1) % 3, &id(1)), 0, "not within half a second");
+    assert_eq!(world.cancel((old + 1) % 3, &id(1)), 0, "answered within half a second");
 
     world.run(1_000);
     world.store.down = true;
@@ -153,20 +153,18 @@
     world.assert_rules_kept();
 }
 
-/// What makes no sense is refused before anything is recorded; a job that was
-/// accepted stays so, whatever a later submission of it says.
+/// Invalid submissions are rejected before anything is recorded. An accepted job stays accepted,
+/// whatever a later submission with its id contains.
 #[test]
 fn odd_requests_are_answered_and_leave_no_record() {
     let mut world = World::new(3, 603);
     world.run_ms = 4_000;
     world.run(5_000);
 
-    let whole = job(1, "t0", 1, 4.0);
-    let may_be_left_out = ["hulltypes", "yard", "due_s", "awaits"];
-    for field in
-        whole.as_object().unwrap().keys().filter(|name| !may_be_left_out.contains(&name.as_str()))
-    {
-        let mut submission = whole.clone();
+    let complete = job(1, "t0", 1, 4.0);
+    let optional = ["hulltypes", "yard", "due_s", "awaits"];
+    for field in complete.as_object().unwrap().keys().filter(|name| !optional.contains(&name.as_str())) {
+        let mut submission = complete.clone();
         submission.as_object_mut().unwrap().remove(field);
         let request = world.ask(0, HttpRequest::Submit(submission.to_string().into_bytes()));
         world.run(100);
@@ -176,7 +174,7 @@
     }
     for (field, value) in [("cores", json!(17.0)), ("memory_gb", json!(65.0)), ("yard", json!("north"))]
     {
-        let mut submission = whole.clone();
+        let mut submission = complete.clone();
         submission[field] = value;
         let request = world.ask(1, HttpRequest::Submit(submission.to_string().into_bytes()));
         world.run(100);
@@ -184,13 +182,13 @@
     }
     assert!(!world.store.records.contains_key("w/job/run-000001"));
 
-    world.accept(0, &whole);
+    world.accept(0, &complete);
 
-    // Again, unfinished and then done, whole and with a field missing.
-    let mut lacking = whole.clone();
-    lacking.as_object_mut().unwrap().remove("crew");
+    // Submit the job again, with all fields and with one missing, before it is done and afterwards.
+    let mut incomplete = complete.clone();
+    incomplete.as_object_mut().unwrap().remove("crew");
     for node in 0..3 {
-        for body in [&whole, &lacking] {
+        for body in [&complete, &incomplete] {
             let request = world.ask(node, HttpRequest::Submit(body.to_string().into_bytes()));
             world.run(100);
             assert_eq!(
@@ -208,7 +206,7 @@
         world.run(100);
         assert_eq!(world.status_answered(request), "done");
 
-        let request = world.ask(node, HttpRequest::Submit(lacking.to_string().into_bytes()));
+        let request = world.ask(node, HttpRequest::Submit(incomplete.to_string().into_bytes()));
         world.run(100);
         assert_eq!(world.status_answered(request), "done");
     }
--- a/tests/combined_faults/cancellations.rs
+++ b/tests/combined_faults/cancellations.rs
@@ -1,11 +1,11 @@
-//! Cancellations meet other faults.
+//! Cancellations that coincide with other faults.
 
-use crate::fixtures::{busy, id, machine_of, on_machines, state_of};
+use crate::fixtures::{busy_world, id, machine_of, state_of, tasks_on_machines};
 use crate::support::{CANCEL_MS, World, job};
 use woadlever::core::HttpRequest;
 
-/// The peer heartbeat of the node that confirms a cancellation stops tasks at a shard owner
-/// whose watch lags, by direct command, and also those that still fetch their image.
+/// A shard owner whose watch lags learns of a cancellation from the peer heartbeat of the node that
+/// confirms it, and stops the tasks by direct command, also those that still fetch their image.
 #[test]
 fn a_cancellation_stops_at_once_what_a_lagging_shard_owner_started() {
     let mut world = World::new(3, 510);
@@ -18,7 +18,7 @@
         world.store_faults.slow_watch.insert(node, 8_000);
     }
     world.run(1_000);
-    assert!(on_machines(&world, 1) > 0);
+    assert!(tasks_on_machines(&world, 1) > 0);
     assert_eq!(world.cancel(0, &id(1)), 200);
 
     world.run(600);
@@ -26,10 +26,12 @@
         let tasks = world.workers.iter().flat_map(|worker| &worker.tasks);
         tasks.filter(|task| task.why.is_none()).count()
     };
-    assert_eq!(live(&world), 0, "the watch shows it seconds later, and heartbeats are rare");
+    // The watch shows the cancellation only seconds later, and heartbeats are rare.
+    assert_eq!(live(&world), 0, "direct commands did not stop all tasks");
     assert_eq!(world.oracle.late_starts, [], "started after the confirmation");
 
-    // Placed and on record, its `run` not yet sent: it never is.
+    // The job's tasks are placed and recorded, but no `run` command has been sent; after the
+    // cancellation none may be sent.
     world.accept(0, &job(2, "t1", 12, 600.0));
     let on_record = |world: &World| {
         let mut records = world.store.records_under("place/");
@@ -54,74 +56,74 @@
     world.assert_rules_kept();
 }
 
-/// A machine whose heartbeats reach nobody is still told to stop.
+/// A machine whose heartbeats reach no node is still sent direct commands to stop its tasks.
 #[test]
 fn a_machine_without_heartbeats_is_stopped_by_direct_command() {
-    let mut world = busy(511, 4);
+    let mut world = busy_world(511, 4);
     let machine = machine_of(&world, 1);
     world.workers[machine].mute = true;
     world.run(3_000);
     assert_eq!(world.cancel(0, &id(1)), 200);
     world.run(200);
     let ended = world.workers[machine].tasks.iter().all(|task| task.why.as_deref() == Some("halted"));
-    assert!(ended, "long before its lease ends");
+    assert!(ended, "the direct command did not stop its tasks");
     world.run(60_000);
     world.assert_rules_kept();
 }
 
-/// Jobs are cancelled while machines that run them hang; these go on within their lease and
-/// must not keep the tasks.
+/// Jobs are cancelled while the machines that run them hang. When the machines resume, whether within
+/// their lease or after it, the cancelled tasks must end.
 #[test]
 fn what_hung_when_it_was_cancelled_ends_when_it_goes_on() {
-    for (seed, hang) in [(512, 6_000), (513, 17_000), (514, 19_900), (515, 33_000)] {
-        let mut world = busy(seed, 6);
+    for (seed, hang_ms) in [(512, 6_000), (513, 17_000), (514, 19_900), (515, 33_000)] {
+        let mut world = busy_world(seed, 6);
         for number in [1, 2] {
             let machine = machine_of(&world, number);
-            world.workers[machine].hung_until = world.now + hang;
+            world.workers[machine].hung_until = world.now + hang_ms;
         }
         for number in [1, 2] {
             assert_eq!(world.cancel(number as usize, &id(number)), 200);
         }
-        world.run(hang + 1_500);
+        world.run(hang_ms + 1_500);
         let live = world
             .workers
             .iter()
             .flat_map(|worker| &worker.tasks)
             .filter(|task| task.why.is_none())
             .count();
-        assert_eq!(live, 0, "{hang}");
+        assert_eq!(live, 0, "{hang_ms}");
 
         world.run(CANCEL_MS);
         world.assert_rules_kept();
     }
 }
 
-/// Jobs are cancelled in the moments in which a node's shards change hands: before
-/// the new shard owner has read its placement records, and while the old one still answers.
+/// Jobs are cancelled while a node's shards are reassigned: before the new shard owner has read the
+/// placement records, and while the old one still answers.
 #[test]
 fn cancelled_while_shards_change_owners() {
-    for (seed, wait) in [(516, 0), (517, 200), (518, 2_600), (519, 3_100), (520, 3_400)] {
-        let mut world = busy(seed, 8);
+    for (seed, wait_ms) in [(516, 0), (517, 200), (518, 2_600), (519, 3_100), (520, 3_400)] {
+        let mut world = busy_world(seed, 8);
         let machine = machine_of(&world, 1);
         let shard_owner = world.shard_owner_of(machine);
         let other = (shard_owner + 1) % 3;
         for node in (0..3).filter(|node| *node != shard_owner) {
             world.network.cuts.insert((shard_owner, node));
         }
-        world.run(wait);
+        world.run(wait_ms);
         assert_eq!(world.cancel(other, &id(1)), 200);
         assert_eq!(world.cancel(other, &id(2)), 200);
 
         world.run(8_000);
         world.network.cuts.clear();
         world.run(CANCEL_MS);
-        assert_eq!(on_machines(&world, 1) + on_machines(&world, 2), 0, "{wait}");
+        assert_eq!(tasks_on_machines(&world, 1) + tasks_on_machines(&world, 2), 0, "{wait_ms}");
         world.assert_rules_kept();
     }
 }
 
-/// A cancellation, a question and a repeated submission meet the end of a job's
-/// last task, to the millisecond: either all say done or all say cancelled.
+/// A cancellation, a status request and a repeated submission arrive at moments around the end of a
+/// job's last task, in steps of 25 ms: the final answers are either all done or all cancelled.
 #[test]
 fn a_cancellation_meets_the_end_of_the_last_task() {
     let mut seen = [0, 0];
@@ -133,7 +135,7 @@
         let body = job(1, "t0", 1, 4.0);
         world.accept(0, &body);
 
-        // To the tick before the end is on record, then so much further.
+        // Run until the task has ended or its end is recorded, then for the given number of ticks.
         while state_of(&world, 1) == "l"
             && world.workers.iter().flat_map(|worker| &worker.tasks).all(|task| task.why.is_none())
         {
@@ -141,7 +143,7 @@
         }
         world.run(ticks * 25);
         world.users.asked_to_cancel.insert(id(1));
-        let (cancellation, submission, question) = (
+        let (cancellation, submission, status_request) = (
             world.ask(1, HttpRequest::Cancel(id(1))),
             world.submit(2, &body),
             world.ask(0, HttpRequest::Status(id(1))),
@@ -154,7 +156,7 @@
         let expected = if end == "d" { "done" } else { "withdrawn" };
         assert_eq!(world.status_answered(cancellation), expected);
 
-        for request in [submission, question] {
+        for request in [submission, status_request] {
             let status = world.status_answered(request);
             assert!(status == expected || status == "queued" || status == "running", "{status}");
         }
@@ -164,5 +166,5 @@
         world.run(20_000);
         world.assert_rules_kept();
     }
-    assert!(seen[0] > 0 && seen[1] > 0, "both outcomes were met: {seen:?}");
+    assert!(seen[0] > 0 && seen[1] > 0, "one of the outcomes never occurred: {seen:?}");
 }
--- a/tests/combined_faults/control_lease.rs
+++ b/tests/combined_faults/control_lease.rs
@@ -1,16 +1,16 @@
-//! Cancellations are confirmed elsewhere while a node acts on its control lease.
+//! Cancellations that another node confirms while a node still holds its control lease.
 
-use crate::fixtures::{busy, id, on_machines, run_without_cloud, state_of};
+use crate::fixtures::{busy_world, id, run_without_cloud, state_of, tasks_on_machines};
 use crate::support::{CANCEL_MS, World, job};
 use woadlever::core::HttpRequest;
 
-/// The leader alone is refused; another node confirms cancellations; a second or
-/// two later the store is down for all, longer than a cancellation may take; and
-/// all that again after a short recovery. Clocks drift, a machine hangs and goes
-/// on, answers are lost. The confirming node's peer heartbeats don't arrive, so that
-/// only the deadline of the control lease is left.
+/// The store refuses the leader alone, and another node confirms cancellations. A second or two
+/// later the store is down for all nodes, for longer than a cancellation may take. The same happens
+/// again after a short recovery. Clocks drift, a machine hangs and resumes, and answers are lost. The
+/// peer heartbeats of the confirming node don't arrive, so that only the end of the control lease
+/// stops the tasks.
 fn cancel_behind_a_cut_off_leader(seed: u64, refused_ms: u64, drift: f64, hang_ms: u64) {
-    let mut world = busy(seed, 8);
+    let mut world = busy_world(seed, 8);
     for (controller, drift) in world.controllers.iter_mut().zip([drift, -drift, drift]) {
         controller.drift = drift;
     }
@@ -52,11 +52,14 @@
 
     world.run(60_000);
     world.assert_rules_kept();
-    assert_eq!(on_machines(&world, 1) + on_machines(&world, 2) + on_machines(&world, 3), 0);
+    assert_eq!(
+        tasks_on_machines(&world, 1) + tasks_on_machines(&world, 2) + tasks_on_machines(&world, 3),
+        0
+    );
 }
 
 #[test]
-fn what_was_cancelled_before_an_outage_is_gone_in_time_on_the_old_leaders_machines() {
+fn jobs_cancelled_before_an_outage_end_in_time_on_the_old_leaders_machines() {
     cancel_behind_a_cut_off_leader(501, 300, 0.0005, 3_000);
 }
 
@@ -70,12 +73,12 @@
     cancel_behind_a_cut_off_leader(503, 50, -0.0005, 18_000);
 }
 
-/// A watch that stays open through a refusal and an outage renews the control lease only as
-/// of its sending; a renewed lease of the store, a refused write or a peer's heartbeat don't
-/// renew it at all.
+/// The answer to a watch renews the control lease only as of the time at which the watch was sent,
+/// also if the watch stays open through a refusal or an outage of the store. A renewed lease of the
+/// store, a refused write or a peer's heartbeat doesn't renew it at all.
 #[test]
 fn nothing_but_an_answered_read_renews_the_control_lease() {
-    let mut world = busy(504, 4);
+    let mut world = busy_world(504, 4);
     let node = world.leader().unwrap();
     let renewed_at = |world: &World| world.core(node).unwrap().context.control_lease.renewed_at();
     world.run(1_000);
@@ -83,24 +86,24 @@
     world.run(100);
     let before = renewed_at(&world);
 
-    // The watch under way ends without an answer; all else is refused; the others
-    // tell that they are served.
+    // The watch in flight ends without an answer, and all other calls are refused. The peers report
+    // that the store serves them.
     world.run(9_000);
-    assert_eq!(renewed_at(&world), before, "refused all the while");
+    assert_eq!(renewed_at(&world), before, "renewed although every call was refused");
 
     world.store.refuses.clear();
     world.run(3_000);
     assert!(renewed_at(&world) > before);
 
-    // Writes that lose their answer, and compares that fail, renew nothing.
+    // Writes whose answer is lost, and compares that fail, don't renew the lease.
     world.store_faults.slow_watch.insert(node, 20_000);
     world.run(2_500);
     let before = renewed_at(&world);
     world.accept(node, &job(9, "t0", 1, 5.0));
     world.run(6_000);
-    assert_eq!(renewed_at(&world), before, "answers of other kinds came in");
+    assert_eq!(renewed_at(&world), before, "renewed by answers of other kinds");
 
-    // The late answer renews the lease as of the time when it was asked for, no later.
+    // The late answer to the watch renews the lease as of the time at which the watch was sent.
     while renewed_at(&world) == before {
         world.run(25);
     }
@@ -112,11 +115,11 @@
     world.assert_rules_kept();
 }
 
-/// A leader is cut from the store and from the other controllers while
-/// workers and users still reach it, and jobs are cancelled through the new one.
+/// A leader is cut off from the store and from the other controllers while workers and users still
+/// reach it, and jobs are cancelled through the new leader.
 #[test]
 fn an_old_leader_alone_with_its_workers_and_users() {
-    let mut world = busy(602, 8);
+    let mut world = busy_world(602, 8);
     let old = world.leader().unwrap();
     for node in (0..3).filter(|node| *node != old) {
         world.network.cuts.insert((old, node));
@@ -129,7 +132,7 @@
     for number in [1, 2] {
         assert_eq!(world.cancel(new, &id(number)), 200);
 
-        // No older answer, and no wrong one.
+        // The old leader must not give an outdated or wrong answer.
         let request = world.ask(old, HttpRequest::Status(id(number)));
         world.run(50);
         assert_eq!(world.users.answers[&request].status, 503);
--- a/tests/combined_faults/fixtures.rs
+++ b/tests/combined_faults/fixtures.rs
@@ -1,22 +1,22 @@
-//! Worlds, and questions about them, that several subjects share.
+//! Worlds and helper functions that several modules share.
 
 use crate::support::{Worker, World, job};
 use serde_json::json;
 
-/// The id of the job with a number.
+/// Returns the id of the job with the given number.
 pub(crate) fn id(number: u32) -> String {
     format!("run-{number:06}")
 }
 
-/// The state of a job on record, as stored: "l" for live, "d" for done, "c" for cancelled;
-/// empty without a record.
+/// Returns the recorded state of a job as stored: "l" for live, "d" for done, "c" for cancelled.
+/// Empty if there is no record.
 pub(crate) fn state_of(world: &World, number: u32) -> String {
     let state = world.store.job(&id(number)).and_then(|record| record["s"].as_str());
     state.unwrap_or_default().to_string()
 }
 
-/// A world with jobs of long tasks, one in each zone, all of them running.
-pub(crate) fn busy(seed: u64, tasks: u32) -> World {
+/// Returns a world with one job of long tasks in each zone, with all tasks running.
+pub(crate) fn busy_world(seed: u64, tasks: u32) -> World {
     let mut world = World::new(3, seed);
     world.run_ms = 600_000;
     world.run(5_000);
@@ -30,20 +30,20 @@
     world
 }
 
-/// Tasks of a job that are on machines.
-pub(crate) fn on_machines(world: &World, number: u32) -> usize {
+/// Number of tasks of a job that are on live machines, including ended ones not yet cleared.
+pub(crate) fn tasks_on_machines(world: &World, number: u32) -> usize {
     let machines = world.workers.iter().filter(|worker| worker.alive);
     machines.flat_map(|worker| &worker.tasks).filter(|task| task.job == id(number)).count()
 }
 
-/// A machine with tasks of the job.
+/// Returns a machine that has tasks of the job.
 pub(crate) fn machine_of(world: &World, number: u32) -> usize {
     let has_it = |worker: &Worker| worker.tasks.iter().any(|task| task.job == id(number));
-    world.workers.iter().position(has_it).expect("no machine runs it")
+    world.workers.iter().position(has_it).expect("no machine has tasks of the job")
 }
 
-/// Lets the time pass with the cloud out: it takes no machine back, so that nothing but the
-/// end of the control lease ends tasks.
+/// Advances the time while the cloud is down. Machines can't be terminated meanwhile, so that only
+/// the end of the control lease ends tasks.
 pub(crate) fn run_without_cloud(world: &mut World, duration_ms: u64) {
     world.cloud.is_down = true;
     world.run(duration_ms);
--- a/tests/combined_faults/late_heartbeats.rs
+++ b/tests/combined_faults/late_heartbeats.rs
@@ -1,12 +1,12 @@
 //! Old heartbeats that arrive late.
 
-use crate::fixtures::{busy, machine_of, run_without_cloud};
+use crate::fixtures::{busy_world, machine_of, run_without_cloud};
 use crate::support::{LEASE_MS, Worker, World, job};
 use serde_json::json;
 
-/// Two old heartbeats reach a new shard owner, one of an earlier incarnation and one of this
-/// incarnation from before the tasks were started: together they look like an incarnation
-/// that has ended.
+/// A new shard owner receives two old heartbeats of a machine: one of an earlier incarnation, and one
+/// of the current incarnation from before the tasks were started. Together they look like the end of
+/// an incarnation and its tasks.
 #[test]
 fn old_heartbeats_of_two_incarnations_prove_nothing_to_a_new_shard_owner() {
     let mut world = World::new(3, 570);
@@ -40,37 +40,37 @@
     let machine = machine_of(&world, 1);
     let shard_owner = world.shard_owner_of(machine);
 
-    // The machine itself is not heard for a while.
+    // The machine's own heartbeats don't arrive for a while.
     world.workers[machine].cut = true;
     world.crash(shard_owner, 30_000);
     world.run(6_000);
-    let now = world.shard_owner_of(machine);
-    assert_ne!(now, shard_owner);
+    let new_owner = world.shard_owner_of(machine);
+    assert_ne!(new_owner, shard_owner);
 
     for heartbeat in [&first[machine], &second[machine]] {
-        world.late_heartbeat(now, heartbeat.clone());
+        world.late_heartbeat(new_owner, heartbeat.clone());
     }
     world.run(3_000);
     world.workers[machine].cut = false;
     world.run(40_000);
     assert!(
         world.each_task_started_once(),
-        "given up because of old heartbeats: {:?}",
+        "tasks were given up because of old heartbeats: {:?}",
         world.oracle.starts
     );
     world.assert_rules_kept();
 }
 
-/// Old heartbeats reach every controller just as a new leader begins, of machines in
-/// use, of one returned long ago and with attempts that are no more; and some are
-/// kept until the new leader has acted.
+/// Old heartbeats reach every controller around the time at which a new leader takes over. They come
+/// from machines in use and from one whose lease has ended since, and list attempts that have ended.
+/// With the longest wait, they arrive only after the new leader has acted.
 #[test]
 fn old_heartbeats_reach_every_controller_as_a_new_leader_begins() {
-    for (seed, wait) in [(571, 0), (572, 5_600), (573, 9_000)] {
-        let mut world = busy(seed, 8);
+    for (seed, wait_ms) in [(571, 0), (572, 5_600), (573, 9_000)] {
+        let mut world = busy_world(seed, 8);
         let old: Vec<_> = world.workers.iter().map(Worker::heartbeat).collect();
 
-        // What ran then ends, on some machines by a lease that ran out.
+        // Tasks that ran at that time end, on one machine because its lease expires.
         let machine = machine_of(&world, 2);
         world.workers[machine].cut = true;
         world.run(LEASE_MS + 4_000);
@@ -79,7 +79,7 @@
         let starts = world.oracle.starts.clone();
         let leader = world.leader().unwrap();
         world.crash(leader, 3_000);
-        world.run(wait);
+        world.run(wait_ms);
         for node in 0..3 {
             for heartbeat in &old {
                 world.late_heartbeat(node, heartbeat.clone());
@@ -87,7 +87,7 @@
             world.run(25);
         }
         world.run(60_000);
-        assert_eq!(world.oracle.starts, starts, "after {wait}");
+        assert_eq!(world.oracle.starts, starts, "after {wait_ms} ms");
         world.assert_rules_kept();
     }
 }
--- a/tests/combined_faults/load.rs
+++ b/tests/combined_faults/load.rs
@@ -1,12 +1,12 @@
-//! More work than capacity, and slow links.
+//! High submission rates, more work than capacity, and slow links.
 
 use crate::fixtures::{id, state_of};
 use crate::support::{World, job};
 use serde_json::json;
 use woadlever::core::HttpRequest;
 
-/// One-task jobs come four a second for minutes, a quarter of them cancelled, with
-/// no more mutations a second than the store takes.
+/// For two minutes, users submit four one-task jobs a second and cancel a quarter of them, within
+/// the rate of mutations that the store accepts.
 #[test]
 fn one_task_jobs_four_a_second_with_a_quarter_cancelled() {
     let mut world = World::large(3, 600);
@@ -29,25 +29,26 @@
     let accepted = |request: &u64| {
         matches!(world.users.answers.get(request).map(|answer| answer.status), Some(200 | 201))
     };
-    let taken: Vec<u32> = (1..481).filter(|number| accepted(&requests[*number as usize - 1])).collect();
-    assert!(taken.len() > 400, "only {} of 480 were accepted", taken.len());
+    let accepted_jobs: Vec<u32> =
+        (1..481).filter(|number| accepted(&requests[*number as usize - 1])).collect();
+    assert!(accepted_jobs.len() > 400, "only {} of 480 were accepted", accepted_jobs.len());
 
-    let open: Vec<u32> = taken
+    let unfinished: Vec<u32> = accepted_jobs
         .iter()
         .copied()
         .filter(|number| !matches!(state_of(&world, *number).as_str(), "c" | "d"))
         .collect();
-    assert!(open.is_empty(), "neither done nor cancelled: {open:?}");
+    assert!(unfinished.is_empty(), "neither done nor cancelled: {unfinished:?}");
 
-    for number in taken.iter().step_by(40) {
+    for number in accepted_jobs.iter().step_by(40) {
         let status = world.status(0, &id(*number));
         assert!(status == "done" || status == "withdrawn", "{number}: {status}");
     }
     world.assert_rules_kept();
 }
 
-/// There is more work than capacity, urgent and not, and every link is slow: no rule
-/// breaks, and the last of the idle jobs begins within four minutes as well.
+/// There are more urgent and idle jobs than the machines have capacity for, and every link is slow.
+/// No rule is broken, and even the last of the idle jobs begins within four minutes.
 #[test]
 fn more_work_than_capacity_over_slow_links() {
     let mut world = World::new(3, 604);
@@ -92,8 +93,8 @@
     machine: usize,
 }
 
-/// Tasks are admitted for a follower's machines while frames are slow. The answers to the
-/// machine `lose` are lost from then on.
+/// Submits jobs for the machines of a follower's shard while frames are slow, and returns at the first
+/// recorded placement. From the submission on, answers to the machine `lose` are lost.
 fn place_over_slow_frames(seed: u64, lose: Option<usize>) -> FirstPlacement {
     let mut world = World::new(3, seed);
     world.cloud.capacity = 0;
@@ -109,12 +110,12 @@
     let shard_owner = (0..3)
         .find(|node| *node != leader && (0..8).any(|machine| world.shard_owner_of(machine) == *node))
         .unwrap();
-    let ours: Vec<usize> =
+    let owned_machines: Vec<usize> =
         (0..8).filter(|machine| world.shard_owner_of(*machine) == shard_owner).collect();
     world.network.lose_replies.extend(lose);
     for number in 1..4 {
         let mut submission = job(number, "t1", 1, 60.0);
-        submission["yard"] = json!(world.workers[ours[0]].zone);
+        submission["yard"] = json!(world.workers[owned_machines[0]].zone);
         world.submit(leader, &submission);
     }
     for _ in 0..160 {
@@ -123,29 +124,29 @@
             let row = world.placement_of(&world.workers[*machine].name);
             row.is_some_and(|(_, row)| !row[3].as_array().unwrap().is_empty())
         };
-        if let Some(machine) = ours.iter().copied().find(has_tasks) {
+        if let Some(machine) = owned_machines.iter().copied().find(has_tasks) {
             return FirstPlacement { world, shard_owner, machine };
         }
     }
-    panic!("no task is placed");
+    panic!("no task was placed");
 }
 
-/// A task's first `run` is lost with the worker incarnation that it was sent to, before the
-/// leader has heard that it was placed. Given up here and admitted again elsewhere, it must
-/// not be placed again with a desired state that was under way.
+/// The first `run` command of a task is lost with the worker incarnation that it was sent to, before
+/// the leader has learned of the placement. The shard owner gives the attempt up and the leader
+/// admits the task elsewhere. A desired state that was in flight must not place the attempt again.
 #[test]
 fn what_was_given_up_is_not_placed_again_with_a_desired_state_under_way() {
-    let mut met = 0;
+    let mut reproduced = 0;
     for seed in 630..642 {
         let expected = place_over_slow_frames(seed, None).machine;
         let placed = place_over_slow_frames(seed, Some(expected));
         let FirstPlacement { mut world, shard_owner, machine } = placed;
 
-        // Where the lost answers have changed the choice, the machine got its `run`.
+        // If the lost answers changed the choice of the machine, that machine received its `run`.
         if machine != expected {
             continue;
         }
-        met += 1;
+        reproduced += 1;
         world.run(50);
         let mut next = world.workers[machine].heartbeat();
         next.incarnation += 1;
@@ -153,7 +154,8 @@
         next.tasks.clear();
         world.late_heartbeat(shard_owner, next);
 
-        // Whatever has begun by then is not heard of, nor told to stop.
+        // From here on, no node receives heartbeats of machines that have tasks, nor can it stop tasks
+        // in its answers.
         world.run(600);
         for worker in &mut world.workers {
             worker.mute = !worker.tasks.is_empty();
@@ -162,5 +164,5 @@
         world.assert_rules_kept();
         assert!(world.each_task_started_once(), "{:?}", world.oracle.starts);
     }
-    assert!(met >= 3, "brought about {met} times");
+    assert!(reproduced >= 3, "the case was reproduced only {reproduced} times");
 }
--- a/tests/combined_faults/machines.rs
+++ b/tests/combined_faults/machines.rs
@@ -1,11 +1,12 @@
-//! Machines are lost or out of reach while something else goes wrong.
+//! Machines that are lost or unreachable while another fault occurs.
 
-use crate::fixtures::{busy, id, machine_of, on_machines};
+use crate::fixtures::{busy_world, id, machine_of, tasks_on_machines};
 use crate::support::{LEASE_MS, World, job};
 use serde_json::json;
 
-/// Every team is at its quota; its machines are cut off, hang or are mute, jobs are
-/// cancelled there and the leader changes: what may still run counts against the quota.
+/// Every team is at its quota. The machines of one team are cut off, hang, or have their heartbeats
+/// lost while its job is cancelled and the leader changes. Tasks that may still run count against the
+/// quota.
 #[test]
 fn a_team_at_its_quota_whose_machines_cannot_be_asked_gets_nothing_more() {
     for (seed, fault) in [(580, "cut"), (581, "hang"), (582, "mute")] {
@@ -16,7 +17,7 @@
         world.accept(0, &job(1, "t0", 8, 600.0));
         world.accept(1, &job(2, "t1", 16, 600.0));
         world.run(60_000);
-        assert_eq!(on_machines(&world, 1), 8, "its quota is used up");
+        assert_eq!(tasks_on_machines(&world, 1), 8, "its quota is not used up");
 
         for machine in 0..world.workers.len() {
             if world.workers[machine].tasks.iter().any(|task| task.job == id(1)) {
@@ -43,16 +44,16 @@
         }
         world.cloud.is_down = false;
         world.run(90_000);
-        assert!(on_machines(&world, 3) > 0, "{fault}: nothing of the next job runs");
+        assert!(tasks_on_machines(&world, 3) > 0, "{fault}: no task of the next job runs");
         world.assert_rules_kept();
     }
 }
 
-/// New machines are up within two seconds and get work at once, while writes lag,
-/// and the leader that rented them ends before any list shows them.
+/// New machines boot within two seconds and get tasks at once, while writes are slow and the leader
+/// that rented the machines crashes before the cloud lists them.
 #[test]
 fn machines_up_at_once_while_writes_lag_and_the_leader_ends() {
-    for (seed, wait) in [(590, 1_500), (591, 3_000), (592, 5_000)] {
+    for (seed, wait_ms) in [(590, 1_500), (591, 3_000), (592, 5_000)] {
         let mut world = World::new(3, seed);
         world.cloud.boot_ms = 300..2_000;
         world.run_ms = 30_000;
@@ -62,7 +63,7 @@
             world.store_faults.slow_writes.insert(node, 700);
         }
         world.accept(0, &job(1, "t1", 12, 30.0));
-        world.run(wait);
+        world.run(wait_ms);
         let leader = world.leader().unwrap();
         world.crash(leader, 1_000);
         world.run(9_000);
@@ -73,8 +74,8 @@
     }
 }
 
-/// Jobs bound to one zone, one of them an array that needs all its tasks in one,
-/// lose machines, and complete there.
+/// Jobs bound to one zone lose machines and complete there. One names its zone, the other needs all
+/// its tasks in the same zone.
 #[test]
 fn jobs_bound_to_a_zone_lose_machines() {
     let mut world = World::new(3, 593);
@@ -106,11 +107,11 @@
     world.assert_rules_kept();
 }
 
-/// A leader ends while machines with long tasks can't be reached, and others do
-/// not hear the new leader's answer.
+/// A leader crashes while one machine with long tasks can't be reached, and another doesn't receive
+/// the answers to its heartbeats.
 #[test]
 fn a_leader_ends_while_machines_are_out_of_reach() {
-    let mut world = busy(594, 8);
+    let mut world = busy_world(594, 8);
     let (cut_off, unanswered) = (machine_of(&world, 1), machine_of(&world, 2));
     world.workers[cut_off].cut = true;
     world.network.lose_replies.insert(unanswered);
@@ -120,14 +121,18 @@
     world.workers[cut_off].cut = false;
     world.network.lose_replies.clear();
     world.run(60_000);
-    assert!(world.each_task_started_once(), "all within their leases: {:?}", world.oracle.starts);
+    assert!(
+        world.each_task_started_once(),
+        "tasks were started again within their leases: {:?}",
+        world.oracle.starts
+    );
     world.assert_rules_kept();
 }
 
-/// A machine is heard again just before its lease ends. A task sent in the answer to
-/// that heartbeat may meet the end of the incarnation, be given up with the first heartbeat of
-/// the next and start elsewhere within the same second: none is sent before the
-/// machine has been heard a second time.
+/// A heartbeat of a silent machine arrives again just before its lease ends. A task sent in the answer
+/// to that heartbeat may coincide with the end of the incarnation, be given up with the first
+/// heartbeat of the next one, and start elsewhere within the same second. So no task is sent before
+/// a second heartbeat of the machine has arrived.
 #[test]
 fn a_machine_heard_again_after_a_long_silence_gets_work_with_its_next_heartbeat() {
     let mut world = World::new(3, 620);
@@ -138,12 +143,12 @@
 
     world.accept(0, &job(1, "t1", 1, 20.0));
     world.run(9_000);
-    assert_eq!(on_machines(&world, 1), 1);
+    assert_eq!(tasks_on_machines(&world, 1), 1);
 
     world.workers[0].cut = true;
     world.run(LEASE_MS / 2 + 4_000);
 
-    // More to do meanwhile, and free capacity for it there.
+    // Meanwhile another job arrives, and the machine has free capacity for it.
     world.accept(0, &job(2, "t1", 2, 20.0));
     world.workers[0].cut = false;
     let sequence = world.workers[0].sequence;
@@ -151,7 +156,7 @@
         world.run(25);
     }
     world.run(1_200);
-    assert_eq!(on_machines(&world, 2), 0, "in the answer to its first heartbeat");
+    assert_eq!(tasks_on_machines(&world, 2), 0, "sent in the answer to its first heartbeat");
     assert!(world.until_done(&id(2), 60_000));
     assert!(world.each_task_started_once(), "{:?}", world.oracle.starts);
     world.assert_rules_kept();
--- a/tests/combined_faults/main.rs
+++ b/tests/combined_faults/main.rs
@@ -1,5 +1,5 @@
-//! Faults that meet, brought about in the order and at the moments that matter.
-//! docs/combined-faults.md lists what keeps the rules in each.
+//! Combined faults, injected in the order and at the times that are critical.
+//! docs/combined-faults.md lists for each combination what keeps the rules.
 
 #![allow(unreachable_pub, reason = "modules of a test program are not a library")]
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic, reason = "a test fails by panicking")]
--- a/tests/combined_faults/processes.rs
+++ b/tests/combined_faults/processes.rs
@@ -1,13 +1,13 @@
-//! Processes start, end and change roles.
+//! Processes that start, end and change roles.
 
-use crate::fixtures::{busy, id, state_of};
+use crate::fixtures::{busy_world, id, state_of};
 use crate::support::{LEASE_MS, World, job};
 use serde_json::json;
 use woadlever::core::HttpRequest;
 
-/// A new process reads many records in pages. The owners of shards are on the first page,
-/// the jobs of a shard's attempts on the last: with the first page alone, the attempts would
-/// belong to unknown jobs.
+/// A new process reads many records in pages. The shard records are on the first page, and the jobs
+/// of a shard's attempts are on the last. With the first page alone, the attempts would belong to
+/// unknown jobs.
 #[test]
 fn a_process_owns_no_shard_before_it_knows_every_job() {
     let mut world = World::new(3, 560);
@@ -31,7 +31,8 @@
     world.run(60_000);
     let started = world.oracle.starts.clone();
     for node in [2, 1, 0] {
-        // Back at once, and its first read comes after the leader has heard it.
+        // The node restarts at once, and its first read takes place after the leader has received
+        // its peer heartbeat.
         world.crash(node, 100);
         world.store.refuses.insert(node);
         world.run(1_000);
@@ -43,21 +44,21 @@
     assert_eq!(world.oracle.starts, started, "tasks were given up and started again");
 }
 
-/// Controllers hand over and back, all end, and one returns, within a second.
+/// Leadership moves between nodes, then all processes end, and one of them restarts within a second.
 #[test]
 fn all_end_and_one_returns_within_a_second() {
-    for (seed, back) in [(561, 40), (562, 250), (563, 800)] {
-        let mut world = busy(seed, 6);
+    for (seed, back_ms) in [(561, 40), (562, 250), (563, 800)] {
+        let mut world = busy_world(seed, 6);
         let first = world.leader().unwrap();
-        world.crash(first, back);
-        world.run(back + 300);
-        world.crash(first, back);
+        world.crash(first, back_ms);
+        world.run(back_ms + 300);
+        world.crash(first, back_ms);
         world.run(6_000);
         for node in 0..3 {
-            world.crash(node, if node == 1 { back } else { 9_000 });
+            world.crash(node, if node == 1 { back_ms } else { 9_000 });
         }
         world.run(7_000);
-        assert_eq!(world.leader(), Some(1), "the only node that runs leads");
+        assert_eq!(world.leader(), Some(1), "the only node that runs does not lead");
 
         world.run(25_000);
         assert!(world.each_task_started_once(), "{:?}", world.oracle.starts);
@@ -67,28 +68,28 @@
     }
 }
 
-/// Leaders change ten times in two minutes, also within an outage, while jobs come,
-/// end and are cancelled.
+/// The leader changes ten times in two minutes, also during an outage of the store, while jobs are
+/// submitted, complete and are cancelled.
 #[test]
 fn ten_leaders_in_two_minutes() {
     let mut world = World::new(3, 564);
     world.run_ms = 15_000;
     world.run(5_000);
 
-    for turn in 0..10u32 {
-        let body = job(turn + 1, "t1", 3, 15.0);
-        let node = turn as usize % 3;
+    for round in 0..10u32 {
+        let body = job(round + 1, "t1", 3, 15.0);
+        let node = round as usize % 3;
         world.submit(node, &body);
         world.run(4_000);
-        world.store.down = turn == 4 || turn == 7;
+        world.store.down = round == 4 || round == 7;
         world.run(500);
         if let Some(leader) = world.leader() {
-            world.crash(leader, if turn % 2 == 0 { 300 } else { 4_000 });
+            world.crash(leader, if round % 2 == 0 { 300 } else { 4_000 });
         }
         world.run(2_000);
         world.store.down = false;
-        if turn % 4 == 3 {
-            world.cancel(node, &id(turn));
+        if round % 4 == 3 {
+            world.cancel(node, &id(round));
         }
         world.run(5_500);
         world.submit(node, &body);
@@ -102,10 +103,10 @@
     world.assert_rules_kept();
 }
 
-/// All controllers are away for longer than a lease.
+/// All controllers are down for longer than a lease.
 #[test]
 fn all_nodes_away_for_longer_than_a_lease() {
-    let mut world = busy(565, 6);
+    let mut world = busy_world(565, 6);
     for node in 0..3 {
         world.crash(node, LEASE_MS + 9_000);
     }
@@ -117,8 +118,8 @@
     world.assert_rules_kept();
 }
 
-/// A job's tasks end far apart, with a change of leader between them: what was done
-/// under the first is neither lost nor called done too early.
+/// A job's tasks end far apart, with changes of leader in between: the completion of the first task
+/// is not lost, and the job is not reported done too early.
 #[test]
 fn tasks_that_end_far_apart_across_a_change_of_leader() {
     for (seed, tasks) in [(566, 2), (567, 3)] {
@@ -131,7 +132,8 @@
             world.run(25);
         }
 
-        // The first to start ends soon, the others much later.
+        // The first task of a machine ends soon; its other tasks and those that start later end much
+        // later.
         world.run(600);
         world.run_ms = 90_000;
         for worker in &mut world.workers {
--- a/tests/combined_faults/store_writes.rs
+++ b/tests/combined_faults/store_writes.rs
@@ -1,13 +1,13 @@
-//! Writes whose answer is lost, or that are carried out late.
+//! Writes whose answer is lost, or that the store carries out late.
 
-use crate::fixtures::{id, on_machines, state_of};
+use crate::fixtures::{id, state_of, tasks_on_machines};
 use crate::support::{Fate, World, job};
 use serde_json::json;
 use woadlever::core::{HttpRequest, StoreResponse};
 
-/// Each kind of write loses its answer, and is carried out at once while other
-/// nodes read what it wrote, or late, after newer ones of the same node.
-fn lost_answers(fate: Fate) {
+/// Loses the answers to each kind of write. The writes are carried out either at once, so that other
+/// nodes read the new values, or late, after newer writes of the same node.
+fn check_writes_without_answers(fate: Fate) {
     for (index, prefix) in
         ["w/job/", "w/block/", "place/", "progress/", "fleet", "w/leader", "w/catalog"]
             .into_iter()
@@ -28,7 +28,7 @@
                 world.submit(number as usize % 3, &job(number, "t0", 3, 12.0));
             }
             world.run(9_000);
-            // Users come again where no answer came.
+            // Users submit again, as they do if no answer arrived.
             for number in 1..5 {
                 world.submit((number as usize + 1) % 3, &job(number, "t0", 3, 12.0));
             }
@@ -46,13 +46,13 @@
             for number in 1..5 {
                 world.accept(number as usize % 3, &job(number, "t0", 3, 12.0));
             }
-            // Another leads from here on, and starts from the records.
+            // Another node leads from here on and starts from the stored records.
             let leader = world.leader().unwrap();
             world.crash(leader, 3_000);
             for number in 1..4 {
                 assert!(
                     world.until_done(&id(number), 240_000),
-                    "{prefix} of node {node}: {number} never ends"
+                    "{prefix} of node {node}: {number} does not complete"
                 );
             }
             world.cancel(0, &id(4));
@@ -65,16 +65,16 @@
 
 #[test]
 fn writes_carried_out_at_once_without_an_answer_do_no_harm() {
-    lost_answers(Fate::AnswerLost);
+    check_writes_without_answers(Fate::AnswerLost);
 }
 
 #[test]
 fn writes_carried_out_late_after_newer_ones_do_no_harm() {
-    lost_answers(Fate::Late);
+    check_writes_without_answers(Fate::Late);
 }
 
-/// A late record of progress must not take back bits whose tasks have been
-/// cleared from their machines.
+/// A late write of a progress record must not clear bits of tasks that have been cleared from their
+/// machines, since nothing else knows of their success.
 #[test]
 fn a_late_record_of_progress_takes_nothing_back() {
     let mut world = World::new(3, 548);
@@ -83,7 +83,7 @@
 
     let leader = world.leader().unwrap();
 
-    // Two waves of ends; a last task that outlives both.
+    // The quota lets the tasks run in several waves, so that the job outlasts the first two.
     world.accept(leader, &job(1, "t0", 30, 6.0));
     world.store_faults.pick = Some((leader, "progress/".into(), Fate::Late));
     while world.store_faults.picked == 0 {
@@ -96,7 +96,10 @@
     assert!(
         world.carry_out_late().iter().all(|response| matches!(response, StoreResponse::Conflict(_)))
     );
-    assert_eq!(world.store.records[&key].value, before.value, "bits went back");
+    assert_eq!(
+        world.store.records[&key].value, before.value,
+        "a late write changed the progress record"
+    );
 
     world.crash(leader, 5_000);
     assert!(world.until_done(&id(1), 120_000));
@@ -104,9 +107,9 @@
     world.assert_rules_kept();
 }
 
-/// The placement of a task that a former leader admitted fails; it must not come back with a
-/// later write of the record that loses its answer, as that write compares neither the job
-/// nor the term.
+/// The placement write of a task that a former leader admitted fails. The placement must not be
+/// recorded by a later write of the same record whose answer is lost, since that write compares
+/// neither the job nor the term.
 #[test]
 fn a_failed_placement_is_not_revived_by_a_write_with_a_lost_answer() {
     // n1 alone owns the shards in the west, and another node leads.
@@ -126,17 +129,17 @@
     submission["yard"] = json!("west");
     world.accept(0, &submission);
     world.run(12_000);
-    assert_eq!(on_machines(&world, 1), 3);
+    assert_eq!(tasks_on_machines(&world, 1), 3);
 
-    // Placements of another job are under way for long.
+    // The write that places another job is in flight for 7.5 s.
     world.store_faults.slow_writes.insert(1, 7_500);
     world.accept(0, &job(2, "t0", 2, 60.0));
     world.store_faults.slow_writes.clear();
     let old = world.leader().unwrap();
     let free = (0..3).find(|node| *node != 1 && *node != old).unwrap();
 
-    // Meanwhile the placement record lists attempts that are gone, so that it is due to be
-    // written in any case.
+    // Meanwhile the placement record lists attempts that have ended, so that it must be written in
+    // any case.
     world.cancel(free, &id(1));
     world.run(1_800);
 
@@ -151,7 +154,7 @@
     world.store_faults.pick = Some((1, "place/".into(), Fate::AnswerLost));
     world.run(12_000);
     assert_eq!(world.leader(), Some(free));
-    assert!(on_machines(&world, 2) > 0, "the new leader has it start elsewhere");
+    assert!(tasks_on_machines(&world, 2) > 0, "the new leader did not start it elsewhere");
 
     world.store_faults.pick = None;
     world.network.one_way.clear();
--- a/tests/combined_faults/zones.rs
+++ b/tests/combined_faults/zones.rs
@@ -1,32 +1,33 @@
-//! Jobs bound to one zone while all nodes are lost.
+//! Jobs bound to one zone while all nodes restart.
 
 use crate::fixtures::id;
 use crate::support::{World, job};
 use serde_json::json;
 
-/// Tasks that fit on one machine.
+/// Number of tasks that fit on one machine.
 const TASKS_PER_MACHINE: usize = 4;
 
-/// Tasks of a job that run, by zone.
+/// Number of tasks of a job that run in a zone.
 fn running_in(world: &World, number: u32, zone: &str) -> usize {
     let machines = world.workers.iter().filter(|worker| worker.zone == zone);
     let tasks = machines.flat_map(|worker| &worker.tasks);
     tasks.filter(|task| task.job == id(number) && task.why.is_none()).count()
 }
 
-/// Whether a placement record of a zone lists a job.
+/// Whether a placement record of the zone lists the job.
 fn is_on_record(world: &World, number: u32, zone: &str) -> bool {
     let prefix = format!("place/{zone}");
     let records = world.store.records_under(&prefix);
     records.into_iter().any(|(_, record)| record.value["j"].to_string().contains(&id(number)))
 }
 
-/// A job's tasks were done in one zone and its next ones went to another, where there was room.
-/// The placement records of the first zone still listed the tasks that were done when all nodes
-/// were lost. The next leader counted them there, and the running ones in the other zone: with
-/// tasks in both, either zone was taken for the job's own. It admitted in both, as in drawn faults
-/// `task=14 shard="east.0" decision=Admitted` and `task=12 shard="west.1" decision=Admitted` in
-/// one scheduling cycle of term 179, and a task started in the west beside three in the east.
+/// Guards against a job bound to one zone that ran in two. Its first tasks were done in one zone, and
+/// its next tasks were placed in the other, which had free capacity. The placement records of the
+/// first zone still listed the done tasks when all nodes crashed. The next leader counted these in
+/// the first zone and the running ones in the second, and took either zone for the job's own. So it
+/// admitted tasks in both: under random faults, `task=14 shard="east.0" decision=Admitted` and
+/// `task=12 shard="west.1" decision=Admitted` were logged in one scheduling cycle of term 179, and a
+/// task started in the west beside three in the east.
 #[test]
 fn a_job_bound_to_one_zone_stays_there_when_records_still_list_another() {
     let mut world = World::new(2, 660);
@@ -47,7 +48,8 @@
     world.run(2_000);
     assert_eq!(running_in(&world, 1, "east"), 2 * TASKS_PER_MACHINE);
 
-    // Takes the capacity in the east when the first tasks are done; the next ones go west.
+    // An urgent job takes the capacity in the east when the first tasks are done, so that the next
+    // tasks are placed in the west.
     world.run_ms = 90_000;
     let mut urgent = job(2, "t0", 8, 90.0);
     urgent["urgency"] = json!("urgent");
@@ -59,8 +61,9 @@
         world.run(25);
     }
     assert_eq!(running_in(&world, 1, "west"), TASKS_PER_MACHINE);
-    assert!(is_on_record(&world, 1, "east"), "the tasks that are done");
-    // They are still listed when all nodes are lost, and nothing disproves it for a while.
+    assert!(is_on_record(&world, 1, "east"), "the done tasks are no longer recorded");
+    // The done tasks are still recorded when all nodes crash, and no heartbeat reports otherwise for
+    // a while.
     for worker in &mut world.workers {
         worker.mute = worker.tasks.iter().any(|task| task.job == id(2));
     }
