--- a/tests/resource_bounds.rs
+++ b/tests/resource_bounds.rs
@@ -1,5 +1,5 @@
-//! Bounds on what a node keeps in memory and on how often it does its largest pieces
-//! of work, counted without a clock.
+//! Bounds on what a node keeps in memory and on how often it runs its most expensive computations,
+//! checked by counting instead of measuring time.
 
 #![allow(unreachable_pub, reason = "modules of a test program are not a library")]
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic, reason = "a test fails by panicking")]
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn a_table_keeps_no_trace_of_what_was_removed_and_uses_no_index_twice() {
+fn a_table_forgets_removed_entries_and_reuses_no_index() {
     let mut table: NamedTable<MachineIndex, u32> = NamedTable::default();
     let (first, _) = table.get_or_insert_with("a", || 1);
     assert_eq!(table.get_or_insert_with("a", || 2), (first, &mut 1));
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn of_many_names_the_last_are_kept() {
+fn only_the_most_recent_names_are_kept() {
     let mut names = RecentNames::new(100);
     for number in 0..1_000 {
         assert!(names.insert(&format!("host-{number}")));
@@ -52,7 +52,7 @@
     assert!(names.contains("host-900") && !names.contains("host-899"));
 }
 
-/// Work waits all the time, so every plan goes over all attempts and machines.
+/// Tasks are waiting throughout, so that every plan covers all attempts and machines.
 #[test]
 fn a_leader_makes_two_plans_a_second_and_one_for_each_refusal() {
     let mut world = World::new(1, 2);
--- a/tests/units/forecast.rs
+++ b/tests/units/forecast.rs
@@ -6,8 +6,8 @@
 use woadlever::core::forecast::History;
 use woadlever::model::Resources;
 
-fn booking(ran: u64, expected: u64) -> Booking {
-    Booking { demand: Resources { cpus: 4.0, gpus: 0.0, mem: 1.0 }, ran_ms: ran, expected_ms: expected }
+fn booking(ran_ms: u64, expected_ms: u64) -> Booking {
+    Booking { demand: Resources { cpus: 4.0, gpus: 0.0, mem: 1.0 }, ran_ms, expected_ms }
 }
 
 #[test]
@@ -15,7 +15,7 @@
     let operator = Operator::default();
     assert_eq!(remaining_s(&operator, &booking(4_000, 10_000)), 6.0);
 
-    // Past its estimate: extended by a fifth of it, again and again.
+    // A task past its estimate is extended by a fifth of the estimate, repeatedly.
     assert!((remaining_s(&operator, &booking(10_500, 10_000)) - 1.5).abs() < 1e-9);
     assert!((remaining_s(&operator, &booking(12_500, 10_000)) - 1.5).abs() < 1e-9);
 
@@ -23,7 +23,11 @@
     let none = Resources::default();
     let full = [booking(0, 9_000), booking(0, 9_000)];
     let projection = project(&operator, &capacity, &full, &none);
-    assert_eq!((projection.peak, projection.overloaded), (1.0, false), "9 of 100 steps are no overload");
+    assert_eq!(
+        (projection.peak, projection.overloaded),
+        (1.0, false),
+        "9 overloaded steps of 100 count as an overload"
+    );
 
     let longer = [booking(0, 11_000), booking(0, 11_000)];
     assert!(project(&operator, &capacity, &longer, &none).overloaded);
@@ -33,10 +37,10 @@
     assert!(!project(&operator, &capacity, &[], &waiting).overloaded);
 }
 
-/// A rise at the start of a day is no season: it must not come back as a
-/// forecast when demand is over.
+/// A single rise at the start of a day is not a seasonal pattern: it must not reappear in the
+/// forecast after the demand has ended.
 #[test]
-fn a_season_counts_once_it_was_seen_twice() {
+fn a_season_counts_only_after_its_second_occurrence() {
     let mut history = History::default();
     let record = |history: &mut History, demand: f64| {
         history.record(&BTreeMap::from([("k".to_string(), demand)]), 10);
@@ -54,7 +58,10 @@
     assert!(history.expect("k", 10, 0.4).unwrap() < 0.2);
 
     record(&mut history, 0.0);
-    assert!(history.expect("k", 10, 0.4).unwrap() > 1.0, "the next window was busy two seasons ago");
+    assert!(
+        history.expect("k", 10, 0.4).unwrap() > 1.0,
+        "the forecast ignores that the next window was busy two seasons ago"
+    );
 
     for _ in 0..500 {
         record(&mut history, 1.0);
--- a/tests/units/main.rs
+++ b/tests/units/main.rs
@@ -1,4 +1,4 @@
-//! Small parts on their own: settings, formats, forecast and projection.
+//! Unit tests of settings, wire formats, records, the model, the forecast and the projection.
 
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic, reason = "a test fails by panicking")]
 
--- a/tests/units/messages.rs
+++ b/tests/units/messages.rs
@@ -12,7 +12,7 @@
 use woadlever_cells::message::{CellMessage, ForwardedState, HostedState};
 
 #[test]
-fn frames_come_back_as_sent_and_garbage_does_not() {
+fn frames_round_trip_and_garbage_is_rejected() {
     let frame = Frame {
         from: "n1".into(),
         incarnation: 9,
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn heartbeats_may_leave_out_what_may_be_null_and_carry_what_is_new() {
+fn heartbeats_may_omit_nullable_fields_and_carry_unknown_ones() {
     let heartbeat: WorkerHeartbeat = serde_json::from_str(
         r#"{"hull":"host-1","endpoint":"e","hulltype":"g","yard":"a","shift":1,"tally":2,"new":{},
             "pieces":[{"piece":"run-1/0","try":1,"status":"pondering"}]}"#,
@@ -43,8 +43,8 @@
     assert!(serde_json::from_str::<WorkerHeartbeat>(r#"{"hull":"host-1"}"#).is_err());
 }
 
-/// The words of the store's protocol. The scenario tests hand typed values to
-/// the core, so that nothing else here would notice a wrong one.
+/// Checks the field names of the store's protocol. The scenario tests pass typed values to the core,
+/// so no other test here would detect a wrong name.
 #[test]
 fn the_stores_messages_are_read_and_written_in_its_words() {
     let item: KeyValue =
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn a_message_between_cells_of_another_version_is_passed_over() {
+fn a_message_between_cells_of_another_version_is_ignored() {
     let (forwarded, hosted) = (ForwardedState::default(), HostedState::default());
     let message = CellMessage { cell: "a".into(), term: 1, revision: 2, forwarded, hosted };
     let mut bytes = message.encode();
--- a/tests/units/model.rs
+++ b/tests/units/model.rs
@@ -1,9 +1,9 @@
-//! Sets of tasks, shards and the size of jobs in memory.
+//! Task sets, shards, task names, and the size of jobs in memory.
 
 use woadlever::model::{TaskSet, shard_of, shards_of, split_task};
 
 #[test]
-fn a_task_set_survives_being_written_in_chunks() {
+fn a_task_set_round_trips_in_segments() {
     let mut tasks = TaskSet::with_capacity(100_000);
     for task in [0, 1, 63, 64, 16_383, 16_384, 70_000, 99_999] {
         assert!(tasks.insert(task) && !tasks.insert(task));
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn every_zone_has_a_shard_and_every_machine_falls_into_one() {
+fn every_zone_has_a_shard_and_every_machine_belongs_to_one() {
     let zones: Vec<String> = ["a", "b", "c"].map(String::from).to_vec();
     let nodes: Vec<(String, String)> =
         [("n0", "a"), ("n1", "a"), ("n2", "b")].map(|(node, zone)| (node.into(), zone.into())).to_vec();
@@ -35,10 +35,10 @@
     assert_eq!(split_task("run-000412"), None);
 }
 
-/// A fixed number of final jobs is kept on each node, so the size of one is part of
-/// what a small machine needs (docs/operations.md).
+/// Each node keeps a fixed number of final jobs, so the size of one contributes to the memory that
+/// a small machine needs (docs/operations.md).
 #[test]
-fn a_job_that_is_over_takes_about_a_hundred_bytes_beside_its_name() {
+fn a_job_takes_about_a_hundred_bytes_besides_its_name() {
     let bytes = std::mem::size_of::<woadlever::core::common::job_table::Job>();
     assert!(bytes <= 112, "{bytes}");
 }
--- a/tests/units/records.rs
+++ b/tests/units/records.rs
@@ -1,4 +1,4 @@
-//! Records of jobs and of their progress in the store.
+//! Stored records of jobs and of their progress.
 
 use serde_json::json;
 use woadlever::core::progress::ProgressSegment;
@@ -7,9 +7,10 @@
 use woadlever_cells::origin::RecallReason;
 use woadlever_cells::record::{CellLease, Forwarding, Origin};
 
-/// Bits that were recorded in whole chunks and in parts are one set.
+/// Progress is recorded in whole segments or in parts of segments; keys of both layouts refer to bits
+/// of the same set.
 #[test]
-fn keys_of_progress_are_read_in_both_layouts() {
+fn progress_keys_are_parsed_in_both_layouts() {
     let read = |key: &str| {
         ProgressSegment::of_key(key)
             .map(|(id, segment)| (id.to_string(), segment.first_word(), segment.is_part()))
@@ -24,22 +25,22 @@
     assert_eq!(segment.key(id), "progress/run-000001/2.3");
 }
 
-/// A controller that knows nothing of cells reads these records too, and must find nothing
-/// to start; one that does finds the same job again.
+/// A controller without support for cells also reads the records of forwarded jobs and must find no
+/// tasks to start in them; a controller with support for cells reads the same job again.
 #[test]
-fn the_record_of_a_job_that_is_away_hides_its_description() {
+fn the_record_of_a_forwarded_job_hides_its_description() {
     let body = json!({"name_id": "run-1", "jobclass": "c", "crew": "t", "shape": "batch",
         "urgency": "normal", "pieces": 2, "cores": 1.0, "cards": 0.0, "memory_gb": 1.0,
         "one_zone": false, "scatter": false, "standby": true, "bundle": "i", "pull_gb": 0.0,
         "guess_s": 1.0, "bookmark_s": 0.0, "stow_s": 0.0});
     let spec = parse_job(body.to_string().as_bytes()).unwrap().spec;
     let awaits = vec!["run-7".to_string()];
-    let away = Forwarding::begin("b", 4, None);
+    let forwarding = Forwarding::begin("b", 4, None);
     let text = |record: &JobRecord| serde_json::to_value(record).unwrap();
     let plain = text(&JobRecord::live(spec.clone(), &[]));
     assert!(plain.get("f").is_none() && plain.get("o").is_none() && plain.get("q").is_none());
 
-    for phase in [away.clone(), away.recalled(RecallReason::Idle)] {
+    for phase in [forwarding.clone(), forwarding.recalled(RecallReason::Idle)] {
         let record = JobRecord::forwarded(spec.clone(), &awaits, phase);
         let value = text(&record);
         assert!(value.get("j").is_none() && value.get("p").is_none(), "{value}");
@@ -48,7 +49,7 @@
         assert_eq!(read, record);
         assert_eq!(read.into_parts(), (Some(spec.clone()), awaits.clone()));
     }
-    let back = JobRecord::forwarded(spec.clone(), &[], away.returned());
+    let back = JobRecord::forwarded(spec.clone(), &[], forwarding.returned());
     assert!(text(&back).get("j").is_some());
 
     let origin = Origin { cell: "a".into(), epoch: 4, done: String::new() };
--- a/tests/units/settings.rs
+++ b/tests/units/settings.rs
@@ -1,4 +1,5 @@
-//! Settings of the platform and of the operators: what is accepted, and how errors name it.
+//! Settings of the platform and of the operators: which are accepted, and how errors name the
+//! rejected ones.
 
 use woadlever::config::{Operator, Platform};
 
@@ -30,7 +31,7 @@
 "#;
 
 #[test]
-fn platform_settings_ignore_what_is_new_and_name_what_is_wrong() {
+fn platform_settings_ignore_unknown_fields_and_name_invalid_ones() {
     assert!(Platform::parse("f", PLATFORM).is_ok());
 
     for (from, to, names) in [
@@ -52,7 +53,7 @@
 }
 
 #[test]
-fn announced_limits_count_from_the_start_and_useless_ones_are_named() {
+fn announced_limits_apply_from_the_start_and_invalid_ones_are_named() {
     let with = |next: &str| PLATFORM.replace("[cluster.cloud]", &format!("{next}\n[cluster.cloud]"));
     let limits = Platform::parse("f", PLATFORM).unwrap().cluster.state;
     assert_eq!(
@@ -66,9 +67,9 @@
         (limits.value_kb, limits.txn_ops, limits.write_rps, limits.today_kb),
         (2.0, 4, 15.0, 8.0)
     );
-    assert_eq!(limits.rps, 150.0, "what is left out stays");
+    assert_eq!(limits.rps, 150.0, "a limit that is not announced has changed");
 
-    // Larger ones come later, if at all: until then today's hold.
+    // Raised limits come into force later, if at all; the current ones apply until then.
     let limits = Platform::parse("f", &with("[cluster.state.next]\nvalue_kb = 64.0")).unwrap();
     assert_eq!(limits.cluster.state.value_kb, 8.0);
 
@@ -86,12 +87,13 @@
 }
 
 #[test]
-fn the_control_lease_ends_early_enough_for_every_lease_to_end_within_a_cancellation() {
+fn the_control_lease_leaves_time_for_every_lease_to_end_within_the_cancellation_limit() {
     let platform = Platform::parse("f", PLATFORM).unwrap();
     let control_lease_s = platform.control_lease_ms(&Operator::default()) as f64 / 1000.0;
     assert!(control_lease_s > 5.0 && control_lease_s + 27.0 * 1.001 + 1.0 < 52.0, "{control_lease_s}");
 
-    // Any settings: in time with both clocks off by 0.05%, or refused by name.
+    // Any other settings either leave enough time with both clocks off by 0.05%, or are rejected with
+    // the name of the field.
     for (lease, cancel) in
         [(27.0, 52.0), (45.0, 65.0), (27.0, 28.2), (27.0, 29.5), (600.0, 602.0), (3600.0, 3700.0)]
     {
@@ -101,9 +103,9 @@
         match Platform::parse("f", &text) {
             Ok(platform) => {
                 let control_lease_s = platform.control_lease_ms(&Operator::default()) as f64 / 1000.0;
-                let all_ended_s = (control_lease_s + lease) * 1.0005;
+                let all_leases_end_s = (control_lease_s + lease) * 1.0005;
                 assert!(
-                    control_lease_s >= 1.0 && all_ended_s + 0.4 < cancel,
+                    control_lease_s >= 1.0 && all_leases_end_s + 0.4 < cancel,
                     "{lease}, {cancel}: {control_lease_s}"
                 );
             }
@@ -116,7 +118,7 @@
 }
 
 #[test]
-fn operator_settings_take_known_keys_only() {
+fn operator_settings_accept_known_keys_only() {
     let operator = Operator::parse("o", "[forecast]\nwindow_s = 45\n").unwrap();
     assert_eq!(operator.window_s, 45.0);
     for text in ["[forecast]\nwindow = 45\n", "[forecast]\nwindow_s = soon\n", "[other]\nx = 1\n"] {
@@ -126,11 +128,11 @@
 }
 
 #[test]
-fn overload_settings_that_cannot_be_used_are_named() {
+fn invalid_overload_settings_are_named() {
     let good = "[overload]\nenabled = true\nlag_target_ms = 50\nlag_interval_ms = 200\n";
     let overload = Operator::parse("o", good).unwrap().overload;
     assert!(overload.enabled && overload.lag_target_ms == 50 && overload.lag_interval_ms == 200);
-    assert!(!Operator::default().overload.enabled, "off unless switched on");
+    assert!(!Operator::default().overload.enabled, "enabled by default");
 
     let file = include_str!("../../deploy/woadlever.ini");
     assert!(Operator::parse("deploy/woadlever.ini", file).unwrap().overload.enabled);
@@ -149,14 +151,14 @@
 }
 
 #[test]
-fn cell_settings_that_cannot_be_used_are_named() {
+fn invalid_cell_settings_are_named() {
     let cells = Operator::parse("o", include_str!("../../deploy/cells.ini")).unwrap().cells;
     assert!(cells.enabled && cells.accept && cells.name == "split" && cells.listen_port == 8082);
 
     let names: Vec<&str> = cells.neighbors.iter().map(|cell| cell.name.as_str()).collect();
     assert_eq!(names, ["zagreb", "rijeka"]);
     assert_eq!(cells.neighbors[0].controllers.len(), 3);
-    assert!(!Operator::default().cells.enabled, "off unless switched on");
+    assert!(!Operator::default().cells.enabled, "enabled by default");
 
     let good = "[cells]\nenabled=true\nname=a\nlisten_port=1\n";
     assert!(Operator::parse("o", good).is_ok());
