--- a/crates/recovery-report/src/history.rs
+++ b/crates/recovery-report/src/history.rs
@@ -1,25 +1,25 @@
-//! What the lines of all logs say together.
+//! Builds the history of a cluster from the logs of all its nodes.
 
-use crate::log_line::{self, Event, LineError, LogLine, PhaseEntered, Shed};
+use crate::log_line::{self, Event, LineError, LoadShedding, LogLine, PhaseEntered};
 use crate::moves::{Move, Moves};
 use std::collections::BTreeMap;
 use thiserror::Error;
 use woadlever_recovery::shard::{ReconciliationCounts, RecoveryPhase};
 
-/// Why logs can't be used. `Display` names file and line.
+/// Error from reading the logs.
 #[derive(Debug, Error, PartialEq, Eq)]
 pub enum HistoryError {
-    /// A line about recovery, overload or cells can't be read.
-    #[error("{file}:{line}: {why}")]
+    /// A line about recovery, overload or cells is malformed.
+    #[error("{file}:{line}: {error}")]
     Line {
-        /// Name of the log.
+        /// Name of the log file.
         file: String,
-        /// Number of the line.
+        /// Line number, beginning at 1.
         line: usize,
-        /// What is wrong with it.
-        why: LineError,
+        /// What is wrong with the line.
+        error: LineError,
     },
-    /// No line in any log is about recovery or cells.
+    /// No line of any log is about recovery or cells.
     #[error("no line about recovery or cells in {0}")]
     NothingFound(String),
 }
@@ -27,54 +27,55 @@
 /// The log of one node.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Log {
-    /// Its name, for errors and on the page.
+    /// Name of the log, used in errors and on the page.
     pub name: String,
-    /// Its text.
+    /// Text of the log.
     pub text: String,
 }
 
 /// The recovery of one shard under one fencing token. Times are in milliseconds.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Recovery {
-    /// Name of the log that tells of it.
+    /// Name of the log that reports the recovery.
     pub log: String,
     /// Name of the shard.
     pub shard: String,
-    /// Fencing token under which it was owned.
+    /// Fencing token under which the shard was owned.
     pub fencing_token: u64,
-    /// When the shard was assigned, as its owner noticed.
+    /// Time at which the owner noticed that the shard was assigned to it.
     pub assigned_ms: i64,
-    /// When its records had been read.
+    /// Time at which all placement records of the shard had been read.
     pub read_ms: Option<i64>,
-    /// When its last attempt was reconciled.
+    /// Time at which the shard's last attempt was reconciled.
     pub reconciled_ms: Option<i64>,
-    /// Attempts that its records listed.
+    /// Number of attempts listed by the shard's placement records.
     pub recorded: u64,
-    /// Attempts by how they were reconciled.
+    /// Number of attempts by the result of their reconciliation.
     pub counts: ReconciliationCounts,
 }
 
-/// What a node has shed in about a second.
+/// A log line about load shedding.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct ShedEntry {
-    /// Name of the log that tells of it.
+pub struct LoadSheddingEntry {
+    /// Name of the log that contains the line.
     pub log: String,
     /// Time of the line, in milliseconds.
     pub at_ms: i64,
-    /// What was shed.
-    pub shed: Shed,
+    /// Load shedding that the line reports.
+    pub load_shedding: LoadShedding,
 }
 
-/// What all logs say, times in milliseconds since the beginning.
+/// Events from all logs. Times are in milliseconds since the first line or the first
+/// assignment of a shard, whichever is earlier.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct History {
-    /// Recoveries in the order in which they began.
+    /// Recoveries, sorted by the time of the assignment.
     pub recoveries: Vec<Recovery>,
-    /// What was shed, in the order of time.
-    pub shed: Vec<ShedEntry>,
-    /// Jobs that moved between cells, in the order in which they began to.
+    /// Lines about load shedding, sorted by time.
+    pub load_shedding: Vec<LoadSheddingEntry>,
+    /// Moves of jobs between cells, sorted by their start.
     pub moves: Vec<Move>,
-    /// Time of the last line.
+    /// Time of the last line about recovery, overload or cells.
     pub end_ms: i64,
 }
 
@@ -84,10 +85,10 @@
         let mut builder = Builder::default();
         for log in logs {
             for (index, text) in log.text.lines().enumerate() {
-                let line = log_line::parse(text).map_err(|why| HistoryError::Line {
+                let line = log_line::parse(text).map_err(|error| HistoryError::Line {
                     file: log.name.clone(),
                     line: index + 1,
-                    why,
+                    error,
                 })?;
                 if let Some(line) = line {
                     builder.add(&log.name, line);
@@ -100,7 +101,7 @@
         })
     }
 
-    /// Attempts of all recoveries by how they were reconciled.
+    /// Sum of the reconciliation counts of all recoveries.
     pub fn totals(&self) -> ReconciliationCounts {
         let mut totals = ReconciliationCounts::default();
         for counts in self.recoveries.iter().map(|recovery| recovery.counts) {
@@ -113,7 +114,7 @@
     }
 }
 
-/// What tells recoveries apart.
+/// Identifies a recovery.
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct RecoveryKey {
     log: String,
@@ -121,11 +122,11 @@
     fencing_token: u64,
 }
 
-/// A history while lines are read, with times of day.
+/// Collects the lines of all logs into a history. Times are Unix times in milliseconds.
 #[derive(Debug, Default)]
 struct Builder {
     recoveries: BTreeMap<RecoveryKey, Recovery>,
-    shed: Vec<ShedEntry>,
+    load_shedding: Vec<LoadSheddingEntry>,
     moves: Moves,
     first_ms: Option<i64>,
     last_ms: i64,
@@ -137,7 +138,9 @@
         self.first_ms = Some(self.first_ms.map_or(at_ms, |first| first.min(at_ms)));
         self.last_ms = self.last_ms.max(at_ms);
         match line.event {
-            Event::Shed(shed) => self.shed.push(ShedEntry { log: log.into(), at_ms, shed }),
+            Event::LoadShedding(load_shedding) => {
+                self.load_shedding.push(LoadSheddingEntry { log: log.into(), at_ms, load_shedding });
+            }
             Event::Move(step) => self.moves.add(at_ms, &step),
             Event::Phase(entered) => self.add_phase(log, at_ms, entered),
         }
@@ -165,8 +168,8 @@
         }
     }
 
-    /// The history with times since the first line or the first assignment; none if no line
-    /// is about recovery or cells.
+    /// Returns the history, with times relative to the first line or the first assignment,
+    /// whichever is earlier. Returns `None` if no line is about recovery or cells.
     fn finish(self) -> Option<History> {
         if self.recoveries.is_empty() && self.moves.is_empty() {
             return None;
@@ -180,12 +183,12 @@
             recovery.reconciled_ms = recovery.reconciled_ms.map(|at| at - start_ms);
         }
         recoveries.sort_by_key(|recovery| (recovery.assigned_ms, recovery.shard.clone()));
-        let mut shed = self.shed;
-        for entry in &mut shed {
+        let mut load_shedding = self.load_shedding;
+        for entry in &mut load_shedding {
             entry.at_ms -= start_ms;
         }
-        shed.sort_by_key(|entry| entry.at_ms);
+        load_shedding.sort_by_key(|entry| entry.at_ms);
         let moves = self.moves.into_list(start_ms);
-        Some(History { recoveries, shed, moves, end_ms: self.last_ms - start_ms })
+        Some(History { recoveries, load_shedding, moves, end_ms: self.last_ms - start_ms })
     }
 }
--- a/crates/recovery-report/src/lib.rs
+++ b/crates/recovery-report/src/lib.rs
@@ -1,8 +1,8 @@
-//! Reads the logs of a cluster's nodes and draws one HTML page: how recoveries went, what was
-//! shed under overload, and which jobs moved between cells.
+//! Parses the logs of a cluster's nodes and renders one HTML page about shard recoveries, load
+//! shed under overload, and jobs that moved between cells.
 //!
-//! [`log_line`] reads one line, [`history`] gathers what all lines say ([`moves`]: of jobs
-//! that moved between cells), [`page`] draws it. Nothing here reads or writes a file.
+//! [`log_line`] parses one line, [`history`] combines the lines of all logs, [`moves`] collects
+//! the moves of jobs between cells, and [`page`] renders the page. The library does no file I/O.
 
 pub mod history;
 pub mod log_line;
--- a/crates/recovery-report/src/log_line.rs
+++ b/crates/recovery-report/src/log_line.rs
@@ -1,4 +1,4 @@
-//! One line of a node's log.
+//! Parser for one line of a node's log.
 
 use std::collections::HashMap;
 use thiserror::Error;
@@ -8,88 +8,88 @@
 use woadlever_overload::class::RequestClass;
 use woadlever_recovery::shard::{ReconciliationCounts, RecoveryPhase};
 
-/// Newest version of the fields that this program reads.
-pub const FORMAT: u64 = 2;
+/// Newest format of the log fields that this program supports.
+pub const NEWEST_FORMAT: u64 = 2;
 const RECOVERY_TARGET: &str = " woadlever::recovery: ";
 const CELLS_TARGET: &str = " woadlever::cells: ";
 const OVERLOAD_TARGET: &str = " woadlever::overload: ";
 
-/// Why a line about recovery, overload or cells can't be used.
+/// Error from parsing a line about recovery, overload or cells.
 #[derive(Debug, Error, PartialEq, Eq)]
 pub enum LineError {
-    /// The line does not begin with a time.
-    #[error("no time at the beginning of the line")]
-    NoTime,
-    /// The fields are of another version.
-    #[error("fields of format {0}, only formats up to {FORMAT} can be read")]
+    /// No timestamp precedes the target of the line.
+    #[error("no timestamp at the beginning of the line")]
+    MissingTimestamp,
+    /// The fields have a format that this program doesn't support.
+    #[error("fields of format {0}, only formats up to {NEWEST_FORMAT} can be read")]
     OtherFormat(u64),
-    /// A field is missing or not of its type; a line that was cut short lacks some.
+    /// A field is missing, as in a truncated line, or does not have the expected type.
     #[error("field {0} is missing or malformed")]
     BadField(&'static str),
 }
 
-/// A shard has entered a phase.
+/// A shard entered a phase of its recovery.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PhaseEntered {
     /// Name of the shard.
     pub shard: String,
-    /// Fencing token under which it is owned.
+    /// Fencing token under which the shard is owned.
     pub fencing_token: u64,
-    /// The phase.
+    /// Phase that the shard entered.
     pub phase: RecoveryPhase,
     /// Time since the shard was assigned, in milliseconds.
     pub age_ms: u64,
-    /// Attempts that its records listed.
+    /// Number of attempts listed by the shard's placement records.
     pub recorded: u64,
-    /// Attempts reconciled so far.
+    /// Number of attempts reconciled so far.
     pub counts: ReconciliationCounts,
 }
 
-/// What a node has shed in about a second.
+/// Load shedding of a node over about one second.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Shed {
+pub struct LoadShedding {
     /// Lag of the event loop, in milliseconds.
     pub lag_ms: u64,
-    /// Rate of new connections a second.
+    /// Admission rate, in new connections per second.
     pub rate: u64,
-    /// Connections admitted.
+    /// Number of connections admitted.
     pub admitted: u64,
-    /// Requests dropped because their clients no longer waited.
+    /// Number of requests dropped because their clients no longer waited.
     pub expired: u64,
-    /// Connections rejected, by index of their class.
+    /// Number of connections rejected, by index of the request class.
     pub rejected: [u64; RequestClass::ALL.len()],
 }
 
-/// A step of a job that moves between cells.
+/// A step in the move of a job between cells.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct MoveStep {
     /// Id of the job.
     pub job: String,
-    /// The other cell.
+    /// Name of the other cell.
     pub cell: String,
     /// Epoch of the forwarding.
     pub epoch: u64,
-    /// The step.
+    /// Step that was logged.
     pub event: MoveEvent,
 }
 
-/// What a line is about.
+/// The event that a line reports.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Event {
-    /// About a recovery.
+    /// A shard entered a phase of its recovery.
     Phase(PhaseEntered),
-    /// About overload.
-    Shed(Shed),
-    /// About cells.
+    /// A node shed load.
+    LoadShedding(LoadShedding),
+    /// A step in the move of a job between cells.
     Move(MoveStep),
 }
 
 /// A line about recovery, overload or cells.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct LogLine {
-    /// Time of day in milliseconds.
+    /// Unix time of the line, in milliseconds.
     pub at_ms: i64,
-    /// What it is about.
+    /// The event that the line reports.
     pub event: Event,
 }
 
@@ -97,7 +97,7 @@
 struct Fields<'a>(HashMap<&'a str, &'a str>);
 
 impl<'a> Fields<'a> {
-    fn of(text: &'a str) -> Fields<'a> {
+    fn parse(text: &'a str) -> Fields<'a> {
         let pairs = text.split_ascii_whitespace().filter_map(|word| word.split_once('='));
         Fields(pairs.collect())
     }
@@ -113,33 +113,33 @@
     }
 }
 
-/// Reads the fields of one kind of line.
-type ReadFields = fn(&Fields) -> Result<Event, LineError>;
+/// Parses the fields of one kind of line.
+type ParseFields = fn(&Fields) -> Result<Event, LineError>;
 
-/// The kinds of lines that are read, by their targets.
-const LINE_KINDS: [(&str, ReadFields); 3] =
-    [(RECOVERY_TARGET, read_phase), (OVERLOAD_TARGET, read_shed), (CELLS_TARGET, read_move)];
+/// Parsers of the lines' fields, by log target.
+const PARSERS: [(&str, ParseFields); 3] =
+    [(RECOVERY_TARGET, parse_phase), (OVERLOAD_TARGET, parse_load_shedding), (CELLS_TARGET, parse_move)];
 
-/// Reads a line; none if it is about something else.
+/// Parses a line. Returns `None` if it is not about recovery, overload or cells.
 pub fn parse(line: &str) -> Result<Option<LogLine>, LineError> {
-    let found = LINE_KINDS
+    let found = PARSERS
         .into_iter()
-        .find_map(|(target, read)| line.split_once(target).map(|(head, fields)| (head, fields, read)));
-    let Some((head, fields, read)) = found else { return Ok(None) };
+        .find_map(|(target, parse)| line.split_once(target).map(|(head, fields)| (head, fields, parse)));
+    let Some((head, fields, parse_fields)) = found else { return Ok(None) };
     let time = head.split_ascii_whitespace().find_map(|word| OffsetDateTime::parse(word, &Rfc3339).ok());
-    let at = time.ok_or(LineError::NoTime)?;
-    let fields = Fields::of(fields);
+    let at = time.ok_or(LineError::MissingTimestamp)?;
+    let fields = Fields::parse(fields);
     let format = fields.number("format")?;
-    if !(1..=FORMAT).contains(&format) {
+    if !(1..=NEWEST_FORMAT).contains(&format) {
         return Err(LineError::OtherFormat(format));
     }
     let at_ms = (at.unix_timestamp_nanos() / 1_000_000) as i64;
-    Ok(Some(LogLine { at_ms, event: read(&fields)? }))
+    Ok(Some(LogLine { at_ms, event: parse_fields(&fields)? }))
 }
 
-fn read_phase(fields: &Fields) -> Result<Event, LineError> {
+fn parse_phase(fields: &Fields) -> Result<Event, LineError> {
     let count = |name| fields.number(name).map(|count| count as u32);
-    // Format 1 names a shard a block, and its fencing token a grant.
+    // In format 1 the shard's field is `block`, and the fencing token's field is `grant`.
     let [shard, fencing_token] = match fields.number("format")? {
         1 => ["block", "grant"],
         _ => ["shard", "fencing_token"],
@@ -159,7 +159,7 @@
     }))
 }
 
-fn read_move(fields: &Fields) -> Result<Event, LineError> {
+fn parse_move(fields: &Fields) -> Result<Event, LineError> {
     Ok(Event::Move(MoveStep {
         job: fields.text("job")?.to_string(),
         cell: fields.text("cell")?.to_string(),
@@ -168,15 +168,15 @@
     }))
 }
 
-fn read_shed(fields: &Fields) -> Result<Event, LineError> {
-    // Format 1 names worker heartbeats reports.
+fn parse_load_shedding(fields: &Fields) -> Result<Event, LineError> {
+    // In format 1 the field for worker heartbeats is `reports`.
     let heartbeats = if fields.number("format")? == 1 { "reports" } else { "heartbeats" };
     let names = ["probes", heartbeats, "cancellations", "submissions", "questions"];
     let mut rejected = [0; RequestClass::ALL.len()];
     for (count, name) in rejected.iter_mut().zip(names) {
         *count = fields.number(name)?;
     }
-    Ok(Event::Shed(Shed {
+    Ok(Event::LoadShedding(LoadShedding {
         lag_ms: fields.number("lag_ms")?,
         rate: fields.number("rate")?,
         admitted: fields.number("admitted")?,
--- a/crates/recovery-report/src/main.rs
+++ b/crates/recovery-report/src/main.rs
@@ -1,4 +1,5 @@
-//! Command line: reads logs, writes one page or nothing.
+//! Command-line program that renders the logs of a cluster's nodes as one HTML page. It writes a
+//! complete page or none.
 
 use clap::Parser;
 use std::io;
@@ -8,10 +9,10 @@
 use woadlever_recovery_report::history::{History, HistoryError, Log};
 use woadlever_recovery_report::page::{self, PlotError};
 
-/// Exit status when no page is written.
-const FAILED: u8 = 2;
+/// Exit status if no page is written.
+const FAILURE_STATUS: u8 = 2;
 
-/// Draws one HTML page on how recoveries went and what was shed.
+/// Renders one HTML page about recoveries, load shedding and jobs that moved between cells.
 #[derive(Parser)]
 #[command(name = "woadlever-recovery-report", version, about)]
 struct Args {
@@ -23,7 +24,7 @@
     logs: Vec<PathBuf>,
 }
 
-/// Why no page is written.
+/// Error that keeps the page from being written.
 #[derive(Debug, Error)]
 enum ReportError {
     #[error("{file}: {source}")]
@@ -39,7 +40,7 @@
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("woadlever-recovery-report: {error}");
-            ExitCode::from(FAILED)
+            ExitCode::from(FAILURE_STATUS)
         }
     }
 }
@@ -47,7 +48,7 @@
 fn run(args: &Args) -> Result<(), ReportError> {
     let logs = args.logs.iter().map(|path| read_log(path)).collect::<Result<Vec<Log>, _>>()?;
     let history = History::read(&logs)?;
-    write_whole(&args.output, &page::render(&history)?)
+    write_atomically(&args.output, &page::render(&history)?)
 }
 
 fn read_log(path: &Path) -> Result<Log, ReportError> {
@@ -55,13 +56,14 @@
     Ok(Log { name: path.display().to_string(), text })
 }
 
-/// Writes to a file beside the page first, so that there is never half a page.
-fn write_whole(path: &Path, text: &str) -> Result<(), ReportError> {
-    let mut unfinished = path.as_os_str().to_owned();
-    unfinished.push(".part");
-    let unfinished = PathBuf::from(unfinished);
-    std::fs::write(&unfinished, text).map_err(|source| file_error(&unfinished, source))?;
-    std::fs::rename(&unfinished, path).map_err(|source| file_error(path, source))
+/// Writes a temporary file in the directory of the page and renames it, so that the page is
+/// never incomplete.
+fn write_atomically(path: &Path, text: &str) -> Result<(), ReportError> {
+    let mut temporary = path.as_os_str().to_owned();
+    temporary.push(".part");
+    let temporary = PathBuf::from(temporary);
+    std::fs::write(&temporary, text).map_err(|source| file_error(&temporary, source))?;
+    std::fs::rename(&temporary, path).map_err(|source| file_error(path, source))
 }
 
 fn file_error(path: &Path, source: io::Error) -> ReportError {
--- a/crates/recovery-report/src/moves.rs
+++ b/crates/recovery-report/src/moves.rs
@@ -1,4 +1,4 @@
-//! Jobs that moved between cells, from the logs of all cells.
+//! Collects the moves of jobs between cells from the logs of all cells.
 
 use crate::log_line::MoveStep;
 use std::collections::BTreeMap;
@@ -9,38 +9,41 @@
 pub struct Move {
     /// Id of the job.
     pub job: String,
-    /// The host cell, as the origin names it; the origin, if only the host's log is there.
+    /// Name of the host cell, from the origin's log. If only the host's log is available, this is
+    /// the name of the origin cell.
     pub cell: String,
     /// Epoch of the forwarding.
     pub epoch: u64,
-    /// First time of each step, in milliseconds.
+    /// Time at which each step was first logged, in milliseconds.
     pub steps: BTreeMap<MoveEvent, i64>,
 }
 
 /// How a move ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Outcome {
-    /// The job was done in the host cell.
+    /// The job completed in the host cell.
     Done,
-    /// It came back, confirmed by the host.
+    /// The job returned to its origin, and the host confirmed the release.
     Returned,
-    /// It came back after the time of the lease.
+    /// The origin reclaimed the job without a confirmation, once the host's lease must have
+    /// ended.
     Reclaimed,
-    /// The logs end before it does.
-    Open,
+    /// The logs end before the move does.
+    Unfinished,
 }
 
 impl Outcome {
     /// All outcomes, in the order in which the page lists them.
-    pub const ALL: [Outcome; 4] = [Outcome::Done, Outcome::Returned, Outcome::Reclaimed, Outcome::Open];
+    pub const ALL: [Outcome; 4] =
+        [Outcome::Done, Outcome::Returned, Outcome::Reclaimed, Outcome::Unfinished];
 
-    /// Its name on the page.
+    /// Label on the page.
     pub fn name(self) -> &'static str {
         match self {
             Outcome::Done => "done there",
             Outcome::Returned => "came back",
             Outcome::Reclaimed => "taken back from a silent cell",
-            Outcome::Open => "not over",
+            Outcome::Unfinished => "not over",
         }
     }
 }
@@ -51,34 +54,34 @@
         Move { job, cell, epoch: step.epoch, steps: BTreeMap::new() }
     }
 
-    /// When it began, in milliseconds.
+    /// Time of the first step, in milliseconds.
     pub fn began_ms(&self) -> i64 {
         self.steps.values().copied().min().unwrap_or(0)
     }
 
-    /// How it ended.
+    /// How the move ended.
     pub fn outcome(&self) -> Outcome {
-        match self.last_step() {
+        match self.final_step() {
             Some(MoveEvent::Done) => Outcome::Done,
             Some(MoveEvent::Returned) => Outcome::Returned,
             Some(_) => Outcome::Reclaimed,
-            None => Outcome::Open,
+            None => Outcome::Unfinished,
         }
     }
 
-    /// When it ended, in milliseconds.
+    /// Time at which the move ended, in milliseconds.
     pub fn ended_ms(&self) -> Option<i64> {
-        self.last_step().and_then(|event| self.steps.get(&event).copied())
+        self.final_step().and_then(|event| self.steps.get(&event).copied())
     }
 
-    /// The step that ended it.
-    fn last_step(&self) -> Option<MoveEvent> {
-        let ends = [MoveEvent::Done, MoveEvent::Returned, MoveEvent::Reclaimed];
-        ends.into_iter().find(|event| self.steps.contains_key(event))
+    /// The step that ended the move.
+    fn final_step(&self) -> Option<MoveEvent> {
+        let final_steps = [MoveEvent::Done, MoveEvent::Returned, MoveEvent::Reclaimed];
+        final_steps.into_iter().find(|event| self.steps.contains_key(event))
     }
 
-    /// Why it was recalled, if it was.
-    pub fn recall(&self) -> Option<MoveEvent> {
+    /// Why the origin recalled the job, if it did.
+    pub fn recall_reason(&self) -> Option<MoveEvent> {
         let reasons = [
             MoveEvent::RecalledRefused,
             MoveEvent::RecalledUnfit,
@@ -89,35 +92,35 @@
     }
 }
 
-/// What tells moves apart.
+/// Identifies a move.
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct MoveKey {
     job: String,
     epoch: u64,
 }
 
-/// All moves. The logs of origin and host tell of the same one.
+/// All moves. Steps from the logs of the origin and the host are merged into one move.
 #[derive(Debug, Default)]
 pub struct Moves(BTreeMap<MoveKey, Move>);
 
 impl Moves {
-    /// Adds a step.
+    /// Adds a step, to an existing move if there is one.
     pub fn add(&mut self, at_ms: i64, step: &MoveStep) {
         let key = MoveKey { job: step.job.clone(), epoch: step.epoch };
-        let known = self.0.entry(key).or_insert_with(|| Move::new(step));
+        let recorded = self.0.entry(key).or_insert_with(|| Move::new(step));
         if step.event == MoveEvent::Forwarded {
-            known.cell.clone_from(&step.cell);
+            recorded.cell.clone_from(&step.cell);
         }
-        let first = known.steps.entry(step.event).or_insert(at_ms);
+        let first = recorded.steps.entry(step.event).or_insert(at_ms);
         *first = (*first).min(at_ms);
     }
 
-    /// Whether there are none.
+    /// Whether there are no moves.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
 
-    /// All moves in the order in which they began, with times from `start_ms` on.
+    /// Returns all moves, sorted by their start, with times relative to `start_ms`.
     pub fn into_list(self, start_ms: i64) -> Vec<Move> {
         let mut moves: Vec<Move> = self.0.into_values().collect();
         for at in moves.iter_mut().flat_map(|moved| moved.steps.values_mut()) {
--- a/crates/recovery-report/src/page/mod.rs
+++ b/crates/recovery-report/src/page/mod.rs
@@ -1,4 +1,4 @@
-//! The page: texts and tables, and the plots of a module of its own.
+//! Renders a history as an HTML page of summaries, tables and plots.
 
 mod plots;
 
@@ -9,7 +9,7 @@
 use thiserror::Error;
 use woadlever_cells::event::MoveEvent;
 
-/// A plot can't be drawn.
+/// Error from drawing a plot.
 #[derive(Debug, Error)]
 #[error(transparent)]
 pub struct PlotError(#[from] Box<dyn Error>);
@@ -18,11 +18,11 @@
     table{border-collapse:collapse}td,th{padding:.2em .7em;text-align:right;border-bottom:1px solid #ddd}\
     td:first-child,th:first-child{text-align:left}svg{max-width:100%}.open{color:#b00}";
 
-/// Draws the page, a whole HTML document that needs no other file.
+/// Renders the page: a complete HTML document that needs no other file.
 pub fn render(history: &History) -> Result<String, PlotError> {
     let timeline = plots::recovery_timeline(history)?;
     let verdicts = plots::verdicts(history)?;
-    let shed = shed_section(history)?;
+    let load_shedding = load_shedding_section(history)?;
     let moves = moves_section(history)?;
     let page = html! {
         (DOCTYPE)
@@ -40,7 +40,7 @@
                 h2 { "Attempts by verdict" }
                 (verdicts)
                 h2 { "Rejected and expired" }
-                (shed)
+                (load_shedding)
                 h2 { "All recoveries" }
                 (recovery_table(history))
                 h2 { "Jobs that moved between cells" }
@@ -51,11 +51,11 @@
     Ok(page.into_string())
 }
 
-fn shed_section(history: &History) -> Result<Markup, PlotError> {
-    if history.shed.is_empty() {
+fn load_shedding_section(history: &History) -> Result<Markup, PlotError> {
+    if history.load_shedding.is_empty() {
         return Ok(html! { p { "Nothing was shed." } });
     }
-    let by_class = plots::shed_by_class(history)?;
+    let by_class = plots::rejections_by_class(history)?;
     let lag = plots::event_loop_lag(history)?;
     Ok(html! { (by_class) (lag) })
 }
@@ -68,15 +68,18 @@
     Ok(html! { (move_summary(history)) (timeline) (move_table(history)) })
 }
 
-/// How many recoveries there were, how long they took, and how many are not over.
+/// States the number of recoveries, the duration of the slowest, and how many did not finish.
 fn recovery_summary(history: &History) -> Markup {
-    let open = history.recoveries.iter().filter(|recovery| recovery.reconciled_ms.is_none()).count();
+    let unfinished =
+        history.recoveries.iter().filter(|recovery| recovery.reconciled_ms.is_none()).count();
     let slowest = history.recoveries.iter().filter_map(duration_ms).max();
     html! {
         p {
-            (history.recoveries.len()) " recoveries of shards in " (seconds(history.end_ms)) ", "
-            @if let Some(slowest) = slowest { "the slowest reconciled after " (seconds(slowest)) ", " }
-            span class=[(open > 0).then_some("open")] { (open) " never reconciled" }
+            (history.recoveries.len()) " recoveries of shards in " (format_seconds(history.end_ms)) ", "
+            @if let Some(slowest) = slowest {
+                "the slowest reconciled after " (format_seconds(slowest)) ", "
+            }
+            span class=[(unfinished > 0).then_some("open")] { (unfinished) " never reconciled" }
             "."
         }
     }
@@ -91,11 +94,12 @@
                 th { "absent" } th { "lease ended" } th { "on no record" }
             }
             @for recovery in &history.recoveries {
+                @let read_ms = recovery.read_ms.map(|at| at - recovery.assigned_ms);
                 tr {
                     td { (recovery.shard) } td { (recovery.log) } td { (recovery.fencing_token) }
-                    td { (seconds(recovery.assigned_ms)) }
-                    td { (seconds_or_never(recovery.read_ms.map(|at| at - recovery.assigned_ms))) }
-                    td { (seconds_or_never(duration_ms(recovery))) }
+                    td { (format_seconds(recovery.assigned_ms)) }
+                    td { (format_seconds_or_never(read_ms)) }
+                    td { (format_seconds_or_never(duration_ms(recovery))) }
                     td { (recovery.recorded) } td { (recovery.counts.confirmed) }
                     td { (recovery.counts.absent) } td { (recovery.counts.lease_ended) }
                     td { (recovery.counts.unrecorded) }
@@ -105,7 +109,7 @@
     }
 }
 
-/// How many moves ended how, and how long the longest took.
+/// States the number of moves by outcome, and the duration of the longest.
 fn move_summary(history: &History) -> Markup {
     let count = |outcome| history.moves.iter().filter(|moved| moved.outcome() == outcome).count();
     let duration_ms = |moved: &Move| moved.ended_ms().map(|end| end - moved.began_ms());
@@ -116,7 +120,7 @@
                 ", " (count(outcome)) " " (outcome.name())
             }
             @if let Some(longest) = history.moves.iter().filter_map(duration_ms).max() {
-                ", the longest over after " (seconds(longest))
+                ", the longest over after " (format_seconds(longest))
             }
             "."
         }
@@ -134,28 +138,28 @@
                 @let began = moved.began_ms();
                 @let accepted = moved.steps.get(&MoveEvent::Accepted);
                 tr {
-                    td { (moved.job) } td { (moved.cell) } td { (seconds(began)) }
-                    td { (seconds_or_never(accepted.map(|at| at - began))) }
-                    td { (moved.recall().map_or("", MoveEvent::name)) }
-                    td class=[(moved.outcome() == Outcome::Open).then_some("open")] {
+                    td { (moved.job) } td { (moved.cell) } td { (format_seconds(began)) }
+                    td { (format_seconds_or_never(accepted.map(|at| at - began))) }
+                    td { (moved.recall_reason().map_or("", MoveEvent::name)) }
+                    td class=[(moved.outcome() == Outcome::Unfinished).then_some("open")] {
                         (moved.outcome().name())
                     }
-                    td { (seconds_or_never(moved.ended_ms().map(|end| end - began))) }
+                    td { (format_seconds_or_never(moved.ended_ms().map(|end| end - began))) }
                 }
             }
         }
     }
 }
 
-/// Time from the assignment of a shard until its last attempt was reconciled.
+/// Time from the assignment of the shard until its last attempt was reconciled.
 fn duration_ms(recovery: &Recovery) -> Option<i64> {
     recovery.reconciled_ms.map(|at| at - recovery.assigned_ms)
 }
 
-fn seconds(ms: i64) -> String {
+fn format_seconds(ms: i64) -> String {
     format!("{:.1} s", ms as f64 / 1_000.0)
 }
 
-fn seconds_or_never(ms: Option<i64>) -> String {
-    ms.map_or("never".into(), seconds)
+fn format_seconds_or_never(ms: Option<i64>) -> String {
+    ms.map_or("never".into(), format_seconds)
 }
--- a/crates/recovery-report/src/page/plots.rs
+++ b/crates/recovery-report/src/page/plots.rs
@@ -1,4 +1,4 @@
-//! Plots, drawn as SVG into the page, so that it needs no other file.
+//! Draws plots as inline SVG, so that the page needs no other file.
 
 use super::PlotError;
 use crate::history::{History, Recovery};
@@ -9,16 +9,16 @@
 use std::error::Error;
 use woadlever_overload::class::RequestClass;
 
-const WIDTH: u32 = 960;
-const HEIGHT: u32 = 280;
-/// Height of a timeline beside its rows.
-const TIMELINE_MARGIN: u32 = 90;
-const RECOVERY_ROW_HEIGHT: u32 = 22;
-const MOVE_ROW_HEIGHT: u32 = 14;
-/// Rows drawn on a timeline; the tables list all.
+const WIDTH_PX: u32 = 960;
+const HEIGHT_PX: u32 = 280;
+/// Height of a timeline in addition to its rows.
+const TIMELINE_MARGIN_PX: u32 = 90;
+const RECOVERY_ROW_HEIGHT_PX: u32 = 22;
+const MOVE_ROW_HEIGHT_PX: u32 = 14;
+/// Maximum number of rows drawn on a timeline; the tables list all entries.
 const MAX_ROWS: usize = 80;
-/// The shortest time that an axis shows, in seconds.
-const MIN_SPAN_S: f64 = 0.1;
+/// Shortest time span of a time axis.
+const MIN_TIME_SPAN_S: f64 = 0.1;
 const READING_COLOR: RGBColor = RGBColor(120, 130, 150);
 const RECONCILING_COLOR: RGBColor = RGBColor(220, 150, 50);
 const LAG_COLOR: RGBColor = RGBColor(50, 120, 190);
@@ -33,9 +33,9 @@
 ];
 
 type Area<'a> = DrawingArea<SVGBackend<'a>, Shift>;
-type Drawn = Result<(), Box<dyn Error>>;
+type DrawResult = Result<(), Box<dyn Error>>;
 
-/// When the records of each shard were read, and its attempts reconciled.
+/// Plots for each shard how long its records were read and its attempts reconciled.
 pub(super) fn recovery_timeline(history: &History) -> Result<Markup, PlotError> {
     let shown = &history.recoveries[..history.recoveries.len().min(MAX_ROWS)];
     let names: Vec<&str> = shown.iter().map(|recovery| recovery.shard.as_str()).collect();
@@ -61,11 +61,11 @@
             bars: reconciling.collect(),
         },
     ];
-    let height = timeline_height(shown.len(), RECOVERY_ROW_HEIGHT);
+    let height = timeline_height(shown.len(), RECOVERY_ROW_HEIGHT_PX);
     svg(height, |area| draw_timeline(area, history.end_ms, &names, &series))
 }
 
-/// How long each move of a job lasted, by how it ended.
+/// Plots how long each move lasted, colored by its outcome.
 pub(super) fn move_timeline(history: &History) -> Result<Markup, PlotError> {
     let shown = &history.moves[..history.moves.len().min(MAX_ROWS)];
     let names: Vec<&str> = shown.iter().map(|moved| moved.job.as_str()).collect();
@@ -83,37 +83,37 @@
         .zip(OUTCOME_COLORS)
         .map(|(outcome, color)| Series { label: outcome.name(), color, bars: bars_of(outcome) })
         .collect();
-    let height = timeline_height(shown.len(), MOVE_ROW_HEIGHT);
+    let height = timeline_height(shown.len(), MOVE_ROW_HEIGHT_PX);
     svg(height, |area| draw_timeline(area, history.end_ms, &names, &series))
 }
 
-/// Attempts of all recoveries by verdict.
+/// Plots the number of attempts of all recoveries by verdict.
 pub(super) fn verdicts(history: &History) -> Result<Markup, PlotError> {
-    svg(HEIGHT, |area| draw_verdicts(history, area))
+    svg(HEIGHT_PX, |area| draw_verdicts(history, area))
 }
 
-/// Rejected connections by class and time.
-pub(super) fn shed_by_class(history: &History) -> Result<Markup, PlotError> {
-    svg(HEIGHT, |area| draw_shed_by_class(history, area))
+/// Plots rejected connections by request class over time.
+pub(super) fn rejections_by_class(history: &History) -> Result<Markup, PlotError> {
+    svg(HEIGHT_PX, |area| draw_rejections_by_class(history, area))
 }
 
-/// Lag of the event loops by time.
+/// Plots the lag of the event loops over time.
 pub(super) fn event_loop_lag(history: &History) -> Result<Markup, PlotError> {
-    svg(HEIGHT, |area| draw_event_loop_lag(history, area))
+    svg(HEIGHT_PX, |area| draw_event_loop_lag(history, area))
 }
 
 fn timeline_height(rows: usize, row_height: u32) -> u32 {
-    HEIGHT.max(row_height * rows as u32 + TIMELINE_MARGIN)
+    HEIGHT_PX.max(row_height * rows as u32 + TIMELINE_MARGIN_PX)
 }
 
-fn svg(height: u32, draw: impl FnOnce(&Area) -> Drawn) -> Result<Markup, PlotError> {
+fn svg(height: u32, draw: impl FnOnce(&Area) -> DrawResult) -> Result<Markup, PlotError> {
     let mut text = String::new();
     draw_into(&mut text, height, draw)?;
     Ok(PreEscaped(text))
 }
 
-fn draw_into(text: &mut String, height: u32, draw: impl FnOnce(&Area) -> Drawn) -> Drawn {
-    let area = SVGBackend::with_string(text, (WIDTH, height)).into_drawing_area();
+fn draw_into(text: &mut String, height: u32, draw: impl FnOnce(&Area) -> DrawResult) -> DrawResult {
+    let area = SVGBackend::with_string(text, (WIDTH_PX, height)).into_drawing_area();
     area.fill(&WHITE)?;
     draw(&area)?;
     area.present()?;
@@ -127,7 +127,7 @@
     to_ms: i64,
 }
 
-/// Bars of one kind.
+/// Bars with one label and color.
 struct Series<'a> {
     label: &'a str,
     color: RGBColor,
@@ -138,19 +138,19 @@
     ms as f64 / 1_000.0
 }
 
-/// The highest value of an axis whose greatest mark is `max`.
+/// Upper end of an axis whose greatest value is `max`: adds a tenth as a margin.
 fn axis_end(max: u64) -> u64 {
     max + max / 10 + 1
 }
 
-/// Draws a timeline with a named row for each thing.
-fn draw_timeline(area: &Area, end_ms: i64, names: &[&str], series: &[Series]) -> Drawn {
+/// Draws a timeline with one row for each name.
+fn draw_timeline(area: &Area, end_ms: i64, names: &[&str], series: &[Series]) -> DrawResult {
     let name = |row: &i32| names.get(*row as usize).map_or(String::new(), |name| (*name).to_string());
     let mut chart = ChartBuilder::on(area)
         .margin(10)
         .x_label_area_size(30)
         .y_label_area_size(120)
-        .build_cartesian_2d(0.0..to_seconds(end_ms).max(MIN_SPAN_S), 0..names.len() as i32)?;
+        .build_cartesian_2d(0.0..to_seconds(end_ms).max(MIN_TIME_SPAN_S), 0..names.len() as i32)?;
     chart
         .configure_mesh()
         .disable_y_mesh()
@@ -158,23 +158,23 @@
         .y_label_formatter(&name)
         .x_desc("seconds")
         .draw()?;
-    for kind in series {
-        let color = kind.color;
-        let bars = kind.bars.iter().map(|bar| {
+    for entry in series {
+        let color = entry.color;
+        let bars = entry.bars.iter().map(|bar| {
             let start = (to_seconds(bar.from_ms), bar.row as i32);
             let end = (to_seconds(bar.to_ms), bar.row as i32 + 1);
             Rectangle::new([start, end], color.filled())
         });
         chart
             .draw_series(bars)?
-            .label(kind.label)
+            .label(entry.label)
             .legend(move |(x, y)| Circle::new((x + 8, y), 4, color.filled()));
     }
     chart.configure_series_labels().background_style(WHITE.mix(0.8)).border_style(BLACK).draw()?;
     Ok(())
 }
 
-fn draw_verdicts(history: &History, area: &Area) -> Drawn {
+fn draw_verdicts(history: &History, area: &Area) -> DrawResult {
     let totals = history.totals();
     let bars = [
         ("confirmed", totals.confirmed),
@@ -182,18 +182,18 @@
         ("lease ended", totals.lease_ended),
         ("on no record", totals.unrecorded),
     ];
-    let most = bars.iter().map(|(_, count)| *count).max().unwrap_or(0).max(1);
-    // Each bar is one wide, and its name belongs under its middle.
+    let max = bars.iter().map(|(_, count)| *count).max().unwrap_or(0).max(1);
+    // Each bar is 1 wide; its label is drawn only below its center.
     let name = |at: &f64| {
-        let is_middle = (at - at.floor() - 0.5).abs() < 0.01;
-        let bar = bars.get(at.floor() as usize).filter(|_| is_middle);
+        let is_center = (at - at.floor() - 0.5).abs() < 0.01;
+        let bar = bars.get(at.floor() as usize).filter(|_| is_center);
         bar.map_or(String::new(), |(name, _)| (*name).to_string())
     };
     let mut chart = ChartBuilder::on(area)
         .margin(10)
         .x_label_area_size(30)
         .y_label_area_size(60)
-        .build_cartesian_2d(0.0..bars.len() as f64, 0..axis_end(u64::from(most)))?;
+        .build_cartesian_2d(0.0..bars.len() as f64, 0..axis_end(u64::from(max)))?;
     chart
         .configure_mesh()
         .disable_x_mesh()
@@ -209,24 +209,24 @@
     Ok(())
 }
 
-fn draw_shed_by_class(history: &History, area: &Area) -> Drawn {
-    let end_s = to_seconds(history.end_ms).max(MIN_SPAN_S);
-    let greatest = history.shed.iter().map(|entry| {
-        let rejected = entry.shed.rejected.into_iter().max().unwrap_or(0);
-        rejected.max(entry.shed.expired)
+fn draw_rejections_by_class(history: &History, area: &Area) -> DrawResult {
+    let end_s = to_seconds(history.end_ms).max(MIN_TIME_SPAN_S);
+    let maxima = history.load_shedding.iter().map(|entry| {
+        let rejected = entry.load_shedding.rejected.into_iter().max().unwrap_or(0);
+        rejected.max(entry.load_shedding.expired)
     });
-    let most = greatest.max().unwrap_or(0).max(1);
+    let max = maxima.max().unwrap_or(0).max(1);
     let mut chart = ChartBuilder::on(area)
         .margin(10)
         .x_label_area_size(30)
         .y_label_area_size(60)
-        .build_cartesian_2d(0.0..end_s, 0..axis_end(most))?;
+        .build_cartesian_2d(0.0..end_s, 0..axis_end(max))?;
     chart.configure_mesh().x_desc("seconds").y_desc("rejected a second and node").draw()?;
     for (class, color) in RequestClass::ALL.into_iter().zip(CLASS_COLORS) {
         let points = history
-            .shed
+            .load_shedding
             .iter()
-            .map(|entry| (to_seconds(entry.at_ms), entry.shed.rejected[class.index()]));
+            .map(|entry| (to_seconds(entry.at_ms), entry.load_shedding.rejected[class.index()]));
         let marks = points
             .filter(|(_, rejected)| *rejected > 0)
             .map(|point| Circle::new(point, 2, color.filled()));
@@ -239,17 +239,18 @@
     Ok(())
 }
 
-fn draw_event_loop_lag(history: &History, area: &Area) -> Drawn {
-    let end_s = to_seconds(history.end_ms).max(MIN_SPAN_S);
-    let most = history.shed.iter().map(|entry| entry.shed.lag_ms).max().unwrap_or(0).max(1);
+fn draw_event_loop_lag(history: &History, area: &Area) -> DrawResult {
+    let end_s = to_seconds(history.end_ms).max(MIN_TIME_SPAN_S);
+    let max =
+        history.load_shedding.iter().map(|entry| entry.load_shedding.lag_ms).max().unwrap_or(0).max(1);
     let mut chart = ChartBuilder::on(area)
         .margin(10)
         .x_label_area_size(30)
         .y_label_area_size(60)
-        .build_cartesian_2d(0.0..end_s, 0..axis_end(most))?;
+        .build_cartesian_2d(0.0..end_s, 0..axis_end(max))?;
     chart.configure_mesh().x_desc("seconds").y_desc("lag of the event loop, ms").draw()?;
-    chart.draw_series(history.shed.iter().map(|entry| {
-        let point = (to_seconds(entry.at_ms), entry.shed.lag_ms);
+    chart.draw_series(history.load_shedding.iter().map(|entry| {
+        let point = (to_seconds(entry.at_ms), entry.load_shedding.lag_ms);
         Circle::new(point, 2, LAG_COLOR.filled())
     }))?;
     Ok(())
--- a/crates/recovery-report/tests/report.rs
+++ b/crates/recovery-report/tests/report.rs
@@ -1,4 +1,4 @@
-//! Logs as the service writes them, and logs that can't be used.
+//! Tests with logs in the formats of the service, and with malformed logs.
 
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic, reason = "a test fails by panicking")]
 
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn a_recovery_is_told_from_assignment_to_reconciled() {
+fn a_recovery_is_tracked_from_assignment_to_reconciled() {
     let history = History::read(&logs(LOG)).unwrap();
     let [recovery] = history.recoveries.as_slice() else { panic!("one recovery") };
     assert_eq!(
@@ -36,31 +36,31 @@
     );
     let counts = ReconciliationCounts { confirmed: 7, absent: 1, lease_ended: 1, unrecorded: 2 };
     assert_eq!((recovery.counts, history.totals()), (counts, counts));
-    assert_eq!(history.shed[0].shed.rejected, [0, 40, 0, 2, 7]);
+    assert_eq!(history.load_shedding[0].load_shedding.rejected, [0, 40, 0, 2, 7]);
     let page = page::render(&history).unwrap();
     assert!(page.contains("<svg") && page.contains("east.0") && page.contains("3.0 s"));
     assert!(!page.contains("http://www.example") && !page.contains("<script"), "self-contained");
 }
 
 #[test]
-fn lines_of_the_present_and_of_the_former_format_tell_the_same() {
+fn formats_1_and_2_give_the_same_history() {
     let renamed = LOG.replace("format=1 block=", "format=2 shard=").replace("grant=", "fencing_token=");
     let renamed = renamed.replace("squaring", "reconciling").replace("squared", "reconciled");
-    let present = renamed.replace("shed format=1", "shed format=2").replace("reports=", "heartbeats=");
-    let (old, new) = (History::read(&logs(LOG)).unwrap(), History::read(&logs(&present)).unwrap());
+    let format_2 = renamed.replace("shed format=1", "shed format=2").replace("reports=", "heartbeats=");
+    let (old, new) = (History::read(&logs(LOG)).unwrap(), History::read(&logs(&format_2)).unwrap());
     assert_eq!(old.recoveries, new.recoveries);
-    assert_eq!(old.shed, new.shed);
+    assert_eq!(old.load_shedding, new.load_shedding);
 }
 
 #[test]
-fn a_shard_that_was_never_reconciled_is_pointed_out() {
-    let cut = LOG.lines().take(3).collect::<Vec<_>>().join("\n");
-    let page = page::render(&History::read(&logs(&cut)).unwrap()).unwrap();
+fn a_shard_that_was_never_reconciled_is_reported() {
+    let truncated = LOG.lines().take(3).collect::<Vec<_>>().join("\n");
+    let page = page::render(&History::read(&logs(&truncated)).unwrap()).unwrap();
     assert!(page.contains("1 never reconciled"));
 }
 
 #[test]
-fn lines_that_cannot_be_used_are_named() {
+fn malformed_lines_are_reported_with_their_number() {
     let cases = [
         (
             LOG.replace("grant=70 phase=\"squared\"", "grant=seventy phase=\"squared\""),
@@ -72,16 +72,16 @@
         (LOG.replacen("format=1", "format=0", 1), 2, LineError::OtherFormat(0)),
         (LOG.replacen("format=1", "format=2", 1), 2, LineError::BadField("shard")),
         (LOG.replace("phase=\"squared\"", "phase=\"lost\""), 4, LineError::BadField("phase")),
-        (LOG.replace("2026-12-02T10:00:02.000000Z", "soon"), 3, LineError::NoTime),
+        (LOG.replace("2026-12-02T10:00:02.000000Z", "soon"), 3, LineError::MissingTimestamp),
     ];
     for (text, number, expected) in cases {
-        let Err(HistoryError::Line { line, why, .. }) = History::read(&logs(&text)) else {
-            panic!("not refused: {expected:?}")
+        let Err(HistoryError::Line { line, error, .. }) = History::read(&logs(&text)) else {
+            panic!("accepted, expected error: {expected:?}")
         };
-        assert_eq!((line, why), (number, expected));
+        assert_eq!((line, error), (number, expected));
     }
-    let nothing = History::read(&logs("2026-12-02T10:00:00Z INFO woadlever::io::driver: started\n"));
-    assert_eq!(nothing, Err(HistoryError::NothingFound("n0.log".into())));
+    let no_events = History::read(&logs("2026-12-02T10:00:00Z INFO woadlever::io::driver: started\n"));
+    assert_eq!(no_events, Err(HistoryError::NothingFound("n0.log".into())));
 }
 
 const CELL_LOG: &str = "\
@@ -93,7 +93,7 @@
 ";
 
 #[test]
-fn a_move_is_told_from_the_logs_of_both_cells() {
+fn the_logs_of_both_cells_are_merged_into_one_move() {
     let host = CELL_LOG
         .lines()
         .next()
@@ -103,17 +103,17 @@
         .replace("forwarded", "accepted");
     let logs = [log("b.log", &host), log("a.log", CELL_LOG)];
     let history = History::read(&logs).unwrap();
-    let [done, lost] = history.moves.as_slice() else { panic!("two moves") };
+    let [done, reclaimed] = history.moves.as_slice() else { panic!("two moves") };
     assert_eq!((done.cell.as_str(), done.outcome()), ("b", Outcome::Done));
     assert_eq!(done.ended_ms(), Some(9_000));
     assert_eq!(done.steps[&MoveEvent::Accepted], 1_000);
-    assert_eq!((lost.outcome(), lost.ended_ms()), (Outcome::Reclaimed, Some(52_000)));
-    assert_eq!(lost.recall(), Some(MoveEvent::RecalledSilent));
+    assert_eq!((reclaimed.outcome(), reclaimed.ended_ms()), (Outcome::Reclaimed, Some(52_000)));
+    assert_eq!(reclaimed.recall_reason(), Some(MoveEvent::RecalledSilent));
     let page = page::render(&history).unwrap();
     assert!(page.contains("1 done there, 0 came back, 1 taken back from a silent cell, 0 not over"));
-    let refused =
+    let malformed =
         History::read(&self::logs(&CELL_LOG.replace("epoch=9 event=\"done\"", "epoch=9 event=\"x\"")));
-    assert!(matches!(refused, Err(HistoryError::Line { line: 3, .. })));
+    assert!(matches!(malformed, Err(HistoryError::Line { line: 3, .. })));
 }
 
 fn run(dir: &PathBuf, text: &str) -> Output {
@@ -128,15 +128,15 @@
 }
 
 #[test]
-fn the_program_writes_a_whole_page_or_none() {
+fn the_program_writes_a_complete_page_or_none() {
     let dir = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join("recovery-report");
     let _ = std::fs::remove_dir_all(&dir);
-    let refused = run(&dir, &LOG.replace("format=1", "format=9"));
-    assert_eq!(refused.status.code(), Some(2));
-    let message = String::from_utf8_lossy(&refused.stderr).to_string();
+    let failed = run(&dir, &LOG.replace("format=1", "format=9"));
+    assert_eq!(failed.status.code(), Some(2));
+    let message = String::from_utf8_lossy(&failed.stderr).to_string();
     assert!(message.contains("n0.log:2: fields of format 9"), "{message}");
     assert!(!dir.join("page.html").exists());
     assert!(run(&dir, LOG).status.success());
     assert!(std::fs::read_to_string(dir.join("page.html")).unwrap().ends_with("</html>"));
-    assert_eq!(std::fs::read_dir(&dir).unwrap().count(), 2, "nothing else is left");
+    assert_eq!(std::fs::read_dir(&dir).unwrap().count(), 2, "no temporary file is left");
 }
