--- a/crates/fakes/src/cloud.rs
+++ b/crates/fakes/src/cloud.rs
@@ -1,4 +1,4 @@
-//! A fake of the cloud: its machines are workers that boot within a moment.
+//! A fake cloud provider. Each rented machine runs a fake worker, which starts immediately.
 
 use crate::worker::{self, Machine, WorkerSettings};
 use crate::{answer, serve};
@@ -10,27 +10,28 @@
 use std::time::Instant;
 use tokio::task::AbortHandle;
 
-/// The one machine type in the catalog.
+/// The only machine type in the catalog.
 pub const MACHINE_TYPE: &str = "m16";
-/// Machines on one page of the list.
+/// Maximum number of machines on one page of the list.
 const PAGE_SIZE: usize = 500;
 
 struct Instance {
     machine: Machine,
-    rented: Instant,
+    rented_at: Instant,
     worker: AbortHandle,
 }
 
 #[derive(Default)]
 struct Fleet {
     instances: BTreeMap<String, Instance>,
-    /// The machines of each request to rent, by the request's name.
-    requests: HashMap<String, Vec<String>>,
+    /// Names of the rented machines, by the name of the rental request. Requests are idempotent: a
+    /// repeated one returns the same machines.
+    rentals: HashMap<String, Vec<String>>,
     /// Number of the machine that was rented last.
-    last_machine: u32,
+    last_machine_number: u32,
 }
 
-/// A running cloud. Clones are the same one.
+/// A handle to a running fake cloud. Clones share its state.
 #[derive(Clone)]
 pub struct FakeCloud {
     fleet: Arc<Mutex<Fleet>>,
@@ -40,7 +41,8 @@
 }
 
 impl FakeCloud {
-    /// Starts one on a free port, with a capacity of so many machines.
+    /// Starts a cloud on a free port that rents out at most `capacity` machines at a time. It is
+    /// served until the runtime ends.
     pub async fn start(
         zones: Vec<String>,
         capacity: usize,
@@ -49,14 +51,15 @@
         FakeCloud::start_from(0, zones, capacity, settings).await
     }
 
-    /// The same, its machines counted from `first`: names differ from those of other clouds.
+    /// Like [`FakeCloud::start`], but numbers the machines from `number_offset + 1` on, so that
+    /// several clouds can have distinct machine names.
     pub async fn start_from(
-        first: u32,
+        number_offset: u32,
         zones: Vec<String>,
         capacity: usize,
         settings: WorkerSettings,
     ) -> std::io::Result<(FakeCloud, SocketAddr)> {
-        let fleet = Fleet { last_machine: first, ..Fleet::default() };
+        let fleet = Fleet { last_machine_number: number_offset, ..Fleet::default() };
         let cloud = FakeCloud { fleet: Arc::new(Mutex::new(fleet)), zones, capacity, settings };
         let router = Router::new()
             .push(Router::with_path("catalog").get(Catalog(cloud.clone())))
@@ -66,7 +69,7 @@
         Ok((cloud, address))
     }
 
-    /// Number of machines that are rented now.
+    /// Number of machines that are currently rented.
     pub fn machines(&self) -> usize {
         self.fleet().instances.len()
     }
@@ -75,16 +78,16 @@
         self.fleet.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Rents machines; the result is the status and the body of the answer.
+    /// Rents machines. Returns the status and the body of the response.
     fn rent(&self, body: &Value) -> (u16, Value) {
         let text = |name: &str| body[name].as_str().unwrap_or_default().to_string();
-        let request = text("charter");
+        let request_name = text("charter");
         let mut fleet = self.fleet();
-        if let Some(names) = fleet.requests.get(&request) {
+        if let Some(names) = fleet.rentals.get(&request_name) {
             return (200, json!({"hulls": names}));
         }
-        let wanted = body["count"].as_u64().unwrap_or_default() as usize;
-        let count = wanted.min(self.capacity.saturating_sub(fleet.instances.len()));
+        let requested = body["count"].as_u64().unwrap_or_default() as usize;
+        let count = requested.min(self.capacity.saturating_sub(fleet.instances.len()));
         if count == 0 {
             return (503, json!({"error": "no capacity"}));
         }
@@ -92,11 +95,12 @@
         let is_spot = body["standby"].as_bool().unwrap_or_default();
         let names: Vec<String> =
             (0..count).map(|_| fleet.boot(zone.clone(), is_spot, &self.settings)).collect();
-        fleet.requests.insert(request, names.clone());
+        fleet.rentals.insert(request_name, names.clone());
         (200, json!({"hulls": names}))
     }
 
-    fn terminate(&self, body: &Value) {
+    /// Returns machines: their workers stop at once.
+    fn return_machines(&self, body: &Value) {
         let mut fleet = self.fleet();
         for name in body["hulls"].as_array().into_iter().flatten().filter_map(Value::as_str) {
             if let Some(instance) = fleet.instances.remove(name) {
@@ -105,33 +109,33 @@
         }
     }
 
-    /// A page of the list of machines, beginning after the name `since`.
+    /// Returns a page of the list of machines, beginning after the name `since`.
     fn list(&self, since: &str) -> Value {
         let fleet = self.fleet();
         let after = fleet.instances.iter().filter(|(name, _)| name.as_str() > since);
         let page: Vec<Value> =
-            after.clone().take(PAGE_SIZE).map(|(_, instance)| instance.message()).collect();
+            after.clone().take(PAGE_SIZE).map(|(_, instance)| instance.to_json()).collect();
         json!({"hulls": page, "has_next": after.count() > PAGE_SIZE})
     }
 }
 
 impl Fleet {
-    /// Starts one machine; the result is its name.
+    /// Starts a machine and returns its name.
     fn boot(&mut self, zone: String, is_spot: bool, settings: &WorkerSettings) -> String {
-        self.last_machine += 1;
-        let name = format!("host-{:06}", self.last_machine);
+        self.last_machine_number += 1;
+        let name = format!("host-{:06}", self.last_machine_number);
         let machine = Machine { name: name.clone(), zone, spot: is_spot };
         let worker = worker::spawn(machine.clone(), settings.clone());
-        self.instances.insert(name.clone(), Instance { machine, rented: Instant::now(), worker });
+        self.instances.insert(name.clone(), Instance { machine, rented_at: Instant::now(), worker });
         name
     }
 }
 
 impl Instance {
-    fn message(&self) -> Value {
-        json!({"name_id": self.machine.name, "endpoint": worker::NO_ADDRESS, "hulltype": MACHINE_TYPE,
-            "yard": self.machine.zone, "standby": self.machine.spot, "status": "running",
-            "age_s": self.rented.elapsed().as_secs_f64()})
+    fn to_json(&self) -> Value {
+        json!({"name_id": self.machine.name, "endpoint": worker::UNREACHABLE_ENDPOINT,
+            "hulltype": MACHINE_TYPE, "yard": self.machine.zone, "standby": self.machine.spot,
+            "status": "running", "age_s": self.rented_at.elapsed().as_secs_f64()})
     }
 }
 
@@ -161,7 +165,7 @@
 impl Return {
     async fn handle(&self, request: &mut Request, response: &mut Response) {
         let body = request.parse_json::<Value>().await.unwrap_or_default();
-        self.0.terminate(&body);
+        self.0.return_machines(&body);
         answer(response, 200, &json!({}));
     }
 }
--- a/crates/fakes/src/history.rs
+++ b/crates/fakes/src/history.rs
@@ -1,35 +1,35 @@
-//! What all workers did, for a test to check afterwards.
+//! Records the attempts that all workers ran, for checks by tests.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-/// What happened to an attempt on a worker.
+/// An event in the life of an attempt on a worker.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Step {
-    /// A command to run it arrived.
-    Ordered,
-    /// It began to run.
+pub enum AttemptEvent {
+    /// The worker received a command to run the attempt.
+    CommandReceived,
+    /// The attempt started.
     Started,
-    /// It completed.
+    /// The attempt completed.
     Completed,
-    /// It was stopped, or dropped at the end of a lease.
+    /// The attempt was killed by a command, or dropped because the worker's lease expired.
     Stopped,
 }
 
 /// One entry of the history.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Entry {
-    /// Id of the job and number of the task.
+    /// Name of the task: the id of the job and the number of the task.
     pub task: String,
     /// Number of the attempt.
     pub attempt: u64,
     /// Name of the machine.
     pub machine: String,
-    /// What happened.
-    pub step: Step,
+    /// The event.
+    pub event: AttemptEvent,
 }
 
-/// Entries of all workers in the order in which they happened.
+/// Entries of all workers, in the order of the events. Clones share the entries.
 #[derive(Debug, Clone, Default)]
 pub struct History(Arc<Mutex<Vec<Entry>>>);
 
@@ -39,39 +39,39 @@
     }
 
     /// Adds an entry.
-    pub fn record(&self, task: &str, attempt: u64, machine: &str, step: Step) {
+    pub fn record(&self, task: &str, attempt: u64, machine: &str, event: AttemptEvent) {
         let (task, machine) = (task.to_string(), machine.to_string());
-        self.entries().push(Entry { task, attempt, machine, step });
+        self.entries().push(Entry { task, attempt, machine, event });
     }
 
-    /// How often each task was started.
+    /// Number of starts of each task.
     pub fn starts(&self) -> BTreeMap<String, u32> {
         let mut starts = BTreeMap::new();
-        for entry in self.entries().iter().filter(|entry| entry.step == Step::Started) {
+        for entry in self.entries().iter().filter(|entry| entry.event == AttemptEvent::Started) {
             *starts.entry(entry.task.clone()).or_default() += 1;
         }
         starts
     }
 
-    /// The machines on which each task was started, in the order of its starts.
+    /// Names of the machines on which each task was started, in the order of the starts.
     pub fn machines(&self) -> BTreeMap<String, Vec<String>> {
         let mut machines: BTreeMap<String, Vec<String>> = BTreeMap::new();
-        for entry in self.entries().iter().filter(|entry| entry.step == Step::Started) {
+        for entry in self.entries().iter().filter(|entry| entry.event == AttemptEvent::Started) {
             machines.entry(entry.task.clone()).or_default().push(entry.machine.clone());
         }
         machines
     }
 
-    /// Tasks that are running now, with their machines.
+    /// Tasks that are running now, with the name of the machine on which each was last started.
     pub fn running(&self) -> BTreeMap<String, String> {
         let mut running = BTreeMap::new();
         for entry in self.entries().iter() {
-            match entry.step {
-                Step::Ordered => {}
-                Step::Started => {
+            match entry.event {
+                AttemptEvent::CommandReceived => {}
+                AttemptEvent::Started => {
                     running.insert(entry.task.clone(), entry.machine.clone());
                 }
-                Step::Completed | Step::Stopped => {
+                AttemptEvent::Completed | AttemptEvent::Stopped => {
                     running.remove(&entry.task);
                 }
             }
@@ -79,35 +79,36 @@
         running
     }
 
-    /// Number of attempts that workers were told to run.
+    /// Number of attempts that workers received a command to run.
     pub fn ordered(&self) -> usize {
         let entries = self.entries();
-        let ordered = entries.iter().filter(|entry| entry.step == Step::Ordered);
-        ordered.map(|entry| (&entry.task, entry.attempt)).collect::<HashSet<_>>().len()
+        let received = entries.iter().filter(|entry| entry.event == AttemptEvent::CommandReceived);
+        received.map(|entry| (&entry.task, entry.attempt)).collect::<HashSet<_>>().len()
     }
 
-    /// How many attempts were stopped, or dropped at the end of a lease.
+    /// Number of attempts that were killed by a command or dropped because a lease expired.
     pub fn stopped(&self) -> usize {
-        self.entries().iter().filter(|entry| entry.step == Step::Stopped).count()
+        self.entries().iter().filter(|entry| entry.event == AttemptEvent::Stopped).count()
     }
 
-    /// Tasks that were started while another attempt was running, once for each such start.
+    /// Tasks that were started while another attempt of the same task was running. A task is
+    /// listed once for each such start.
     pub fn ran_twice(&self) -> Vec<String> {
         let mut running: HashMap<String, u32> = HashMap::new();
-        let mut twice = Vec::new();
+        let mut concurrent = Vec::new();
         for entry in self.entries().iter() {
             let count = running.entry(entry.task.clone()).or_default();
-            match entry.step {
-                Step::Ordered => {}
-                Step::Started => {
+            match entry.event {
+                AttemptEvent::CommandReceived => {}
+                AttemptEvent::Started => {
                     *count += 1;
                     if *count > 1 {
-                        twice.push(entry.task.clone());
+                        concurrent.push(entry.task.clone());
                     }
                 }
-                Step::Completed | Step::Stopped => *count = count.saturating_sub(1),
+                AttemptEvent::Completed | AttemptEvent::Stopped => *count = count.saturating_sub(1),
             }
         }
-        twice
+        concurrent
     }
 }
--- a/crates/fakes/src/lib.rs
+++ b/crates/fakes/src/lib.rs
@@ -1,8 +1,10 @@
-//! Fakes of the key-value store, the cloud and the workers, written from their published
-//! protocols, for tests with real processes of the service on loopback.
+//! Fakes of the key-value store, the cloud and the workers, for tests that run real processes of
+//! the service on loopback. They are written from the published
+//! protocols of these systems.
 //!
-//! They are correct, not fast: everything is kept in memory under one lock each. They share
-//! no code with the service, so that a mistake in its formats doesn't cancel itself out.
+//! The fakes favor correctness over speed: each keeps all its state in memory under one lock. They
+//! share no code with the service, so that an error in the service's encoding can't be masked by
+//! the same error in the fakes.
 
 pub mod cloud;
 pub mod history;
--- a/crates/fakes/src/store.rs
+++ b/crates/fakes/src/store.rs
@@ -1,4 +1,4 @@
-//! A fake of the key-value store.
+//! A fake key-value store.
 
 use crate::{answer, serve};
 use salvo::prelude::*;
@@ -10,11 +10,11 @@
 use std::time::{Duration, Instant};
 use tokio::sync::Notify;
 
-/// How often leases are checked for their expiry.
+/// Interval at which leases are checked for expiry.
 const LEASE_CHECK_INTERVAL: Duration = Duration::from_millis(50);
-/// Records on one page, at most.
+/// Maximum number of records on one page.
 const MAX_PAGE_SIZE: usize = 1_000;
-/// Time to live of a lease for which none is asked.
+/// Time to live of a lease whose request specifies none.
 const DEFAULT_TTL_MS: u64 = 1_000;
 
 struct Record {
@@ -25,10 +25,10 @@
 
 struct Lease {
     ttl: Duration,
-    expires: Instant,
+    expires_at: Instant,
 }
 
-/// One change, as watches tell of it.
+/// A change of a record, as watches report it.
 struct Change {
     key: String,
     revision: u64,
@@ -44,7 +44,7 @@
     last_lease: u64,
 }
 
-/// A running store. Clones are the same one.
+/// A handle to a running fake store. Clones share its state.
 #[derive(Clone, Default)]
 pub struct FakeStore {
     contents: Arc<Mutex<Contents>>,
@@ -52,14 +52,14 @@
 }
 
 impl FakeStore {
-    /// Starts one on a free port. It is served until the runtime ends.
+    /// Starts a store on a free port. It is served until the runtime ends.
     pub async fn start() -> std::io::Result<(FakeStore, SocketAddr)> {
         let store = FakeStore::default();
         let router = Router::new()
             .push(Router::with_path("keys").get(List(store.clone())))
             .push(Router::with_path("keys/{**key}").get(Get(store.clone())))
             .push(Router::with_path("multi").post(CompareAndSwap(store.clone())))
-            .push(Router::with_path("holds").post(OpenLease(store.clone())))
+            .push(Router::with_path("holds").post(GrantLease(store.clone())))
             .push(Router::with_path("holds/{id}").delete(EndLease(store.clone())))
             .push(Router::with_path("holds/{id}/renew").post(RenewLease(store.clone())))
             .push(Router::with_path("watch").get(Watch(store.clone())));
@@ -68,7 +68,7 @@
         Ok((store, address))
     }
 
-    /// The value of a record.
+    /// Returns the value of a record.
     pub fn value(&self, key: &str) -> Option<Value> {
         self.contents().records.get(key).map(|record| record.value.clone())
     }
@@ -77,7 +77,7 @@
         self.contents.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Ends leases that were not renewed in time, for as long as it is polled.
+    /// Ends leases that were not renewed in time, in an endless loop.
     async fn expire_leases(self) {
         loop {
             tokio::time::sleep(LEASE_CHECK_INTERVAL).await;
@@ -89,7 +89,7 @@
 
 impl Contents {
     fn end_expired_leases(&mut self, now: Instant) {
-        let expired = self.leases.iter().filter(|(_, lease)| lease.expires <= now);
+        let expired = self.leases.iter().filter(|(_, lease)| lease.expires_at <= now);
         let ids: Vec<u64> = expired.map(|(id, _)| *id).collect();
         for id in ids {
             self.end_lease(id);
@@ -107,7 +107,7 @@
         }
     }
 
-    /// Deletes a record at the present revision.
+    /// Deletes a record at the current revision.
     fn delete(&mut self, key: &str) {
         self.records.remove(key);
         let revision = self.revision;
@@ -115,7 +115,7 @@
         self.changes.push(Change { key: key.into(), revision, message });
     }
 
-    /// Writes a record at the present revision.
+    /// Writes a record at the current revision.
     fn put(&mut self, key: &str, value: Value, lease: Option<u64>) {
         let revision = self.revision;
         let message = json!({"write": key, "data": value, "stamp": revision});
@@ -123,7 +123,7 @@
         self.records.insert(key.into(), Record { value, version: revision, lease });
     }
 
-    /// Carries out a compare-and-swap; the result is the status and the body of the answer.
+    /// Executes a compare-and-swap. Returns the status and the body of the response.
     fn compare_and_swap(&mut self, body: &Value) -> (u16, Value) {
         let list = |name: &str| body[name].as_array().cloned().unwrap_or_default();
         let mutations = list("apply");
@@ -132,7 +132,7 @@
         }
         let failed: Vec<Value> = list("if")
             .iter()
-            .filter(|compare| !self.holds(compare))
+            .filter(|compare| !self.is_met(compare))
             .map(|compare| compare["k"].clone())
             .collect();
         if !failed.is_empty() {
@@ -149,8 +149,9 @@
         (200, json!({"ledger": self.revision}))
     }
 
-    /// Whether a record has the version that a compare names; 0: there is none.
-    fn holds(&self, compare: &Value) -> bool {
+    /// Whether a record has the version that a compare expects. Version 0 means that there is no
+    /// such record.
+    fn is_met(&self, compare: &Value) -> bool {
         let key = compare["k"].as_str().unwrap_or_default();
         let version = self.records.get(key).map_or(0, |record| record.version);
         version == compare["stamp"].as_u64().unwrap_or_default()
@@ -160,7 +161,7 @@
         mutation["permit"].as_u64().is_some_and(|lease| !self.leases.contains_key(&lease))
     }
 
-    /// A page of records, beginning after the key `since`.
+    /// Returns a page of records, beginning after the key `since`.
     fn list(&self, prefix: &str, since: Option<String>, limit: usize) -> Value {
         let from = since.map_or(Bound::Included(prefix.to_string()), Bound::Excluded);
         let limit = limit.min(MAX_PAGE_SIZE);
@@ -169,14 +170,14 @@
             .range((from, Bound::Unbounded))
             .take_while(|(key, _)| key.starts_with(prefix))
             .take(limit + 1)
-            .map(|(key, record)| record.message(key))
+            .map(|(key, record)| record.to_json(key))
             .collect();
         let has_next = pairs.len() > limit;
         pairs.truncate(limit);
         json!({"pairs": pairs, "has_next": has_next, "ledger": self.revision})
     }
 
-    /// The changes of records with this prefix after a revision.
+    /// Returns the changes after a revision to records whose keys have the prefix.
     fn changes_since(&self, prefix: &str, since: u64) -> Vec<Value> {
         let wanted = |change: &&Change| change.key.starts_with(prefix) && change.revision > since;
         self.changes.iter().filter(wanted).map(|change| change.message.clone()).collect()
@@ -184,7 +185,7 @@
 }
 
 impl Record {
-    fn message(&self, key: &str) -> Value {
+    fn to_json(&self, key: &str) -> Value {
         json!({"k": key, "data": self.value, "stamp": self.version})
     }
 }
@@ -207,7 +208,7 @@
         let key = request.param::<String>("key").unwrap_or_default();
         let contents = self.0.contents();
         match contents.records.get(&key) {
-            Some(record) => answer(response, 200, &record.message(&key)),
+            Some(record) => answer(response, 200, &record.to_json(&key)),
             None => answer(response, 404, &json!({"ledger": contents.revision})),
         }
     }
@@ -226,16 +227,16 @@
     }
 }
 
-struct OpenLease(FakeStore);
+struct GrantLease(FakeStore);
 #[handler]
-impl OpenLease {
+impl GrantLease {
     async fn handle(&self, request: &mut Request, response: &mut Response) {
         let body = request.parse_json::<Value>().await.unwrap_or_default();
         let ttl = Duration::from_millis(body["ttl_ms"].as_u64().unwrap_or(DEFAULT_TTL_MS));
         let mut contents = self.0.contents();
         contents.last_lease += 1;
         let id = contents.last_lease;
-        contents.leases.insert(id, Lease { ttl, expires: Instant::now() + ttl });
+        contents.leases.insert(id, Lease { ttl, expires_at: Instant::now() + ttl });
         answer(response, 200, &json!({"permit": id}));
     }
 }
@@ -249,7 +250,7 @@
         let Some(lease) = contents.leases.get_mut(&id) else {
             return answer(response, 404, &json!({}));
         };
-        lease.expires = Instant::now() + lease.ttl;
+        lease.expires_at = Instant::now() + lease.ttl;
         answer(response, 200, &json!({}));
     }
 }
@@ -271,19 +272,19 @@
     async fn handle(&self, request: &mut Request, response: &mut Response) {
         let prefix = request.query::<String>("prefix").unwrap_or_default();
         let since = request.query::<u64>("since").unwrap_or_default();
-        let wait = Duration::from_millis(request.query::<u64>("block_ms").unwrap_or_default());
-        let end = Instant::now() + wait;
+        let timeout = Duration::from_millis(request.query::<u64>("block_ms").unwrap_or_default());
+        let deadline = Instant::now() + timeout;
         loop {
             let changed = self.0.changed.notified();
             let (log, revision) = {
                 let contents = self.0.contents();
                 (contents.changes_since(&prefix, since), contents.revision)
             };
-            let left = end.saturating_duration_since(Instant::now());
-            if !log.is_empty() || left.is_zero() {
+            let remaining = deadline.saturating_duration_since(Instant::now());
+            if !log.is_empty() || remaining.is_zero() {
                 return answer(response, 200, &json!({"ledger": revision, "log": log}));
             }
-            let _ = tokio::time::timeout(left, changed).await;
+            let _ = tokio::time::timeout(remaining, changed).await;
         }
     }
 }
--- a/crates/fakes/src/worker.rs
+++ b/crates/fakes/src/worker.rs
@@ -1,63 +1,64 @@
-//! A fake worker: sends heartbeats to the controllers and runs tasks that do nothing for a
-//! while.
+//! A fake worker. It sends heartbeats to the controllers and simulates tasks, each of which
+//! occupies the worker for a fixed time and does nothing.
 
 use crate::cloud::MACHINE_TYPE;
-use crate::history::{History, Step};
+use crate::history::{AttemptEvent, History};
 use serde_json::{Value, json};
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 use tokio::task::AbortHandle;
 
-/// Workers take no direct commands: this address refuses all connections.
-pub const NO_ADDRESS: &str = "127.0.0.1:9";
+/// Endpoint that all workers report. Fake workers accept no direct commands: connections to this
+/// address are refused.
+pub const UNREACHABLE_ENDPOINT: &str = "127.0.0.1:9";
 /// How long a worker waits for the response to a heartbeat.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(4);
-/// Time before the next node is tried after a failure.
+/// Delay before the next node is tried after a failed heartbeat.
 const NEXT_NODE_DELAY: Duration = Duration::from_secs(1);
-/// How often a worker looks after its tasks and its lease.
+/// Interval at which a worker checks its tasks and its lease.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
-/// The shortest time between two heartbeats.
+/// Minimum time between two heartbeats.
 const MIN_HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
 
-/// What all workers have in common.
+/// Settings shared by all workers.
 #[derive(Debug, Clone)]
 pub struct WorkerSettings {
-    /// Controllers by name, in the order in which they are tried.
+    /// Names and addresses of the controllers, in the order in which they are tried.
     pub nodes: Vec<(String, SocketAddr)>,
-    /// Time between two heartbeats.
+    /// Interval between two heartbeats.
     pub heartbeat: Duration,
-    /// Time without a response after which all tasks are dropped.
+    /// Duration of the lease. A worker that gets no response for this long drops all its tasks.
     pub lease: Duration,
-    /// How long each task runs.
+    /// Duration of each task.
     pub run: Duration,
-    /// Where everything is recorded.
+    /// History in which the events of all attempts are recorded.
     pub history: History,
 }
 
 /// A rented machine.
 #[derive(Debug, Clone)]
 pub struct Machine {
-    /// Its name.
+    /// Name of the machine.
     pub name: String,
-    /// Its zone.
+    /// Name of the zone.
     pub zone: String,
-    /// Whether it is a spot instance.
+    /// Whether the machine is a spot instance.
     pub spot: bool,
 }
 
-/// An attempt of a task.
+/// Identifies an attempt of a task.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct AttemptKey {
     task: String,
     attempt: u64,
 }
 
-/// How far an attempt is.
+/// The state of an attempt.
 enum AttemptState {
-    /// Running until this time.
+    /// The attempt runs until this time.
     Running(Instant),
-    /// Ended for this cause, as the protocol names it.
+    /// The attempt ended for this cause, in the terms of the worker protocol.
     Ended(&'static str),
 }
 
@@ -76,12 +77,13 @@
     fencing_token: u64,
     /// Index of the node that heartbeats go to.
     node: usize,
-    lease_from: Instant,
-    /// Whether anything has changed since the last heartbeat.
+    /// Time from which the duration of the lease is counted.
+    lease_start: Instant,
+    /// Whether an attempt or the fencing token has changed since the last heartbeat.
     changed: bool,
 }
 
-/// Starts a worker; it ends when it is aborted.
+/// Starts a worker. It runs until it is aborted with the returned handle.
 pub fn spawn(machine: Machine, settings: WorkerSettings) -> AbortHandle {
     let worker = Worker {
         node: machine.name.len() % settings.nodes.len().max(1),
@@ -91,7 +93,7 @@
         incarnation: 1,
         sequence: 0,
         fencing_token: 0,
-        lease_from: Instant::now(),
+        lease_start: Instant::now(),
         changed: false,
     };
     tokio::spawn(worker.run()).abort_handle()
@@ -116,54 +118,54 @@
         }
     }
 
-    /// Drops all tasks when the lease has expired; a new incarnation begins.
+    /// Drops all tasks and begins a new incarnation if the lease has expired.
     fn check_lease(&mut self) {
-        if self.lease_from.elapsed() <= self.settings.lease {
+        if self.lease_start.elapsed() <= self.settings.lease {
             return;
         }
         for (key, _) in self.attempts.drain() {
-            record(&self.settings.history, &key, &self.machine, Step::Stopped);
+            record(&self.settings.history, &key, &self.machine, AttemptEvent::Stopped);
         }
         self.incarnation += 1;
         self.sequence = 0;
-        self.lease_from = Instant::now();
+        self.lease_start = Instant::now();
     }
 
-    /// Completes attempts whose time is over.
+    /// Completes attempts that have run for the duration of a task.
     fn complete_attempts(&mut self) {
         for (key, state) in &mut self.attempts {
-            if matches!(state, AttemptState::Running(ends) if Instant::now() >= *ends) {
+            if matches!(state, AttemptState::Running(ends_at) if Instant::now() >= *ends_at) {
                 *state = AttemptState::Ended("done");
-                record(&self.settings.history, key, &self.machine, Step::Completed);
+                record(&self.settings.history, key, &self.machine, AttemptEvent::Completed);
                 self.changed = true;
             }
         }
     }
 
-    /// The body of a heartbeat.
-    fn message(&self) -> Value {
+    /// Returns the body of a heartbeat.
+    fn heartbeat_body(&self) -> Value {
         let attempts: Vec<Value> =
-            self.attempts.iter().map(|(key, state)| attempt_message(key, state)).collect();
-        json!({"hull": self.machine.name, "endpoint": NO_ADDRESS, "hulltype": MACHINE_TYPE,
+            self.attempts.iter().map(|(key, state)| attempt_json(key, state)).collect();
+        json!({"hull": self.machine.name, "endpoint": UNREACHABLE_ENDPOINT, "hulltype": MACHINE_TYPE,
             "yard": self.machine.zone, "standby": self.machine.spot, "shift": self.incarnation,
             "tally": self.sequence, "baton": self.fencing_token, "warning_s": null, "pieces": attempts})
     }
 
-    /// Sends a heartbeat; the result is the time until the next one.
+    /// Sends a heartbeat. Returns the delay until the next one.
     async fn send_heartbeat(&mut self, client: &reqwest::Client) -> Duration {
         self.changed = false;
         self.sequence += 1;
-        let sent = Instant::now();
+        let sent_at = Instant::now();
         let (_, address) = &self.settings.nodes[self.node];
         let request = client.post(format!("http://{address}/checkin")).timeout(RESPONSE_TIMEOUT);
-        let Ok(response) = request.json(&self.message()).send().await else {
+        let Ok(response) = request.json(&self.heartbeat_body()).send().await else {
             return self.try_next_node();
         };
         let status = response.status().as_u16();
         let Ok(body) = response.json::<Value>().await else { return self.try_next_node() };
         match status {
             200 => {
-                self.accept(&body, sent);
+                self.accept_response(&body, sent_at);
                 self.settings.heartbeat
             }
             421 => self.follow_redirect(&body),
@@ -171,7 +173,8 @@
         }
     }
 
-    /// Turns to the node that a response names, if that is another one.
+    /// Selects the shard owner that a response names, or else the next node. Returns the delay until
+    /// the next heartbeat.
     fn follow_redirect(&mut self, body: &Value) -> Duration {
         let owner = body["foreman"].as_str().unwrap_or_default();
         match self.settings.nodes.iter().position(|(name, _)| name == owner) {
@@ -188,16 +191,16 @@
         NEXT_NODE_DELAY
     }
 
-    /// Takes a response in, unless its fencing token is out of date: renews the lease from
-    /// the time at which the heartbeat was sent, and executes the commands.
-    fn accept(&mut self, body: &Value, sent: Instant) {
+    /// Processes a response unless its fencing token is stale: renews the lease from the time at
+    /// which the heartbeat was sent, and executes the commands.
+    fn accept_response(&mut self, body: &Value, sent_at: Instant) {
         let fencing_token = body["baton"].as_u64().unwrap_or_default();
         if fencing_token < self.fencing_token {
             return;
         }
         self.changed |= fencing_token > self.fencing_token;
         self.fencing_token = fencing_token;
-        self.lease_from = self.lease_from.max(sent);
+        self.lease_start = self.lease_start.max(sent_at);
         for command in body["orders"].as_array().into_iter().flatten() {
             let task = command["piece"].as_str().unwrap_or_default().to_string();
             let attempt = command["try"].as_u64().unwrap_or_default();
@@ -210,7 +213,7 @@
             ("run", None) => self.start(key),
             ("kill", Some(state)) if !state.has_ended() => {
                 *state = AttemptState::Ended("halted");
-                record(&self.settings.history, &key, &self.machine, Step::Stopped);
+                record(&self.settings.history, &key, &self.machine, AttemptEvent::Stopped);
                 self.changed = true;
             }
             ("clear", Some(state)) if state.has_ended() => {
@@ -221,15 +224,15 @@
         }
     }
 
-    /// Starts an attempt, unless another attempt of the task is here.
+    /// Starts an attempt, unless another attempt of the same task is running on this worker.
     fn start(&mut self, key: AttemptKey) {
-        record(&self.settings.history, &key, &self.machine, Step::Ordered);
+        record(&self.settings.history, &key, &self.machine, AttemptEvent::CommandReceived);
         let is_in_use =
             self.attempts.iter().any(|(other, state)| other.task == key.task && !state.has_ended());
         let state = if is_in_use {
             AttemptState::Ended("in_use")
         } else {
-            record(&self.settings.history, &key, &self.machine, Step::Started);
+            record(&self.settings.history, &key, &self.machine, AttemptEvent::Started);
             AttemptState::Running(Instant::now() + self.settings.run)
         };
         self.attempts.insert(key, state);
@@ -237,11 +240,11 @@
     }
 }
 
-fn record(history: &History, key: &AttemptKey, machine: &Machine, step: Step) {
-    history.record(&key.task, key.attempt, &machine.name, step);
+fn record(history: &History, key: &AttemptKey, machine: &Machine, event: AttemptEvent) {
+    history.record(&key.task, key.attempt, &machine.name, event);
 }
 
-fn attempt_message(key: &AttemptKey, state: &AttemptState) -> Value {
+fn attempt_json(key: &AttemptKey, state: &AttemptState) -> Value {
     let (status, cause) = match state {
         AttemptState::Running(_) => ("running", None),
         AttemptState::Ended(cause) => ("ended", Some(cause)),
