--- a/crates/recovery-report/src/history.rs
+++ b/crates/recovery-report/src/history.rs
@@ -6,7 +6,8 @@
 use thiserror::Error;
 use woadlever_recovery::shard::{ReconciliationCounts, RecoveryPhase};
 
-/// Error from reading the logs.
+/// Error from reading the logs. `Display` includes the names of the files and, for a malformed
+/// line, its number.
 #[derive(Debug, Error, PartialEq, Eq)]
 pub enum HistoryError {
     /// A line about recovery, overload or cells is malformed.
