--- a/tests/support/cells.rs
+++ b/tests/support/cells.rs
@@ -1,5 +1,5 @@
-//! Several cells, each a [`World`] of its own, and the network between them. An oracle
-//! compares the starts of all cells.
+//! Several cells, each simulated by its own [`World`], and the network between them. An oracle
+//! checks the task starts of all cells against each other.
 
 use super::{CANCEL_MS, Fate, World};
 use rand::rngs::StdRng;
@@ -11,34 +11,34 @@
 use woadlever::wire::workers::TaskState;
 use woadlever_cells::message::CellMessage;
 
-/// Time for which each cell runs in turn.
+/// Simulated time by which each cell advances before the next one does.
 const STEP_MS: u64 = 25;
-/// Time between two checks where machines are many.
-const LARGE_CHECK_GAP_MS: u64 = 1_000;
-/// How long a message between cells takes.
+/// Time between two checks of all tasks in [`Cells::large`].
+const LARGE_CHECK_INTERVAL_MS: u64 = 1_000;
+/// Delivery latency of messages between cells.
 const LATENCY_MS: u64 = 20;
-/// The longest delay of a late copy of a message.
-const LATEST_COPY_MS: u64 = 90_000;
+/// Upper bound (exclusive) of the delay of a duplicate message.
+const MAX_DUPLICATE_DELAY_MS: u64 = 90_000;
 
-/// Cells that know each other, in lockstep.
+/// Cells that are configured as each other's peers and advance in lockstep.
 pub struct Cells {
     /// The cells, by number.
     pub worlds: Vec<World>,
-    /// (from, to): messages on this way are lost.
+    /// Pairs (from, to) of cells between which messages are lost in this direction.
     pub cut: HashSet<(usize, usize)>,
-    /// (from, to): messages on this way wait until they are let go.
+    /// Messages held back until [`Cells::release_held`], by (from, to).
     pub held: HashMap<(usize, usize), Vec<CellMessage>>,
-    /// Messages of one way (from, to), kept for later.
+    /// The direction (from, to) to record, and copies of the messages sent in it.
     pub recorded: Option<((usize, usize), Vec<CellMessage>)>,
-    /// Share of messages that are lost.
+    /// Fraction of messages that are lost.
     pub loss: f64,
-    /// Share of messages of which a late copy arrives.
+    /// Fraction of messages that are delivered twice, the duplicate with a long delay.
     pub late_copies: f64,
     /// Time between two checks of all tasks by the oracle.
-    check_gap_ms: u64,
-    /// The longest message between cells, in bytes, where machines are many.
+    check_interval_ms: u64,
+    /// Size in bytes of the largest message between cells; measured in [`Cells::large`] only.
     pub longest_message: usize,
-    /// Messages sent between cells.
+    /// Number of messages sent between cells.
     pub messages: usize,
     queue: BTreeMap<(u64, u64), (usize, CellMessage)>,
     sequence: u64,
@@ -46,7 +46,8 @@
     broken: Vec<String>,
 }
 
-/// Settings of cell `index` of `count`, with the extra lines in its `[cells]` section.
+/// Returns the operator settings of cell `index` of `count`, with `extra` appended to the
+/// `[cells]` section.
 fn operator(index: usize, count: usize, extra: &str) -> Operator {
     let mut text = format!(
         "[cells]\nenabled=true\nname=c{index}\nlisten_port=8082\nspill_after_s=10\n\
@@ -59,27 +60,30 @@
 }
 
 impl Cells {
-    /// `count` cells of three controllers each, with the capacity that their clouds have.
+    /// Creates `count` cells of three controllers each, with the default cloud capacity.
     pub fn new(count: usize, seed: u64) -> Cells {
         Cells::with_settings(count, seed, "")
     }
 
-    /// The same with further settings of all cells.
+    /// Like [`Cells::new`], with `extra` lines in the `[cells]` section of every cell.
     pub fn with_settings(count: usize, seed: u64, extra: &str) -> Cells {
         let world = |index| World::cell(3, seed * 10 + index as u64, operator(index, count, extra));
-        Cells::of((0..count).map(world).collect(), seed)
+        Cells::from_worlds((0..count).map(world).collect(), seed)
     }
 
-    /// Cells for thousands of machines, without any as yet.
+    /// Creates cells for thousands of machines. They have no machines and no cloud capacity yet.
     pub fn large(count: usize, seed: u64) -> Cells {
         let world = |index| World::large_cell(3, seed * 10 + index as u64, operator(index, count, ""));
-        Cells { check_gap_ms: LARGE_CHECK_GAP_MS, ..Cells::of((0..count).map(world).collect(), seed) }
+        Cells {
+            check_interval_ms: LARGE_CHECK_INTERVAL_MS,
+            ..Cells::from_worlds((0..count).map(world).collect(), seed)
+        }
     }
 
-    fn of(worlds: Vec<World>, seed: u64) -> Cells {
+    fn from_worlds(worlds: Vec<World>, seed: u64) -> Cells {
         Cells {
             worlds,
-            check_gap_ms: STEP_MS,
+            check_interval_ms: STEP_MS,
             longest_message: 0,
             cut: HashSet::new(),
             held: HashMap::new(),
@@ -99,7 +103,8 @@
         self.worlds[0].now
     }
 
-    /// A user of one cell submits a job; its description is there for all workers.
+    /// Submits a job to one cell until it is accepted; panics after 60 attempts. The description
+    /// of the job is registered in all cells, because any of them may run its tasks.
     pub fn accept(&mut self, cell: usize, body: &Value) {
         let id = body["name_id"].as_str().unwrap().to_string();
         for world in &mut self.worlds {
@@ -117,7 +122,7 @@
         panic!("not accepted: {body}");
     }
 
-    /// A user of one cell cancels a job; whether that was confirmed.
+    /// Cancels a job at one cell. Returns whether the cell confirmed it within 20 attempts.
     pub fn cancel(&mut self, cell: usize, id: &str) -> bool {
         self.worlds[cell].users.asked_to_cancel.insert(id.into());
         for _ in 0..20 {
@@ -135,69 +140,71 @@
         false
     }
 
-    /// What a user of a cell is told of a job.
+    /// Returns the status of a job that a cell reports to a user, as [`World::status`] does.
     pub fn status(&mut self, cell: usize, id: &str) -> String {
         let request = self.worlds[cell].ask(0, HttpRequest::Status(id.into()));
         self.run(300);
         self.worlds[cell].status_answered(request)
     }
 
-    /// The state of a job on record in a cell, with its forwarding and origin.
+    /// Returns the stored record of a job in a cell, including its forwarding and origin.
     pub fn record(&self, cell: usize, id: &str) -> Option<Value> {
         self.worlds[cell].store.job(id).cloned()
     }
 
-    /// Where the record of the origin says that the job is: none if it is there.
+    /// Returns the cell to which the origin's record says the job was forwarded; `None` if the
+    /// job is at the origin.
     pub fn forwarded_to(&self, origin: usize, id: &str) -> Option<String> {
         let record = self.record(origin, id)?;
         let is_away = record["f"]["p"] == "a" || record["f"]["p"] == "r";
         is_away.then(|| record["f"]["c"].as_str().unwrap_or_default().to_string())
     }
 
-    /// Starts of a job's tasks in one cell.
+    /// Number of starts of a job's tasks in one cell.
     pub fn starts(&self, cell: usize, id: &str) -> u32 {
         let prefix = format!("{id}/");
         let starts = self.worlds[cell].oracle.starts.iter();
         starts.filter(|(task, _)| task.starts_with(&prefix)).map(|(_, starts)| starts).sum()
     }
 
-    /// Tasks of a job that run in a cell now.
+    /// Number of a job's tasks in a cell that have not exited.
     pub fn running(&self, cell: usize, id: &str) -> usize {
         let workers = self.worlds[cell].workers.iter().filter(|worker| worker.alive);
         let tasks = workers.flat_map(|worker| &worker.tasks);
         tasks.filter(|task| task.job == id && task.state != TaskState::Exited).count()
     }
 
-    /// Ends all processes of a cell; they start anew after `back_ms`.
-    pub fn crash_cell(&mut self, cell: usize, back_ms: u64) {
+    /// Crashes all controllers of a cell; new processes start after `restart_after_ms`.
+    pub fn crash_cell(&mut self, cell: usize, restart_after_ms: u64) {
         for node in 0..3 {
-            self.worlds[cell].crash(node, back_ms);
+            self.worlds[cell].crash(node, restart_after_ms);
         }
     }
 
-    /// Messages between the two cells are lost, both ways.
+    /// Partitions two cells: messages between them are lost in both directions.
     pub fn part(&mut self, one: usize, other: usize) {
         self.cut.extend([(one, other), (other, one)]);
     }
 
-    /// All messages between cells arrive again.
+    /// Heals all partitions between cells.
     pub fn join(&mut self) {
         self.cut.clear();
     }
 
-    /// A message arrives at a cell once more.
+    /// Delivers a duplicate of a message to a cell immediately.
     pub fn repeat(&mut self, to: usize, message: CellMessage) {
         self.push(0, to, message);
         self.deliver();
     }
 
-    /// Writes to the record of a job by a cell's leader are under way until further notice.
+    /// Holds the writes of a cell's leader to the record of a job, until the test applies them
+    /// with [`World::carry_out_late`].
     pub fn hold_writes(&mut self, cell: usize, id: &str) {
         let leader = self.worlds[cell].leader().unwrap();
         self.worlds[cell].store_faults.pick = Some((leader, format!("w/job/{id}"), Fate::Late));
     }
 
-    /// Delivers the messages that are held on a way, in their order.
+    /// Delivers the messages that are held in one direction, in their order.
     pub fn release_held(&mut self, from: usize, to: usize) {
         for message in self.held.remove(&(from, to)).unwrap_or_default() {
             self.push(1, to, message);
@@ -209,7 +216,7 @@
         self.queue.insert((self.now() + delay, self.sequence), (to, message));
     }
 
-    /// Lets the time pass in all cells.
+    /// Advances simulated time in all cells by `ms`.
     pub fn run(&mut self, ms: u64) {
         let end = self.now() + ms;
         while self.now() < end {
@@ -218,13 +225,14 @@
             }
             self.collect();
             self.deliver();
-            if self.now().is_multiple_of(self.check_gap_ms) {
+            if self.now().is_multiple_of(self.check_interval_ms) {
                 self.check();
             }
         }
     }
 
-    /// Lets the time pass until something holds; whether it did within the limit.
+    /// Advances simulated time until the condition holds. Returns whether it holds in the end,
+    /// after `limit_ms` at the latest.
     pub fn until(&mut self, limit_ms: u64, holds: impl Fn(&Cells) -> bool) -> bool {
         let end = self.now() + limit_ms;
         while self.now() < end && !holds(self) {
@@ -233,17 +241,19 @@
         holds(self)
     }
 
-    /// The same until a cell has a job on record as done.
+    /// Like [`Cells::until`], until the store of a cell has the job recorded as done.
     pub fn until_done(&mut self, cell: usize, id: &str, limit_ms: u64) -> bool {
         self.until(limit_ms, |cells| cells.record(cell, id).is_some_and(|record| record["s"] == "d"))
     }
 
+    /// Takes the messages that the cells have sent and schedules their delivery, with the
+    /// configured faults.
     fn collect(&mut self) {
         for from in 0..self.worlds.len() {
             for (cell, message) in std::mem::take(&mut self.worlds[from].network.cell_messages) {
                 let to: usize = cell[1..].parse().unwrap();
                 self.messages += 1;
-                if self.check_gap_ms > STEP_MS {
+                if self.check_interval_ms > STEP_MS {
                     self.longest_message = self.longest_message.max(bitcode::encode(&message).len());
                 }
                 if let Some((way, recorded)) = &mut self.recorded
@@ -259,7 +269,7 @@
                     continue;
                 }
                 if self.rng.random_range(0.0..1.0) < self.late_copies {
-                    let delay = self.rng.random_range(1_000..LATEST_COPY_MS);
+                    let delay = self.rng.random_range(1_000..MAX_DUPLICATE_DELAY_MS);
                     self.push(delay, to, message.clone());
                 }
                 self.push(LATENCY_MS, to, message);
@@ -267,6 +277,7 @@
         }
     }
 
+    /// Delivers the messages that are due to every running controller of the receiving cell.
     fn deliver(&mut self) {
         let now = self.now();
         while let Some(entry) = self.queue.first_entry().filter(|entry| entry.key().0 <= now) {
@@ -279,16 +290,18 @@
         }
     }
 
-    /// No task runs in two cells at once, and none in any cell for longer than `cancel_s`
-    /// after the cancellation of its job; a job has one final state.
+    /// Checks that no task runs in two cells at once, and that none runs in any cell for longer
+    /// than `cancel_s` after the cancellation of its job. The oracle of each cell checks that a job
+    /// has one final state; it is given the tasks started in all cells, because a job that is
+    /// done may have run in another cell.
     fn check(&mut self) {
         let now = self.now();
         let mut seen: HashMap<(String, u32), usize> = HashMap::new();
         for (cell, world) in self.worlds.iter().enumerate() {
             for worker in world.workers.iter().filter(|worker| worker.alive) {
-                let is_there =
+                let is_running =
                     |state: TaskState| matches!(state, TaskState::Running | TaskState::Saving);
-                for task in worker.tasks.iter().filter(|task| is_there(task.state)) {
+                for task in worker.tasks.iter().filter(|task| is_running(task.state)) {
                     let other = seen.insert((task.job.clone(), task.task), cell);
                     if other.is_some_and(|other| other != cell) {
                         self.broken.push(format!("{now} {}/{} runs in two cells", task.job, task.task));
@@ -307,7 +320,7 @@
         }
     }
 
-    /// Ends the test if a rule was broken, in a cell or between cells.
+    /// Panics if a rule was broken, in a cell or between cells.
     pub fn assert_rules_kept(&self) {
         let few = &self.broken[..self.broken.len().min(5)];
         assert!(self.broken.is_empty(), "rules broken between cells: {few:?}");
--- a/tests/support/cloud.rs
+++ b/tests/support/cloud.rs
@@ -1,4 +1,4 @@
-//! A fake of the cloud, written from the protocol.
+//! In-memory fake of the cloud API, written from the protocol.
 
 use super::{Worker, World, ZONES};
 use rand::RngExt;
@@ -9,41 +9,46 @@
 use woadlever::wire::cloud::{CreateInstancesRequest, TerminateInstancesRequest};
 
 const REQUESTS_PER_S: f64 = 5.0;
-/// Time after which a new machine is listed.
+/// Delay before a new machine appears in the list of instances.
 const LIST_LAG_MS: u64 = 4_000;
-const USUAL_CAPACITY: usize = 12;
+const DEFAULT_CAPACITY: usize = 12;
 
-/// What the cloud has rented out, and its faults.
+/// State of the cloud: its capacity, the instances created so far, its rate limit and faults.
 pub struct Cloud {
-    /// Machines that it has at most.
+    /// Maximum number of machines that exist at once.
     pub capacity: usize,
-    /// Machine types in the catalog that nobody has a use for.
+    /// Number of additional machine types in the catalog that are too small and too expensive
+    /// to be of use.
     pub more_types: usize,
     pub is_down: bool,
-    /// Machines by the name of the request that rented them.
+    /// Names of the machines that each request created, by request name. A repeated request is
+    /// idempotent: it gets the same machines.
     granted: HashMap<String, Vec<String>>,
-    /// Machines rented so far.
+    /// Number of machines created so far, terminated ones included.
     pub rented: usize,
+    /// Names of the machines that were terminated.
     pub returned: Vec<String>,
-    /// How long rented machines take to boot.
+    /// Range of the boot times of new machines.
     pub boot_ms: Range<u64>,
-    /// Calls: left of the rate, as of when, made, refused.
-    rate: (f64, u64),
+    /// Token bucket of the rate limit: the remaining calls, and the time as of which they remain.
+    token_bucket: (f64, u64),
+    /// Number of calls made, refused ones included.
     pub calls: u32,
+    /// Number of calls refused because of the rate limit.
     pub refused: u32,
 }
 
 impl Default for Cloud {
     fn default() -> Cloud {
         Cloud {
-            capacity: USUAL_CAPACITY,
+            capacity: DEFAULT_CAPACITY,
             more_types: 0,
             is_down: false,
             granted: HashMap::new(),
             rented: 0,
             returned: Vec::new(),
             boot_ms: 6_000..15_000,
-            rate: (REQUESTS_PER_S, 0),
+            token_bucket: (REQUESTS_PER_S, 0),
             calls: 0,
             refused: 0,
         }
@@ -51,9 +56,10 @@
 }
 
 impl World {
-    /// The answer to a request, once its rate allows it.
+    /// Executes a request and returns the response. The request is not executed if the cloud is
+    /// down or the call exceeds the rate limit.
     pub(super) fn cloud_response(&mut self, request: CloudRequest) -> CloudResponse {
-        if self.cloud.is_down || !self.cloud.take_call(self.now) {
+        if self.cloud.is_down || !self.cloud.try_take_token(self.now) {
             return CloudResponse::NotExecuted;
         }
         match request {
@@ -67,14 +73,14 @@
     fn list_machines(&self, after: &str) -> CloudResponse {
         let now = self.now;
         let is_listed = |worker: &&Worker| {
-            worker.rented + LIST_LAG_MS <= now
+            worker.rented_at + LIST_LAG_MS <= now
                 && worker.name.as_str() > after
                 && !self.cloud.returned.contains(&worker.name)
         };
         let entry = |worker: &Worker| {
             json!({"name_id":worker.name,"hulltype":worker.type_name,"yard":worker.zone,
                 "standby":worker.spot,"status": if now < worker.up_at {"starting"} else {"running"},
-                "age_s":(now - worker.rented) as f64 / 1000.0})
+                "age_s":(now - worker.rented_at) as f64 / 1000.0})
         };
         let list: Vec<Value> = self.workers.iter().filter(is_listed).map(entry).collect();
         CloudResponse::Page(serde_json::from_value(json!({"hulls":list,"has_next":false})).unwrap())
@@ -85,9 +91,9 @@
         if let Some(names) = self.cloud.granted.get(&request.request) {
             return rented(names);
         }
-        let is_there = |worker: &&Worker| !self.cloud.returned.contains(&worker.name);
-        let there = self.workers.iter().filter(is_there).count();
-        let count = (request.count as usize).min(self.cloud.capacity.saturating_sub(there));
+        let is_rented = |worker: &&Worker| !self.cloud.returned.contains(&worker.name);
+        let rented_count = self.workers.iter().filter(is_rented).count();
+        let count = (request.count as usize).min(self.cloud.capacity.saturating_sub(rented_count));
         if count == 0 {
             return CloudResponse::NoCapacity;
         }
@@ -120,14 +126,14 @@
 }
 
 impl Cloud {
-    /// Whether the rate allows one more call; if so, it is made.
-    fn take_call(&mut self, now: u64) -> bool {
+    /// Counts a call and takes a token for it. Returns whether the rate limit allows the call.
+    fn try_take_token(&mut self, now: u64) -> bool {
         self.calls += 1;
-        let (left, at) = self.rate;
+        let (left, at) = self.token_bucket;
         let refilled = left + REQUESTS_PER_S * (now - at) as f64 / 1000.0;
         let left = refilled.min(2.0 * REQUESTS_PER_S);
         let is_allowed = left >= 1.0;
-        self.rate = (if is_allowed { left - 1.0 } else { left }, now);
+        self.token_bucket = (if is_allowed { left - 1.0 } else { left }, now);
         self.refused += u32::from(!is_allowed);
         is_allowed
     }
--- a/tests/support/controllers.rs
+++ b/tests/support/controllers.rs
@@ -1,4 +1,4 @@
-//! The controllers: processes that start, crash, are suspended and resumed.
+//! Simulated controllers: nodes whose processes start, crash, are suspended and are resumed.
 
 use super::settings::sized_platform;
 use super::{World, ZONES};
@@ -7,51 +7,51 @@
 use woadlever::core::{Core, Input};
 use woadlever::wire::peer::Frame;
 
-/// Time of day at which a world's time begins.
-const EPOCH_MS: u64 = 1_000_000_000;
+/// Wall-clock time of the controllers when simulated time is zero.
+const START_WALL_CLOCK_MS: u64 = 1_000_000_000;
 
-/// A process of a node.
+/// A controller process on a node.
 pub struct Process {
-    /// What it runs.
+    /// The core of the controller.
     pub core: Core,
-    /// Tells it from the node's earlier processes.
+    /// Number that distinguishes the process from all earlier ones.
     pub incarnation: u64,
-    /// When it started; its steady clock starts with it.
+    /// Simulated time at which the process started; its monotonic clock starts then.
     started_at: u64,
 }
 
-/// A node, with its process if one runs.
+/// A node, with its controller process if one runs.
 #[derive(Default)]
 pub struct Controller {
-    /// The process that runs, if any.
+    /// The running process, if any.
     pub process: Option<Process>,
-    /// When the next process starts, if none runs.
+    /// Simulated time at which the next process starts, if none runs.
     pub restart_at: u64,
-    /// What has reached it while it is suspended.
-    paused: Option<Vec<Input>>,
-    /// How much faster than true its steady clock runs.
+    /// Inputs that have arrived since the process was suspended; `None` if it isn't suspended.
+    suspended_inputs: Option<Vec<Input>>,
+    /// Relative error of the process's monotonic clock; positive if the clock runs fast.
     pub drift: f64,
 }
 
 impl Controller {
-    /// Whether the process that sent something still runs.
+    /// Whether the process with this incarnation still runs.
     pub(super) fn runs(&self, incarnation: u64) -> bool {
         self.process.as_ref().is_some_and(|process| process.incarnation == incarnation)
     }
 }
 
 impl World {
-    /// The core of the process that runs on a node.
+    /// Returns the core of the process that runs on a node, if any.
     pub fn core(&self, node: usize) -> Option<&Core> {
         self.controllers[node].process.as_ref().map(|process| &process.core)
     }
 
-    /// The platform settings of a node.
+    /// Returns the platform settings of a node.
     pub(super) fn platform_of(&self, node: usize) -> Platform {
         sized_platform(self.size, node, self.node_count, self.announced_limits)
     }
 
-    /// Starts a process on a node.
+    /// Starts a new process on a node, with empty state.
     pub fn boot(&mut self, node: usize) {
         self.last_incarnation += 1;
         let incarnation = self.last_incarnation;
@@ -61,33 +61,34 @@
         self.controllers[node].process = Some(Process { core, incarnation, started_at: self.now });
     }
 
-    /// Ends the process of a node; the next one starts after `back_ms`.
-    pub fn crash(&mut self, node: usize, back_ms: u64) {
+    /// Kills the process of a node; a new one starts after `restart_after_ms`.
+    pub fn crash(&mut self, node: usize, restart_after_ms: u64) {
         self.controllers[node].process = None;
-        self.controllers[node].paused = None;
-        self.controllers[node].restart_at = self.now + back_ms;
+        self.controllers[node].suspended_inputs = None;
+        self.controllers[node].restart_at = self.now + restart_after_ms;
         self.worker_requests.retain(|(asked, _), _| *asked != node);
     }
 
     /// Suspends the process of a node while its clocks run on.
     pub fn freeze(&mut self, node: usize) {
-        self.controllers[node].paused = Some(Vec::new());
+        self.controllers[node].suspended_inputs = Some(Vec::new());
     }
 
-    /// Resumes a suspended process, with everything that came in meanwhile at one moment.
+    /// Resumes a suspended process, which then gets all inputs that arrived meanwhile at once.
     pub fn thaw(&mut self, node: usize) {
-        for input in self.controllers[node].paused.take().unwrap_or_default() {
+        for input in self.controllers[node].suspended_inputs.take().unwrap_or_default() {
             if !matches!(input, Input::Tick) {
                 self.step(node, input);
             }
         }
     }
 
-    /// An input reaches a node; what it puts out goes on its way.
+    /// Passes an input to the process of a node and carries out the outputs. A suspended process
+    /// gets the input when it is resumed.
     pub(super) fn step(&mut self, node: usize, input: Input) {
-        let (now, wall) = (self.now, EPOCH_MS + self.now);
+        let (now, wall) = (self.now, START_WALL_CLOCK_MS + self.now);
         let controller = &mut self.controllers[node];
-        if let Some(missed) = &mut controller.paused {
+        if let Some(missed) = &mut controller.suspended_inputs {
             missed.push(input);
             return;
         }
@@ -103,13 +104,13 @@
         }
     }
 
-    /// The node that the leader's record names.
+    /// Returns the node that the leader record in the store names.
     pub fn leader(&self) -> Option<usize> {
         let record = self.store.value("w/leader")?;
         record["node"].as_str()?.strip_prefix('n')?.parse().ok()
     }
 
-    /// The node that owns a machine's shard, as the records say.
+    /// Returns the node that owns a machine's shard according to the shard record in the store.
     pub fn shard_owner_of(&self, worker: usize) -> usize {
         let platform = super::platform(0, self.node_count);
         let mut nodes: Vec<(String, String)> =
@@ -123,12 +124,12 @@
     }
 }
 
-/// The zone of a node.
+/// Returns the zone of a node.
 pub(super) fn zone_of(node: usize) -> &'static str {
     ZONES[node % ZONES.len()]
 }
 
-/// The node that sent a frame; none if its name isn't one of a world's.
+/// Returns the node that sent a frame; `None` if the sender's name has no node number.
 pub(super) fn sender_of(frame: &Frame) -> Option<usize> {
     frame.from[1..].parse().ok()
 }
--- a/tests/support/events.rs
+++ b/tests/support/events.rs
@@ -1,4 +1,4 @@
-//! What is under way between controllers, store, cloud, workers and users, and its arrival.
+//! Messages in flight between controllers, store, cloud, workers and users, and their delivery.
 
 use super::controllers::{sender_of, zone_of};
 use super::network::WORKERS;
@@ -14,15 +14,20 @@
 use woadlever::wire::store::{CompareAndSwap, WatchAnswer};
 use woadlever::wire::workers::{DirectCommands, WorkerHeartbeat};
 
-const STORE_MS: u64 = 2;
-const CLOUD_MS: u64 = 50;
-/// A write whose answer is lost is given up after this time, and runs up to so late.
-const LOST_ANSWER_MS: u64 = 2_000;
-const LATEST_LOST_WRITE_MS: u64 = 8_000;
-/// A watch without an answer is given up this long after its time.
+/// One-way latency between a controller and the store.
+const STORE_LATENCY_MS: u64 = 2;
+/// One-way latency between a controller and the cloud.
+const CLOUD_LATENCY_MS: u64 = 50;
+/// Time after which the caller gives up waiting for the answer to a write that was lost.
+const LOST_ANSWER_TIMEOUT_MS: u64 = 2_000;
+/// Upper bound (exclusive) of the delay after which the store executes a write whose answer is
+/// lost. It is above [`LOST_ANSWER_TIMEOUT_MS`], so that writes also execute after the caller
+/// has given up.
+const MAX_LOST_WRITE_DELAY_MS: u64 = 8_000;
+/// Time that the caller waits for an answer to a watch after the watch has expired.
 const WATCH_SLACK_MS: u64 = 3_000;
 
-/// A call of a process to the store or to the cloud.
+/// Identifies a call of a controller process to the store or to the cloud.
 #[derive(Debug, Clone, Copy)]
 pub struct Call {
     pub(super) node: usize,
@@ -30,17 +35,18 @@
     pub(super) number: u64,
 }
 
-/// How a request to the store was under way.
+/// How a request reaches the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Delivery {
-    Usual,
-    /// For long: it arrives whatever the store refuses now.
-    Late,
-    /// For so long that nobody waits for the answer any more.
-    GivenUp,
+    Normal,
+    /// Delayed: unless it is down, the store executes the request (but not a watch) even if it
+    /// refuses the node's calls or the call exceeds a rate limit by then.
+    Delayed,
+    /// Delayed while the caller times out: the store may execute it, and nobody gets the answer.
+    TimedOut,
 }
 
-/// Something that is under way.
+/// A message in flight.
 pub enum Event {
     StoreRequest { call: Call, request: StoreRequest, delivery: Delivery },
     StoreResponse { call: Call, response: StoreResponse },
@@ -54,17 +60,19 @@
 }
 
 impl World {
-    /// Puts something on its way.
+    /// Schedules an event after `delay` ms plus the lag of the receiving node. During a partition
+    /// between the zones, events that cross it are held instead.
     pub(super) fn push(&mut self, delay: u64, event: Event) {
         if self.network.partition.is_some() && self.crosses_zones(&event) {
             self.network.partition.get_or_insert_default().push(event);
             return;
         }
-        let delay = delay + self.lag_of(&event);
+        let delay = delay + self.node_lag_ms(&event);
         self.sequence += 1;
         self.queue.insert((self.now + delay, self.sequence), event);
     }
 
+    /// Whether an event is a message between two zones.
     fn crosses_zones(&self, event: &Event) -> bool {
         match event {
             Event::Frame { to, frame, .. } => {
@@ -78,8 +86,8 @@
         }
     }
 
-    /// What a slow node still has before it when this reaches it.
-    fn lag_of(&self, event: &Event) -> u64 {
+    /// Returns the additional delay of an event that is addressed to a slow node.
+    fn node_lag_ms(&self, event: &Event) -> u64 {
         let node = match event {
             Event::StoreResponse { call, .. } | Event::CloudResponse { call, .. } => &call.node,
             Event::WorkerHeartbeat { node, .. } => node,
@@ -89,19 +97,19 @@
         self.network.lag.get(node).copied().unwrap_or(0)
     }
 
-    /// The two zones can't reach each other; what is sent waits on the way.
+    /// Partitions the two zones; messages between them are held.
     pub fn part_zones(&mut self) {
         self.network.partition = Some(Vec::new());
     }
 
-    /// What was held up arrives after all, in order.
+    /// Heals the partition between the zones; the held messages are delivered in order.
     pub fn join_zones(&mut self) {
         for event in self.network.partition.take().unwrap_or_default() {
             self.push(1, event);
         }
     }
 
-    /// What a process puts out goes on its way.
+    /// Carries out an output of a process: sends the message or makes the call.
     pub(super) fn carry_out(&mut self, node: usize, incarnation: u64, output: Output) {
         match output {
             Output::Answer { request_id, answer } => self.send_answer(node, request_id, answer),
@@ -110,7 +118,7 @@
             }
             Output::Cloud { call, request } => {
                 let call = Call { node, incarnation, number: call };
-                self.push(CLOUD_MS, Event::CloudRequest { call, request });
+                self.push(CLOUD_LATENCY_MS, Event::CloudRequest { call, request });
             }
             Output::Send { to, frame } => self.send_frame(node, to[1..].parse().unwrap(), frame),
             Output::DirectCommands { addr, commands } => {
@@ -154,29 +162,34 @@
     fn send_store_request(&mut self, call: Call, request: StoreRequest) {
         if let Some(fate) = self.store_faults.fate_of(call.node, &request) {
             let StoreRequest::CompareAndSwap(write) = request else { return };
-            return self.lose_write(call, write, fate);
+            return self.fail_write(call, write, fate);
         }
         let is_write = matches!(request, StoreRequest::CompareAndSwap(_));
-        let is_given_up = self.store_faults.loss > 0.0
+        let is_timed_out = self.store_faults.loss > 0.0
             && is_write
             && self.rng.random_range(0.0..1.0) < self.store_faults.loss;
-        let slow = self.store_faults.delay_of(call.node, &request);
-        // A lost call may still run, seconds later.
-        let delay =
-            slow + if is_given_up { self.rng.random_range(1..LATEST_LOST_WRITE_MS) } else { STORE_MS };
-        if is_given_up {
+        let slow = self.store_faults.delay_ms_of(call.node, &request);
+        // The store may still execute a call that has timed out, seconds later.
+        let delay = slow
+            + if is_timed_out {
+                self.rng.random_range(1..MAX_LOST_WRITE_DELAY_MS)
+            } else {
+                STORE_LATENCY_MS
+            };
+        if is_timed_out {
             let response = StoreResponse::OutcomeUnknown;
-            self.push(LOST_ANSWER_MS, Event::StoreResponse { call, response });
+            self.push(LOST_ANSWER_TIMEOUT_MS, Event::StoreResponse { call, response });
         }
-        let delivery = match (is_given_up, slow) {
-            (true, _) => Delivery::GivenUp,
-            (false, 0) => Delivery::Usual,
-            (false, _) => Delivery::Late,
+        let delivery = match (is_timed_out, slow) {
+            (true, _) => Delivery::TimedOut,
+            (false, 0) => Delivery::Normal,
+            (false, _) => Delivery::Delayed,
         };
         self.push(delay, Event::StoreRequest { call, request, delivery });
     }
 
-    fn lose_write(&mut self, call: Call, write: CompareAndSwap, fate: Fate) {
+    /// Applies the fault chosen for a write; the caller learns only that the outcome is unknown.
+    fn fail_write(&mut self, call: Call, write: CompareAndSwap, fate: Fate) {
         if fate == Fate::Late {
             self.store_faults.held.push(write);
         } else if !self.store.down {
@@ -186,13 +199,13 @@
         self.push(self.store_faults.timeout_ms, Event::StoreResponse { call, response });
     }
 
-    /// What was under way is carried out after all, in order: what became of it.
+    /// Executes the held writes in order and returns their responses, which reach no controller.
     pub fn carry_out_late(&mut self) -> Vec<StoreResponse> {
         let late = std::mem::take(&mut self.store_faults.held);
         late.iter().map(|write| self.store.compare_and_swap(write)).collect()
     }
 
-    /// Something arrives.
+    /// Delivers an event to its recipient.
     pub(super) fn handle(&mut self, event: Event) {
         match event {
             Event::StoreRequest { call, request, delivery } => {
@@ -205,7 +218,7 @@
             }
             Event::CloudRequest { call, request } => {
                 let response = self.cloud_response(request);
-                self.push(CLOUD_MS, Event::CloudResponse { call, response });
+                self.push(CLOUD_LATENCY_MS, Event::CloudResponse { call, response });
             }
             Event::CloudResponse { call, response } => {
                 if self.controllers[call.node].runs(call.incarnation) {
@@ -221,16 +234,18 @@
                 if self.controllers[node].process.is_none() {
                     return;
                 }
-                let request_id = self.users.number_request();
+                let request_id = self.users.next_request_id();
                 self.worker_requests.insert((node, request_id), (worker, id));
                 let request = HttpRequest::WorkerHeartbeat(heartbeat);
                 self.step(node, Input::Http { request_id, request });
             }
-            Event::HeartbeatResponse { worker, id, node, answer } => match self.hang_of(worker) {
-                Some(wait) => self.push(wait, Event::HeartbeatResponse { worker, id, node, answer }),
-                None => self.on_heartbeat_response(worker, id, answer),
-            },
-            Event::DirectCommands { worker, commands } => match self.hang_of(worker) {
+            Event::HeartbeatResponse { worker, id, node, answer } => {
+                match self.remaining_hang_ms(worker) {
+                    Some(wait) => self.push(wait, Event::HeartbeatResponse { worker, id, node, answer }),
+                    None => self.on_heartbeat_response(worker, id, answer),
+                }
+            }
+            Event::DirectCommands { worker, commands } => match self.remaining_hang_ms(worker) {
                 Some(wait) => self.push(wait, Event::DirectCommands { worker, commands }),
                 None => self.on_direct_commands(worker, commands),
             },
@@ -241,8 +256,8 @@
         }
     }
 
-    /// How long a worker that hangs still does so.
-    fn hang_of(&self, worker: usize) -> Option<u64> {
+    /// Returns how long to wait until a worker no longer hangs; `None` if it doesn't hang.
+    fn remaining_hang_ms(&self, worker: usize) -> Option<u64> {
         let wait = self.workers[worker].hung_until.saturating_sub(self.now);
         (wait > 0).then_some(wait + 1)
     }
@@ -250,31 +265,31 @@
     fn on_store_request(&mut self, call: Call, request: StoreRequest, delivery: Delivery) {
         self.store.requests += 1;
         let is_refused =
-            self.store.refuses.contains(&call.node) || self.store.over_rate(self.now, &request);
+            self.store.refuses.contains(&call.node) || self.store.is_rate_limited(self.now, &request);
         if let StoreRequest::Watch { prefix, since, block_ms } = request {
             if self.store.down || is_refused {
                 let response = StoreResponse::NotExecuted;
-                return self.push(STORE_MS, Event::StoreResponse { call, response });
+                return self.push(STORE_LATENCY_MS, Event::StoreResponse { call, response });
             }
             let until = self.now + block_ms;
             self.store.watches.push(PendingWatch { call, prefix, since, until });
             return;
         }
-        if delivery == Delivery::GivenUp {
+        if delivery == Delivery::TimedOut {
             if !self.store.down {
                 self.store.run(self.now, &request);
             }
             return;
         }
-        let response = if self.store.down || is_refused && delivery != Delivery::Late {
+        let response = if self.store.down || is_refused && delivery != Delivery::Delayed {
             StoreResponse::NotExecuted
         } else {
             self.store.run(self.now, &request)
         };
-        self.push(STORE_MS, Event::StoreResponse { call, response });
+        self.push(STORE_LATENCY_MS, Event::StoreResponse { call, response });
     }
 
-    /// Answers the watches that have something to tell, or whose time is over.
+    /// Answers the watches that have changes to report or have expired.
     pub(super) fn answer_watches(&mut self) {
         if self.store.down {
             return;
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -1,6 +1,6 @@
-//! An in-memory world for scenarios: fakes of the store, the cloud, workers, users and the
-//! network, written from the protocol, with simulated time and fixed seeds.
-//! An oracle checks the rules at every start of a task.
+//! Simulation of a cluster for tests: in-memory fakes of the store, the cloud, workers, users
+//! and the network, written from the protocol, with simulated time and fixed seeds. An oracle
+//! checks the rules of the protocol at every start of a task.
 
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
@@ -41,81 +41,84 @@
 use woadlever::core::{Answer, Input};
 use woadlever_cells::message::CellMessage;
 
-/// The zones of each world; nodes and machines alternate between them.
+/// The zones of each simulated cluster; nodes alternate between them.
 pub const ZONES: [&str; 2] = ["east", "west"];
-/// How long a worker's lease lasts.
+/// Duration of a worker's lease.
 pub const LEASE_MS: u64 = 20_000;
-/// The time within which a cancelled job has to end.
+/// Time within which all tasks of a cancelled job must have ended.
 pub const CANCEL_MS: u64 = 40_000;
 /// Time between two ticks of all controllers and workers.
 const TICK_MS: u64 = 25;
-/// How long tasks run, unless a test says otherwise.
-const RUN_MS: u64 = 10_000;
-/// How long fetching an image takes, unless a test says otherwise.
-const FETCH_MS: u64 = 500;
+/// Run time of tasks, unless a test sets [`World::run_ms`].
+const DEFAULT_RUN_MS: u64 = 10_000;
+/// Time to fetch an image, unless a test sets [`World::fetch_ms`].
+const DEFAULT_FETCH_MS: u64 = 500;
 
-/// Rates of the store as the settings of large worlds say.
+/// Rate limits of the store in the settings of [`World::large`].
 const LARGE_RATES: StoreRates = StoreRates { requests: 150.0, mutations: 20.0 };
-/// The same for worlds of thousands of machines.
+/// Rate limits of the store in the settings of [`World::fleet`].
 const FLEET_RATES: StoreRates = StoreRates { requests: 200.0, mutations: 70.0 };
 
-/// A cluster with all that is around it.
+/// A simulated cluster with its store, cloud, workers, users and network.
 pub struct World {
     /// Simulated time in milliseconds.
     pub now: u64,
-    /// The source of all that is random, seeded by the test.
+    /// Random number generator of the simulation, seeded by the test.
     pub rng: StdRng,
-    /// Nodes that controllers run on.
+    /// Number of nodes that run controllers.
     pub node_count: usize,
-    /// The nodes with their processes, by number.
+    /// The nodes with their processes, by node number.
     pub controllers: Vec<Controller>,
-    /// All machines that there ever were, with their workers.
+    /// All machines, including those that no longer exist, with their workers.
     pub workers: Vec<Worker>,
     /// The key-value store.
     pub store: Store,
-    /// What goes wrong with calls to the store.
+    /// Faults injected into calls to the store.
     pub store_faults: StoreFaults,
     /// The cloud.
     pub cloud: Cloud,
-    /// The network between all of them.
+    /// The network that connects controllers, workers and other cells.
     pub network: Network,
-    /// What users asked and were answered.
+    /// Requests of users and the answers to them.
     pub users: Users,
-    /// What has been started, and which rules were broken.
+    /// Task starts so far, and the rules that were broken.
     pub oracle: Oracle,
-    /// Commands that arrived at workers; a test may start the count anew.
+    /// Counts of commands that arrived at workers; a test may reset them.
     pub commands: CommandCounts,
-    /// How long each task runs.
+    /// Run time of each task.
     pub run_ms: u64,
-    /// How long a machine takes to fetch the image of a task that is told to start.
+    /// Time from the start command until the image of the task is fetched.
     pub fetch_ms: u64,
-    /// A team that processes started from now on don't know.
+    /// A team that is missing from the settings of processes started from now on.
     pub without_team: Option<&'static str>,
-    /// The operators' settings of all nodes.
+    /// Operator settings of all nodes.
     pub operator: Operator,
     size: Size,
-    /// Limits of the store that are announced.
+    /// Lower limits of the store that the settings announce, if any.
     announced_limits: Option<AnnouncedLimits>,
     last_incarnation: u64,
-    /// Heartbeats without an answer yet: the worker and its number, by node and request.
+    /// Heartbeats without an answer yet: worker index and heartbeat id, by node and request id.
     worker_requests: HashMap<(usize, u64), (usize, u64)>,
+    /// Scheduled events, by delivery time and sequence number.
     queue: BTreeMap<(u64, u64), Event>,
     sequence: u64,
     recorder: Option<Recorder>,
 }
 
 impl World {
-    /// A small world of one cell.
+    /// Creates a cluster for a few machines that shares load with no other cell.
     pub fn new(nodes: usize, seed: u64) -> World {
         World::sized(nodes, seed, Size::Small, None, Operator::default())
     }
 
-    /// A cell that shares load with others, as its operators' settings say.
+    /// Creates a cluster for a few machines that shares load with the cells in its operator
+    /// settings.
     pub fn cell(nodes: usize, seed: u64, operator: Operator) -> World {
         World::sized(nodes, seed, Size::Small, None, operator)
     }
 
-    /// The same for thousands of machines, with the rates of the settings enforced.
+    /// Like [`World::cell`] for thousands of machines: the store enforces the rate limits of the
+    /// settings, and the cloud has no capacity until the test sets it.
     pub fn large_cell(nodes: usize, seed: u64, operator: Operator) -> World {
         let mut world = World::sized(nodes, seed, Size::Fleet, None, operator);
         world.store.rates = Some(FLEET_RATES);
@@ -123,13 +126,13 @@
         world
     }
 
-    /// A small world whose settings announce lower limits of the store; they come into
-    /// force with [`World::lower_store_limits`].
+    /// Like [`World::new`], with settings that announce lower limits of the store. They take
+    /// effect with [`World::lower_store_limits`].
     pub fn with_announced_limits(nodes: usize, seed: u64, limits: AnnouncedLimits) -> World {
         World::sized(nodes, seed, Size::Small, Some(limits), Operator::default())
     }
 
-    /// The announced limits come into force, without notice.
+    /// Makes the store enforce the announced limits, without notice to the controllers.
     pub fn lower_store_limits(&mut self) {
         let AnnouncedLimits { value_kb, mutations, mutations_per_s } =
             self.announced_limits.expect("limits were announced");
@@ -139,8 +142,8 @@
         }
     }
 
-    /// A world for hundreds of machines, with the rates of the settings enforced, and no
-    /// machines to be had but those that a scenario adds.
+    /// Creates a cluster for hundreds of machines: the store enforces the rate limits of the
+    /// settings, and there are only the machines that the test adds, as the cloud has no capacity.
     pub fn large(nodes: usize, seed: u64) -> World {
         let mut world = World::sized(nodes, seed, Size::Large, None, Operator::default());
         world.store.rates = Some(LARGE_RATES);
@@ -148,7 +151,7 @@
         world
     }
 
-    /// The same for thousands of machines.
+    /// Like [`World::large`] for thousands of machines.
     pub fn fleet(nodes: usize, seed: u64) -> World {
         let mut world = World::sized(nodes, seed, Size::Fleet, None, Operator::default());
         world.store.rates = Some(FLEET_RATES);
@@ -156,8 +159,8 @@
         world
     }
 
-    /// A world whose teams take all of its machines at their limits, with the rates of the
-    /// settings enforced.
+    /// Creates a cluster whose teams, each at its limit, use all machines. The store enforces the
+    /// rate limits of the settings, and the cloud has no capacity.
     pub fn pinned(nodes: usize, seed: u64, teams: PinnedTeams) -> World {
         let mut world = World::sized(nodes, seed, Size::Pinned(teams), None, Operator::default());
         world.store.rates = Some(if teams.is_fleet { FLEET_RATES } else { LARGE_RATES });
@@ -185,8 +188,8 @@
             users: Users::default(),
             oracle: Oracle::default(),
             commands: CommandCounts::default(),
-            run_ms: RUN_MS,
-            fetch_ms: FETCH_MS,
+            run_ms: DEFAULT_RUN_MS,
+            fetch_ms: DEFAULT_FETCH_MS,
             without_team: None,
             operator,
             size,
@@ -197,19 +200,19 @@
             sequence: 0,
             recorder: Recorder::from_env(),
         };
-        world.read_team_limits();
+        world.load_team_limits();
         for node in 0..nodes {
             world.boot(node);
         }
         world
     }
 
-    /// A message of another cell reaches a node.
+    /// Delivers a message from another cell to a node.
     pub fn cell_message(&mut self, node: usize, message: CellMessage) {
         self.step(node, Input::Cell(Box::new(message)));
     }
 
-    /// The key of the placement record that lists a machine, and the machine's row in it.
+    /// Returns the key of the placement record that lists a machine, and the machine's row in it.
     pub fn placement_of(&self, name: &str) -> Option<(String, Value)> {
         self.store.records_under("place/").find_map(|(key, record)| {
             let rows = record.value["m"].as_array()?;
@@ -217,7 +220,7 @@
         })
     }
 
-    /// Lets the time pass.
+    /// Advances simulated time by `ms`, rounded up to a whole tick.
     pub fn run(&mut self, ms: u64) {
         let end = self.now + ms;
         while self.now < end {
@@ -236,7 +239,7 @@
     }
 
     fn tick(&mut self) {
-        self.store.expire(self.now);
+        self.store.expire_leases(self.now);
         self.answer_watches();
         for node in 0..self.node_count {
             let controller = &self.controllers[node];
--- a/tests/support/network.rs
+++ b/tests/support/network.rs
@@ -1,39 +1,42 @@
-//! The network between controllers, workers and other cells, and its faults.
+//! Simulated network between controllers, workers and other cells, and its faults.
 
 use super::events::Event;
 use std::collections::{HashMap, HashSet};
 use woadlever_cells::message::CellMessage;
 
-/// Stands for all workers where a pair of nodes is named.
+/// Placeholder for all workers in a pair of nodes.
 pub const WORKERS: usize = usize::MAX;
-/// How long frames between nodes take, unless a test says otherwise.
-const FRAME_MS: u64 = 2;
-/// How long direct commands take, unless a test says otherwise.
-const DIRECT_COMMANDS_MS: u64 = 2;
+/// Latency of frames between nodes, unless a test sets [`Network::frame_ms`].
+const FRAME_LATENCY_MS: u64 = 2;
+/// Latency of direct commands, unless a test sets [`Network::direct_commands_ms`].
+const DIRECT_COMMANDS_LATENCY_MS: u64 = 2;
 
-/// What reaches whom, and when.
+/// State and faults of the network.
 pub struct Network {
-    /// Nodes that can't reach each other (or [`WORKERS`]).
+    /// Pairs of nodes, or of a node and [`WORKERS`], that can't reach each other.
     pub cuts: HashSet<(usize, usize)>,
-    /// (from, to): frames on this way are lost, whatever the sender thinks.
+    /// Pairs (from, to) of nodes between which frames are lost in this direction only, unnoticed
+    /// by the sender.
     pub one_way: HashSet<(usize, usize)>,
-    /// What is held up between two zones that can't reach each other.
+    /// Events held during a partition between the two zones; `None` without a partition.
     pub(super) partition: Option<Vec<Event>>,
-    /// Workers whose answers are lost.
+    /// Workers to which the answers to heartbeats are lost.
     pub lose_replies: HashSet<usize>,
-    /// Nodes that are slow: how long until they get to what reaches them.
+    /// Additional delay in milliseconds of frames, heartbeats and responses to a slow node.
     pub lag: HashMap<usize, u64>,
-    /// How long frames between nodes take.
+    /// Latency of frames between nodes.
     pub frame_ms: u64,
-    /// How long direct commands to workers take.
+    /// Latency of direct commands to workers.
     pub direct_commands_ms: u64,
-    /// Frames that went from node to node.
+    /// Number of frames sent between nodes.
     pub frames: u64,
-    /// The longest of them in bytes, where machines are many.
+    /// Size in bytes of the largest frame; measured in clusters of [`World::fleet`] size only.
+    ///
+    /// [`World::fleet`]: super::World::fleet
     pub longest_frame: usize,
-    /// (node, peer): links that were opened anew.
+    /// Pairs (node, peer) whose connection a node has reopened.
     pub reconnects: Vec<(usize, String)>,
-    /// Messages to other cells that have not been taken on yet.
+    /// Messages to other cells, by recipient, that have not been collected for delivery yet.
     pub cell_messages: Vec<(String, CellMessage)>,
 }
 
@@ -45,8 +48,8 @@
             partition: None,
             lose_replies: HashSet::new(),
             lag: HashMap::new(),
-            frame_ms: FRAME_MS,
-            direct_commands_ms: DIRECT_COMMANDS_MS,
+            frame_ms: FRAME_LATENCY_MS,
+            direct_commands_ms: DIRECT_COMMANDS_LATENCY_MS,
             frames: 0,
             longest_frame: 0,
             reconnects: Vec::new(),
--- a/tests/support/oracle.rs
+++ b/tests/support/oracle.rs
@@ -1,5 +1,5 @@
-//! The rules of the protocol, checked at each start of a task, each step of time
-//! and each answer to a user.
+//! The rules of the protocol, checked at each start of a task, at each tick and at each answer
+//! to a user.
 
 use super::recorded_attempts::attempts_of;
 use super::{Answer, CANCEL_MS, WorkerTask, World};
@@ -7,56 +7,59 @@
 use std::collections::{HashMap, HashSet};
 use woadlever::wire::workers::TaskState;
 
-/// Sums of decimal amounts may be off by this much.
-const QUOTA_SLACK: f64 = 1e-6;
-/// No more tasks of a job are checked for having been started.
-pub(super) const CHECKED_TASKS: u64 = 200;
+/// Tolerance for rounding errors in sums of CPUs or GPUs.
+const QUOTA_TOLERANCE: f64 = 1e-6;
+/// Maximum number of tasks per job that are checked for having been started.
+pub(super) const MAX_CHECKED_TASKS_PER_JOB: u64 = 200;
 
-/// What a team may use, and what its tasks use.
+/// Quota of a team and the resources that its tasks use.
 #[derive(Default)]
-struct TeamUse {
+struct TeamUsage {
     max_cpus: f64,
     max_gpus: f64,
-    /// Upper bounds: starts are added at once, ends are found by counting anew.
+    /// CPUs in use: an upper bound, because started tasks are added at once and ended tasks are
+    /// only removed by a recount.
     cpus: f64,
+    /// GPUs in use: an upper bound in the same way.
     gpus: f64,
 }
 
-impl TeamUse {
+impl TeamUsage {
     fn is_over_limit(&self) -> bool {
-        self.cpus > self.max_cpus + QUOTA_SLACK || self.gpus > self.max_gpus + QUOTA_SLACK
+        self.cpus > self.max_cpus + QUOTA_TOLERANCE || self.gpus > self.max_gpus + QUOTA_TOLERANCE
     }
 
-    /// Adds a task of the job.
+    /// Adds one task of a job with this description.
     fn add(&mut self, spec: &Value) {
         self.cpus += spec["cores"].as_f64().unwrap_or(0.0);
         self.gpus += spec["cards"].as_f64().unwrap_or(0.0);
     }
 }
 
-/// What has been started, and the rules that were broken.
+/// Task starts so far, and the rules that were broken.
 #[derive(Default)]
 pub struct Oracle {
-    /// Starts by task.
+    /// Number of starts of each task.
     pub starts: HashMap<String, u32>,
-    /// Rules that were broken, with the time and what broke them.
+    /// Violations of the rules, each with its time and cause.
     pub broken: Vec<String>,
-    /// Starts that were checked against the quota of their team.
+    /// Number of starts that were checked against the quota of their team.
     pub checked_starts: u64,
-    /// Alarms that the leader on a node has raised, as of the last step.
+    /// Number of quota alarms that each node had raised at the last tick.
     quota_alarms: HashMap<usize, u64>,
-    called_done: HashSet<String>,
-    /// By name of the team.
-    teams: HashMap<String, TeamUse>,
-    /// Tasks that started after their job's cancellation was confirmed: how long
-    /// after.
+    /// Jobs recorded as done whose tasks have been checked.
+    checked_done_jobs: HashSet<String>,
+    /// Usage by team name.
+    teams: HashMap<String, TeamUsage>,
+    /// Tasks that started after their job's cancellation was confirmed, and how many milliseconds
+    /// after it.
     pub late_starts: Vec<(String, u64)>,
     /// Tasks that have been started in other cells.
     pub elsewhere: HashSet<String>,
 }
 
 impl World {
-    /// The jobs that a job depends on, directly or through others.
+    /// Returns the jobs that a job depends on, directly or transitively.
     fn dependencies_of(&self, id: &str) -> Vec<String> {
         let mut found: Vec<String> = Vec::new();
         let mut unvisited = vec![id.to_string()];
@@ -74,33 +77,36 @@
         found
     }
 
-    /// Compares an answer to a user with what users were told before.
+    /// Checks an answer to a user against the statuses reported before.
     pub(super) fn check_answer(&mut self, answer: &Answer) {
         let body: Value = serde_json::from_str(&answer.body).unwrap_or_default();
         let (Some(id), Some(status)) = (body["name_id"].as_str(), body["status"].as_str()) else {
             return;
         };
-        if let Some(earlier) = self.users.told.get(id).filter(|earlier| *earlier != status) {
+        if let Some(earlier) =
+            self.users.reported_final_status.get(id).filter(|earlier| *earlier != status)
+        {
             self.oracle.broken.push(format!("{} went_back {id}: {earlier}, then {status}", self.now));
         }
         match status {
-            "queued" | "running" => self.check_called_unfinished(id),
-            "withdrawn" => self.check_called_cancelled(id),
+            "queued" | "running" => self.check_unfinished_answer(id),
+            "withdrawn" => self.check_cancelled_answer(id),
             _ => {
-                self.users.told.insert(id.into(), status.into());
+                self.users.reported_final_status.insert(id.into(), status.into());
             }
         }
     }
 
-    /// The job and all that it depends on.
+    /// Returns the job and all jobs that it depends on.
     fn with_dependencies(&self, id: &str) -> Vec<String> {
         let mut jobs = self.dependencies_of(id);
         jobs.push(id.to_string());
         jobs
     }
 
-    /// A job is not called unfinished long after it or a dependency was cancelled.
-    fn check_called_unfinished(&mut self, id: &str) {
+    /// Checks that a job isn't reported as unfinished more than [`CANCEL_MS`] after it or a
+    /// dependency was cancelled.
+    fn check_unfinished_answer(&mut self, id: &str) {
         let was_cancelled_long_ago =
             |job: &&String| self.users.cancelled.get(*job).is_some_and(|at| self.now > at + CANCEL_MS);
         if let Some(cancelled) = self.with_dependencies(id).iter().find(was_cancelled_long_ago) {
@@ -108,15 +114,16 @@
         }
     }
 
-    /// A job is called cancelled only if somebody asked to cancel it or a dependency.
-    fn check_called_cancelled(&mut self, id: &str) {
+    /// Checks that a job is reported as cancelled only if a user asked to cancel it or a
+    /// dependency, or a dependency is recorded as cancelled.
+    fn check_cancelled_answer(&mut self, id: &str) {
         let is_on_record = |job: &str| self.store.job(job).is_some_and(|record| record["s"] == "c");
         let was_cancelled =
             |job: &String| self.users.asked_to_cancel.contains(job) || is_on_record(job) && job != id;
         if !self.with_dependencies(id).iter().any(was_cancelled) {
             self.oracle.broken.push(format!("{} went_back {id}: nobody cancelled it", self.now));
         }
-        self.users.told.insert(id.into(), "withdrawn".into());
+        self.users.reported_final_status.insert(id.into(), "withdrawn".into());
         if self.users.asked_to_cancel.contains(id) {
             self.users.cancelled.entry(id.into()).or_insert(self.now);
         }
@@ -138,23 +145,25 @@
             self.oracle.broken.push(format!("{} wrong_place {job}/{task}", self.now));
         }
         self.check_quota(&spec, job, task);
-        // A look at all tasks of all machines for each start would take longer
-        // than the service itself.
+        // Checking all tasks of all machines at each start would take longer than the service
+        // itself.
         if !self.size.is_fleet() || self.oracle.starts.len().is_multiple_of(200) {
             self.check_zones(&spec, job, task);
         }
     }
 
-    /// Takes the teams' limits from the settings of the nodes.
-    pub(super) fn read_team_limits(&mut self) {
+    /// Reads the quotas of the teams from the settings of the nodes.
+    pub(super) fn load_team_limits(&mut self) {
         for team in self.platform_of(0).cluster.teams {
             let (max_cpus, max_gpus) = (team.cpus_max, team.gpus_max);
-            self.oracle.teams.insert(team.name, TeamUse { max_cpus, max_gpus, ..TeamUse::default() });
+            self.oracle
+                .teams
+                .insert(team.name, TeamUsage { max_cpus, max_gpus, ..TeamUsage::default() });
         }
     }
 
-    /// Checks what the team uses with the task that starts. Use grows by starts alone, so that
-    /// nothing is missed between two of them.
+    /// Checks the usage of the team, including the task that starts. Only starts increase the
+    /// usage, so a check at each start misses no violation.
     fn check_quota(&mut self, spec: &Value, job: &str, task: u32) {
         self.oracle.checked_starts += 1;
         let name = spec["crew"].as_str().unwrap_or_default();
@@ -163,7 +172,7 @@
         if !team.is_over_limit() {
             return;
         }
-        self.count_team_use(name);
+        self.recount_team_usage(name);
         let team = &self.oracle.teams[name];
         if team.is_over_limit() {
             let broken = format!(
@@ -174,9 +183,10 @@
         }
     }
 
-    /// Counts what a team's tasks use: each from when it has its image until it has ended or
-    /// its machine has, also on machines that hang or are cut off.
-    fn count_team_use(&mut self, name: &str) {
+    /// Recounts the resources that a team's tasks use. A task counts from the moment its image is
+    /// fetched until the task or its machine has ended, also on machines that hang or are
+    /// unreachable.
+    fn recount_team_usage(&mut self, name: &str) {
         let Some(team) = self.oracle.teams.get_mut(name) else { return };
         (team.cpus, team.gpus) = (0.0, 0.0);
         for worker in self.workers.iter().filter(|worker| worker.alive) {
@@ -198,9 +208,9 @@
     }
 
     fn check_runs_once(&mut self, worker: usize, job: &str, task: u32) {
-        let is_it = |other: &WorkerTask| other.task == task && other.job == job && other.runs();
+        let is_same_task = |other: &WorkerTask| other.task == task && other.job == job && other.runs();
         for (index, other) in self.workers.iter().enumerate() {
-            if index != worker && other.alive && other.tasks.iter().any(is_it) {
+            if index != worker && other.alive && other.tasks.iter().any(is_same_task) {
                 self.oracle.broken.push(format!("{} ran_twice {job}/{task}", self.now));
             }
         }
@@ -216,7 +226,8 @@
         }
     }
 
-    /// Checks the zones of a job's tasks.
+    /// Checks that the tasks of a job run in one zone, or are spread over the zones, if the job
+    /// demands it.
     fn check_zones(&mut self, spec: &Value, job: &str, task: u32) {
         let mut zones: HashMap<&str, u64> = HashMap::new();
         for worker in self.workers.iter().filter(|worker| worker.alive) {
@@ -227,13 +238,13 @@
             }
         }
         let (one_zone, spread) = (spec["one_zone"] == true, spec["scatter"] == true);
-        let most = spec["pieces"].as_u64().unwrap_or(0).div_ceil(2);
-        if one_zone && zones.len() > 1 || spread && zones.values().any(|count| *count > most) {
+        let max_per_zone = spec["pieces"].as_u64().unwrap_or(0).div_ceil(2);
+        if one_zone && zones.len() > 1 || spread && zones.values().any(|count| *count > max_per_zone) {
             self.oracle.broken.push(format!("{} wrong_place (zones) {job}/{task}", self.now));
         }
     }
 
-    /// Checks the rules that hold at any time.
+    /// Checks the rules that must hold at every tick.
     pub(super) fn check(&mut self) {
         self.check_cancelled_jobs_are_gone();
         self.check_done_jobs_were_started();
@@ -243,7 +254,8 @@
         self.oracle.broken.extend(broken);
     }
 
-    /// The leaders' own counts agree with what shard owners report, and with the limits.
+    /// Checks that no leader has raised a quota alarm: its own usage counts must agree with the
+    /// reports of the shard owners and with the limits.
     fn check_quota_alarms(&mut self) {
         for node in 0..self.node_count {
             let alarms = self.core(node).map_or(0, |core| core.statistics().quota_alarms);
@@ -256,24 +268,28 @@
 
     fn check_cancelled_jobs_are_gone(&mut self) {
         for (job, at) in &self.users.cancelled {
-            let is_there = |task: &WorkerTask| task.job == *job && task.state != TaskState::Exited;
+            let is_unfinished = |task: &WorkerTask| task.job == *job && task.state != TaskState::Exited;
             if self.now > at + CANCEL_MS
-                && self.workers.iter().any(|worker| worker.alive && worker.tasks.iter().any(is_there))
+                && self
+                    .workers
+                    .iter()
+                    .any(|worker| worker.alive && worker.tasks.iter().any(is_unfinished))
             {
                 self.oracle.broken.push(format!("{} ran_cancelled {job}", self.now));
             }
         }
     }
 
-    /// Starts only grow, so a job is checked once, when it is called done.
+    /// Checks that all tasks of a done job were started. The set of starts only grows, so each job
+    /// is checked once, when it is recorded as done.
     fn check_done_jobs_were_started(&mut self) {
         for (id, spec) in &self.users.jobs {
             let is_done = || self.store.job(id).is_some_and(|record| record["s"] == "d");
-            if self.oracle.called_done.contains(id) || !is_done() {
+            if self.oracle.checked_done_jobs.contains(id) || !is_done() {
                 continue;
             }
-            self.oracle.called_done.insert(id.clone());
-            for number in 0..spec["pieces"].as_u64().unwrap_or(0).min(CHECKED_TASKS) {
+            self.oracle.checked_done_jobs.insert(id.clone());
+            for number in 0..spec["pieces"].as_u64().unwrap_or(0).min(MAX_CHECKED_TASKS_PER_JOB) {
                 let task = format!("{id}/{number}");
                 if !self.oracle.starts.contains_key(&task) && !self.oracle.elsewhere.contains(&task) {
                     self.oracle.broken.push(format!("{} not_done {task}", self.now));
@@ -282,7 +298,7 @@
         }
     }
 
-    /// Ends the test if a rule was broken.
+    /// Panics if a rule was broken.
     pub fn assert_rules_kept(&self) {
         assert!(
             self.oracle.broken.is_empty(),
@@ -296,7 +312,7 @@
         self.oracle.starts.values().all(|starts| *starts == 1)
     }
 
-    /// Tasks on machines that are on no placement record.
+    /// Returns the unfinished tasks on machines that no placement record lists.
     pub fn off_record(&self) -> Vec<String> {
         let recorded = self.recorded_attempts();
         let mut found = Vec::new();
@@ -310,7 +326,7 @@
         found
     }
 
-    /// Machines and attempts on placement records.
+    /// Returns the machines and attempts that the placement records list.
     fn recorded_attempts(&self) -> HashSet<(String, u64)> {
         let records = self.store.records_under("place/");
         records.flat_map(|(_, record)| attempts_of(&record.value)).collect()
--- a/tests/support/production.rs
+++ b/tests/support/production.rs
@@ -1,6 +1,6 @@
-//! The state in which the version in production leaves a cluster.
+//! A cluster in the state that the production version of the service leaves behind.
 
-use super::oracle::CHECKED_TASKS;
+use super::oracle::MAX_CHECKED_TASKS_PER_JOB;
 use super::settings::{AnnouncedLimits, Size};
 use super::store::{Lease, StoredRecord};
 use super::{LARGE_RATES, WorkerTask, World};
@@ -9,12 +9,12 @@
 use woadlever::wire::workers::WorkerHeartbeat;
 
 const NODES: usize = 3;
-/// Leases on record last so long from the start of the world.
+/// Duration of the restored leases, counted from the start of the test.
 const LEASE_TTL_MS: u64 = 5_000;
 
 impl World {
-    /// As the version in production left it, with all processes new: its
-    /// records, and its machines in the midst of their tasks.
+    /// Creates a cluster from a snapshot of the production version: with its store records, with
+    /// machines that are still running its tasks, and with new controller processes.
     pub fn from_production(seed: u64, announced: AnnouncedLimits) -> World {
         let text = include_str!("../fixtures/production.json");
         let fixture: Value = serde_json::from_str(text).expect("fixture");
@@ -36,7 +36,7 @@
         world
     }
 
-    /// Records and the leases they hang on.
+    /// Restores the store records and the leases they are attached to.
     fn restore_store(&mut self, fixture: &Value) {
         self.store.revision = number(&fixture["revision"]);
         self.store.floor = self.store.revision;
@@ -51,13 +51,13 @@
             let record = StoredRecord { value: value.clone(), version: number(version), lease };
             let key = key.as_str().unwrap();
             if key.starts_with("place/") {
-                self.store.recorded_attempts.note_existing(&record.value);
+                self.store.recorded_attempts.add_existing(&record.value);
             }
             self.store.records.insert(key.into(), record);
         }
     }
 
-    /// A worker that goes on with its incarnation and its tasks.
+    /// Restores a worker that continues with its incarnation and its tasks.
     fn restore_worker(&mut self, index: usize, fixture: &Value) {
         let heartbeat: WorkerHeartbeat = serde_json::from_value(fixture.clone()).expect("worker");
         self.add_worker(index, &heartbeat.zone, heartbeat.spot, 0);
@@ -80,14 +80,14 @@
         }
     }
 
-    /// A job, with what its records say was asked and done.
+    /// Restores a job, with the cancellations and task starts that follow from its records.
     fn restore_job(&mut self, id: &str, spec: &Value) {
         self.users.jobs.insert(id.into(), spec.clone());
         if self.store.job(id).is_some_and(|record| record["s"] == "c") {
             self.users.asked_to_cancel.insert(id.into());
         }
         if self.store.value(&format!("progress/{id}/0")).is_some() {
-            let tasks = (0..CHECKED_TASKS).map(|task| (format!("{id}/{task}"), 1));
+            let tasks = (0..MAX_CHECKED_TASKS_PER_JOB).map(|task| (format!("{id}/{task}"), 1));
             self.oracle.starts.extend(tasks);
         }
     }
--- a/tests/support/recorded_attempts.rs
+++ b/tests/support/recorded_attempts.rs
@@ -1,18 +1,19 @@
-//! Which attempts have been recorded, and under which leader.
+//! Checks that every attempt is first recorded under the leader that admitted it.
 //!
-//! A leader counts what it admits and what is on record when its term begins. So an attempt
-//! may be recorded for the first time only while the leader that admitted it leads.
+//! A leader counts the attempts that it admits and those on record when its term begins. An
+//! attempt of an earlier leader that is recorded only later would not be counted. So an attempt
+//! may be recorded for the first time only during the term of the leader that admitted it.
 
 use serde_json::Value;
 use std::collections::HashSet;
 use woadlever::wire::store::{CompareAndSwap, Mutation};
 
-/// The number of an attempt has its leader's term above these bits.
+/// Number of low bits of an attempt number; the bits above them hold the leader's term.
 const ATTEMPT_BITS_PER_TERM: u32 = 20;
-/// Numbers of a row for each attempt: the job's row, the task, the attempt.
+/// Numbers per attempt in a machine's row: the job's row, the task, the attempt.
 const NUMBERS_PER_ATTEMPT: usize = 3;
 
-/// All attempts that have ever been on a placement record.
+/// All attempts that have ever been listed in a placement record.
 #[derive(Default)]
 pub struct RecordedAttempts {
     known: HashSet<u64>,
@@ -20,13 +21,13 @@
 }
 
 impl RecordedAttempts {
-    /// Takes in a record that some other process has written.
-    pub(super) fn note_existing(&mut self, record: &Value) {
+    /// Adds the attempts of a record that exists before the test starts.
+    pub(super) fn add_existing(&mut self, record: &Value) {
         self.known.extend(attempts_of(record).into_iter().map(|(_, attempt)| attempt));
     }
 
-    /// Takes in a write that is carried out.
-    pub(super) fn note_write(&mut self, write: &CompareAndSwap) {
+    /// Adds the attempts of a write that is being committed, and checks the new ones.
+    pub(super) fn add_write(&mut self, write: &CompareAndSwap) {
         let leader = write.compares.iter().find(|compare| compare.key == "w/leader");
         for mutation in &write.mutations {
             let Mutation::Put { key, value, .. } = mutation else { continue };
@@ -45,13 +46,14 @@
         }
     }
 
-    /// What was recorded that the present leader had not admitted, since the last call.
+    /// Takes the violations found since the last call: attempts that were first recorded under a
+    /// leader that had not admitted them.
     pub(super) fn take_unadmitted(&mut self) -> Vec<String> {
         std::mem::take(&mut self.unadmitted)
     }
 }
 
-/// Machines and attempts that a placement record lists.
+/// Returns the machines and attempts that a placement record lists.
 pub(super) fn attempts_of(record: &Value) -> Vec<(String, u64)> {
     let mut listed = Vec::new();
     let base = record["b"].as_u64().expect("the smallest attempt");
--- a/tests/support/recorder.rs
+++ b/tests/support/recorder.rs
@@ -1,11 +1,11 @@
-//! Records what the controllers of a world put out, to compare the behaviour of two
-//! versions (`scripts/compare-behaviour`).
+//! Records digests of the controllers' outputs, to compare the behaviour of two versions
+//! (`scripts/compare-behaviour`).
 //!
-//! With the variable `OUTPUT_DIGESTS=FILE` set, each world appends one line to the file
-//! when it is dropped: a 64-bit digest of all outputs of its controllers and the name of
-//! its test. Outputs are digested in their wire form, so that renaming types, fields or
-//! functions can't change a digest. Numbers of calls and requests are left out, and the
-//! outputs of one step are sorted: their order within a step has no meaning.
+//! If the environment variable `OUTPUT_DIGESTS=FILE` is set, each `World` appends one line to
+//! the file when it is dropped: a 64-bit digest of all outputs of its controllers and the name
+//! of its test. Outputs are digested in their wire encoding, so that renaming types, fields or
+//! functions can't change a digest. The ids of calls and requests are left out, and the outputs
+//! of one step are sorted, because their order within a step has no meaning.
 
 use std::fs::OpenOptions;
 use std::hash::{DefaultHasher, Hasher};
@@ -13,20 +13,20 @@
 use std::path::PathBuf;
 use woadlever::core::{CloudRequest, Output, StoreRequest};
 
-const FILE_VARIABLE: &str = "OUTPUT_DIGESTS";
+const DIGEST_FILE_VARIABLE: &str = "OUTPUT_DIGESTS";
 
-/// The digest of one world's outputs.
+/// The digest of the outputs of one `World`.
 pub struct Recorder {
     file: PathBuf,
     test: String,
-    /// SipHash with fixed keys: the same for the same bytes in every process.
+    /// SipHash with fixed keys, which gives the same digest for the same bytes in every process.
     digest: DefaultHasher,
 }
 
 impl Recorder {
-    /// A recorder for the running test, if digests are asked for.
+    /// Returns a recorder for the running test if the environment variable is set.
     pub fn from_env() -> Option<Recorder> {
-        let file = PathBuf::from(std::env::var_os(FILE_VARIABLE)?);
+        let file = PathBuf::from(std::env::var_os(DIGEST_FILE_VARIABLE)?);
         let thread = std::thread::current();
         let test = format!("{}::{}", env!("CARGO_CRATE_NAME"), thread.name().unwrap_or("unnamed"));
         Some(Recorder { file, test, digest: DefaultHasher::new() })
@@ -55,7 +55,7 @@
     }
 }
 
-/// One output as it goes over the wire, told from the other kinds by its first word.
+/// Encodes an output as on the wire, prefixed with its kind.
 fn encode(output: &Output) -> Vec<u8> {
     let (kind, bytes) = match output {
         Output::Answer { answer, .. } => {
--- a/tests/support/settings.rs
+++ b/tests/support/settings.rs
@@ -4,21 +4,21 @@
 use serde_json::{Value, json};
 use woadlever::config::Platform;
 
-/// How large a world is, and with it how rare its heartbeats are.
+/// Size of a simulated cluster, which determines the heartbeat interval and the settings.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Size {
     /// A few machines.
     Small,
-    /// Hundreds of machines, at a low rate of mutations.
+    /// Hundreds of machines, with a low limit on the rate of mutations.
     Large,
     /// Thousands of machines.
     Fleet,
-    /// A hundred machines or more, with teams that take all of them at their limits.
+    /// A hundred machines or more, all of them used by teams that are at their limits.
     Pinned(PinnedTeams),
 }
 
 impl Size {
-    /// Whether workers send a heartbeat every three seconds, and not every eight.
+    /// Whether workers send a heartbeat every three seconds instead of every eight.
     pub fn has_frequent_heartbeats(self) -> bool {
         matches!(self, Size::Small | Size::Pinned(PinnedTeams { is_fleet: false, .. }))
     }
@@ -29,36 +29,38 @@
     }
 }
 
-/// Teams of equal limits, `t0` and so on.
+/// Teams with equal quotas, named `t0`, `t1` and so on.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct PinnedTeams {
-    /// How many.
+    /// Number of teams.
     pub count: u32,
-    /// What each is guaranteed.
+    /// CPUs that each team is guaranteed.
     pub cpus: u32,
-    /// What each may use at most.
+    /// CPUs that each team may use at most.
     pub cpus_max: u32,
-    /// Whether heartbeats are as rare, and the store as fast, as with thousands of machines.
+    /// Whether the heartbeat interval and the rate limits of the store are those for thousands of
+    /// machines.
     pub is_fleet: bool,
 }
 
-/// Limits of the store that the settings announce.
+/// Lower limits of the store that the settings announce.
 #[derive(Debug, Clone, Copy)]
 pub struct AnnouncedLimits {
-    /// Length of a value.
+    /// Maximum length of a value.
     pub value_kb: f64,
-    /// Mutations in one compare-and-swap.
+    /// Maximum number of mutations in one compare-and-swap.
     pub mutations: usize,
-    /// Mutations a second.
+    /// Maximum number of mutations per second.
     pub mutations_per_s: f64,
 }
 
-/// The platform settings of one node of a small world.
+/// Returns the platform settings of one node of a cluster of [`Size::Small`].
 pub fn platform(node: usize, nodes: usize) -> Platform {
     Platform::parse("test.toml", &settings(node, nodes)).expect("settings")
 }
 
-/// The platform settings of one node of a world of any size.
+/// Returns the platform settings of one node of a cluster of any size, with the announced limits
+/// of the store if there are any.
 pub fn sized_platform(
     size: Size,
     node: usize,
@@ -79,8 +81,8 @@
     Platform::parse("test.toml", &text).expect("settings")
 }
 
-/// The same for hundreds of machines: large teams, few mutations a second, and rare
-/// heartbeats.
+/// Settings for hundreds of machines: large team quotas, few mutations per second, and a long
+/// heartbeat interval.
 fn large_settings(node: usize, nodes: usize) -> String {
     settings(node, nodes)
         .replace("report_s=3.0", "report_s=8.0")
@@ -89,7 +91,7 @@
         .replace("rps=500.0", "rps=150.0")
 }
 
-/// The same for thousands of machines, whose work no team's quota limits.
+/// Settings for thousands of machines, with team quotas that do not limit their use.
 fn fleet_settings(node: usize, nodes: usize) -> String {
     settings(node, nodes)
         .replace("report_s=3.0", "report_s=8.0")
@@ -100,7 +102,7 @@
         .replace("max_connections=800", "max_connections=7000")
 }
 
-/// The same for teams that are at their limits, at the operators' rates.
+/// Settings for teams that are at their limits, with the rate limits of the operators' store.
 fn pinned_settings(node: usize, nodes: usize, teams: PinnedTeams) -> String {
     let text = if teams.is_fleet {
         fleet_settings(node, nodes)
@@ -121,6 +123,7 @@
     format!("{head}{listed}[cluster.workers]{tail}")
 }
 
+/// Settings for a few machines.
 fn settings(node: usize, nodes: usize) -> String {
     let mut text = format!(
         "host_name=\"n{node}\"\ndomain=\"{}\"\nbind=\"127.0.0.1:1\"\ninternal_addr=\"127.0.0.1:2\"\n",
@@ -142,8 +145,8 @@
     text
 }
 
-/// The submission of a batch job of normal priority: `run-` and the number, tasks of four
-/// cores and 4 GB that may run anywhere.
+/// Returns the submission of a batch job of normal priority with the id `run-{id}`, whose tasks
+/// use four cores and 4 GB and may run on any machine.
 pub fn job(id: u32, team: &str, tasks: u32, run_s: f64) -> Value {
     json!({"name_id": format!("run-{id:06}"), "jobclass": "c", "crew": team, "shape": "batch",
         "urgency": "normal", "pieces": tasks, "cores": 4.0, "cards": 0.0, "memory_gb": 4.0,
--- a/tests/support/store.rs
+++ b/tests/support/store.rs
@@ -1,5 +1,5 @@
-//! A fake of the key-value store, written from the protocol: records, leases, watches, and
-//! the limits that the store puts on calls.
+//! In-memory fake of the key-value store, written from the protocol: records, leases, watches,
+//! and the limits that the store places on calls.
 
 use super::events::Call;
 use super::recorded_attempts::RecordedAttempts;
@@ -12,42 +12,46 @@
     CompareAndSwap, Event as ChangeEvent, KeyValue, Mutation, Page, WatchAnswer,
 };
 
-/// Limits of one compare-and-swap.
+/// Maximum size of one compare-and-swap.
 const MAX_TRANSACTION_BYTES: usize = 64 << 10;
+/// Maximum size of one value.
 const MAX_VALUE_BYTES: usize = 8 << 10;
+/// Maximum number of mutations in one compare-and-swap.
 const MAX_MUTATIONS: usize = 12;
+/// Compares allowed in one compare-and-swap per allowed mutation.
 const COMPARES_PER_MUTATION: usize = 4;
 const BYTES_PER_KB: f64 = 1024.0;
-/// Pages are small, so that every scenario pages.
-const USUAL_PAGE_SIZE: usize = 20;
+/// Items on a page of a list. Pages are small, so that every scenario has to page.
+const DEFAULT_PAGE_SIZE: usize = 20;
 
-/// A record under its key.
+/// A record in the store.
 #[derive(Debug, Clone, PartialEq)]
 pub struct StoredRecord {
-    /// What was written.
+    /// The stored value.
     pub value: Value,
-    /// The revision that wrote it.
+    /// The revision that last wrote the record.
     pub version: u64,
-    /// The lease at whose end the record goes.
+    /// The lease that the record is attached to; the record is deleted when it ends.
     pub lease: Option<u64>,
 }
 
-/// A lease that is open.
+/// An open lease.
 pub(super) struct Lease {
     pub(super) ttl_ms: u64,
     pub(super) ends_at: u64,
 }
 
-/// Calls and mutations that the store takes on in a second.
+/// Rate limits of the store.
 #[derive(Debug, Clone, Copy)]
 pub struct StoreRates {
-    /// Calls a second.
+    /// Maximum number of calls per second.
     pub requests: f64,
-    /// Mutations a second.
+    /// Maximum number of mutations per second.
     pub mutations: f64,
 }
 
-/// What is left of the rates, as of a time.
+/// Token buckets that enforce the rate limits: the remaining tokens, and the time as of which
+/// they remain.
 #[derive(Default)]
 struct TokenBuckets {
     requests: f64,
@@ -55,17 +59,17 @@
     as_of: u64,
 }
 
-/// Limits of the store that have fallen below the usual ones.
+/// Limits of the store that are lower than the default ones.
 #[derive(Debug, Clone, Copy)]
 pub struct LoweredLimits {
-    /// Length of a value.
+    /// Maximum length of a value.
     pub value_kb: f64,
-    /// Mutations in one compare-and-swap.
+    /// Maximum number of mutations in one compare-and-swap.
     pub mutations: usize,
 }
 
 impl LoweredLimits {
-    fn is_too_long(&self, mutation: &Mutation) -> bool {
+    fn is_oversized(&self, mutation: &Mutation) -> bool {
         match mutation {
             Mutation::Put { value, .. } => value.len() as f64 > self.value_kb * BYTES_PER_KB,
             Mutation::Delete { .. } => false,
@@ -78,11 +82,11 @@
     pub(super) call: Call,
     pub(super) prefix: String,
     pub(super) since: u64,
-    /// When it ends without one.
+    /// Time at which the watch expires if there is no change.
     pub(super) until: u64,
 }
 
-/// Records, leases and watches of the store, with its limits.
+/// The store: its records, leases, watches and limits.
 #[derive(Default)]
 pub struct Store {
     /// Records by key.
@@ -91,45 +95,46 @@
     pub revision: u64,
     pub(super) leases: HashMap<u64, Lease>,
     pub(super) last_lease: u64,
+    /// All changes, in the order of their revisions.
     log: Vec<ChangeEvent>,
-    /// Changes up to this revision are no longer kept.
+    /// Compacted revision: watches from an earlier revision than this fail.
     pub floor: u64,
-    /// Whether it carries out nothing at all.
+    /// Whether the store is down and executes no calls at all.
     pub down: bool,
-    /// Nodes whose calls it doesn't carry out.
+    /// Nodes whose calls the store refuses.
     pub refuses: HashSet<usize>,
     pub(super) watches: Vec<PendingWatch>,
-    /// Mutations carried out so far.
+    /// Number of mutations committed so far.
     pub writes: u64,
-    /// Calls that reached the store, watches included.
+    /// Number of calls that reached the store, watches included.
     pub requests: u64,
-    /// Rates with bursts of a second's worth; none: not enforced.
+    /// Rate limits, with bursts of up to one second's worth; `None` if they are not enforced.
     pub rates: Option<StoreRates>,
     buckets: TokenBuckets,
-    /// Calls refused because a rate was exceeded.
+    /// Number of calls refused because a rate limit was exceeded.
     pub refused: u64,
-    /// The limits, once they have fallen.
+    /// The lowered limits, once they are in effect.
     pub lowered_limits: Option<LoweredLimits>,
-    /// Keys of values rejected for their length since then.
+    /// Keys of the values that were rejected as too long since the limits were lowered.
     pub rejected: Vec<String>,
-    /// Attempts on placement records, also former ones.
+    /// Attempts that are or were listed in placement records.
     pub(super) recorded_attempts: RecordedAttempts,
-    /// Items on a page; none: the usual number.
+    /// Items on a page of a list; `None` for [`DEFAULT_PAGE_SIZE`].
     pub page_size: Option<usize>,
 }
 
 impl Store {
-    /// The value on record under a key.
+    /// Returns the value stored under a key.
     pub fn value(&self, key: &str) -> Option<&Value> {
         self.records.get(key).map(|record| &record.value)
     }
 
-    /// The value on record of a job.
+    /// Returns the stored record of a job.
     pub fn job(&self, id: &str) -> Option<&Value> {
         self.value(&format!("w/job/{id}"))
     }
 
-    /// Records whose keys begin with the prefix, in the order of their keys.
+    /// Returns the records whose keys begin with the prefix, in key order.
     pub fn records_under<'a>(
         &'a self,
         prefix: &'a str,
@@ -137,8 +142,9 @@
         self.records.iter().filter(move |(key, _)| key.starts_with(prefix))
     }
 
-    /// Whether the store has to answer 429.
-    pub(super) fn over_rate(&mut self, now: u64, request: &StoreRequest) -> bool {
+    /// Returns whether the call exceeds a rate limit, so that the store has to answer 429; if not,
+    /// takes its tokens.
+    pub(super) fn is_rate_limited(&mut self, now: u64, request: &StoreRequest) -> bool {
         let Some(rates) = self.rates else { return false };
         let buckets = &mut self.buckets;
         let passed_s = (now - buckets.as_of) as f64 / 1000.0;
@@ -158,7 +164,7 @@
         false
     }
 
-    /// Writes a record as some other process would.
+    /// Writes a record as a process outside the cluster would.
     pub fn put_record(&mut self, key: &str, value: Value) {
         self.revision += 1;
         self.put(key, value, None);
@@ -185,10 +191,10 @@
         self.records.remove(key);
     }
 
-    /// Ends the leases whose time is over.
-    pub(super) fn expire(&mut self, now: u64) {
+    /// Ends the leases that have expired. While the store is down, none expires.
+    pub(super) fn expire_leases(&mut self, now: u64) {
         if self.down {
-            // After an outage every lease has its full time again.
+            // Every lease starts again with its full duration after an outage.
             for lease in self.leases.values_mut() {
                 lease.ends_at = now + lease.ttl_ms;
             }
@@ -212,24 +218,24 @@
         }
     }
 
-    /// Carries out a write if its compares hold.
+    /// Commits a write if its compares hold.
     pub(super) fn compare_and_swap(&mut self, write: &CompareAndSwap) -> StoreResponse {
         let version_of = |key: &String| self.records.get(key).map_or(0, |record| record.version);
         let failed_compares =
             write.compares.iter().filter(|compare| version_of(&compare.key) != compare.version);
         let failed: Vec<String> = failed_compares.map(|compare| compare.key.clone()).collect();
-        if write.mutations.iter().any(|mutation| self.names_ended_lease(mutation)) {
+        if write.mutations.iter().any(|mutation| self.refers_to_ended_lease(mutation)) {
             return StoreResponse::LeaseNotFound;
         }
         if !failed.is_empty() {
             return StoreResponse::Conflict(failed);
         }
-        if let Some(key) = self.too_long_value(write) {
+        if let Some(key) = self.oversized_value(write) {
             self.rejected.push(key);
             return StoreResponse::Malformed;
         }
         self.check_limits(write);
-        self.recorded_attempts.note_write(write);
+        self.recorded_attempts.add_write(write);
         self.revision += 1;
         self.writes += write.mutations.len() as u64;
         for mutation in &write.mutations {
@@ -238,23 +244,23 @@
         StoreResponse::Committed { revision: self.revision }
     }
 
-    fn names_ended_lease(&self, mutation: &Mutation) -> bool {
+    fn refers_to_ended_lease(&self, mutation: &Mutation) -> bool {
         matches!(mutation, Mutation::Put { lease: Some(lease), .. } if !self.leases.contains_key(lease))
     }
 
-    /// The key of the first value that is too long for the lowered limits. A write of too
-    /// many bytes in all ends the test.
-    fn too_long_value(&self, write: &CompareAndSwap) -> Option<String> {
+    /// Returns the key of the first value that is too long for the lowered limits. Panics if the
+    /// whole write exceeds [`MAX_TRANSACTION_BYTES`].
+    fn oversized_value(&self, write: &CompareAndSwap) -> Option<String> {
         let bytes = serde_json::to_string(write).map_or(0, |json| json.len());
         assert!(bytes <= MAX_TRANSACTION_BYTES, "transaction of {bytes} bytes");
         let limits = self.lowered_limits?;
-        match write.mutations.iter().find(|mutation| limits.is_too_long(mutation)) {
+        match write.mutations.iter().find(|mutation| limits.is_oversized(mutation)) {
             Some(Mutation::Put { key, .. }) => Some(key.clone()),
             _ => None,
         }
     }
 
-    /// Ends the test if a write has too many compares or mutations.
+    /// Panics if a write has too many compares or mutations.
     fn check_limits(&self, write: &CompareAndSwap) {
         let (compares, mutations) = (write.compares.len(), write.mutations.len());
         if let Some(limits) = self.lowered_limits {
@@ -280,7 +286,7 @@
         }
     }
 
-    /// Carries out any request but a watch.
+    /// Executes any request except a watch.
     pub(super) fn run(&mut self, now: u64, request: &StoreRequest) -> StoreResponse {
         match request {
             StoreRequest::Get(key) => self.get(key),
@@ -304,7 +310,7 @@
                 self.end_lease(*id);
                 StoreResponse::Committed { revision: 0 }
             }
-            StoreRequest::Watch { .. } => unreachable!("watches are kept by the world"),
+            StoreRequest::Watch { .. } => unreachable!("watches are queued by the event loop"),
         }
     }
 
@@ -315,9 +321,9 @@
         }
     }
 
-    /// A page of at most `most` records under the prefix, after the key `since`.
+    /// Returns a page of at most `most` records under the prefix, after the key `since`.
     fn list(&self, prefix: &str, since: Option<&String>, most: usize) -> StoreResponse {
-        let page_size = self.page_size.unwrap_or(USUAL_PAGE_SIZE).min(most);
+        let page_size = self.page_size.unwrap_or(DEFAULT_PAGE_SIZE).min(most);
         let from = match since {
             Some(key) => Bound::Excluded(key.clone()),
             None => Bound::Included(prefix.to_string()),
@@ -334,7 +340,7 @@
         StoreResponse::Page(Page { items, more, revision: self.revision })
     }
 
-    /// The answer to a watch, if there is something to tell.
+    /// Returns the answer to a watch if there are changes since `since` or they are compacted.
     pub(super) fn watch(&self, prefix: &str, since: u64) -> Option<StoreResponse> {
         if since < self.floor {
             return Some(StoreResponse::Compacted);
--- a/tests/support/store_faults.rs
+++ b/tests/support/store_faults.rs
@@ -1,38 +1,40 @@
-//! Faults of the calls to the store.
+//! Faults that tests inject into calls to the store.
 
 use std::collections::HashMap;
 use woadlever::core::StoreRequest;
 use woadlever::wire::store::{CompareAndSwap, Mutation};
 
-/// What becomes of a write that a scenario picks out.
+/// Fault injected into a write that a test selects.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Fate {
-    /// No answer; carried out when the scenario says so.
+    /// The outcome is unknown to the caller; the write is held until the test applies it.
     Late,
-    /// Carried out at once, and only its answer is lost.
+    /// The write is executed at once, and only its answer is lost.
     AnswerLost,
 }
 
-const TIMEOUT_MS: u64 = 2_000;
+/// Time-out of a call, unless a test sets [`StoreFaults::timeout_ms`].
+const DEFAULT_TIMEOUT_MS: u64 = 2_000;
 
-/// What goes wrong with calls to the store.
+/// Faults of calls to the store.
 pub struct StoreFaults {
-    /// Share of writes whose answer is lost, and that run late.
+    /// Fraction of writes whose answer is lost and which the store executes late.
     pub loss: f64,
-    /// Nodes whose calls take so long.
+    /// Additional delay in milliseconds of all calls of a node.
     pub slow: HashMap<usize, u64>,
-    /// Nodes whose watches are answered so much later.
+    /// Additional delay in milliseconds of the answers to a node's watches.
     pub slow_watch: HashMap<usize, u64>,
-    /// Nodes whose writes are under way so long, and arrive then whatever has become of
-    /// the node's connection.
+    /// Additional delay in milliseconds of a node's writes. They still arrive after it, whatever
+    /// has become of the node's connection.
     pub slow_writes: HashMap<usize, u64>,
-    /// When a call without an answer is given up: at the end of its time, or sooner where
-    /// the connection is reset.
+    /// Time after which the caller of a selected write learns that its outcome is unknown: the
+    /// time-out of the call, or less if the connection is reset.
     pub timeout_ms: u64,
-    /// Writes of this node that change a key beginning so, and their fate.
+    /// Selects the writes of a node that change a key with a prefix, and the fault they get.
     pub pick: Option<(usize, String, Fate)>,
-    /// Writes picked out so far, and those of them still under way.
+    /// Number of writes selected so far.
     pub picked: usize,
+    /// Selected writes that are held until the test applies them.
     pub(super) held: Vec<CompareAndSwap>,
 }
 
@@ -43,7 +45,7 @@
             slow: HashMap::new(),
             slow_watch: HashMap::new(),
             slow_writes: HashMap::new(),
-            timeout_ms: TIMEOUT_MS,
+            timeout_ms: DEFAULT_TIMEOUT_MS,
             pick: None,
             picked: 0,
             held: Vec::new(),
@@ -52,7 +54,7 @@
 }
 
 impl StoreFaults {
-    /// The fate of a request, if a scenario has picked it out.
+    /// Returns the fault of a request if it is a selected write, and counts it.
     pub(super) fn fate_of(&mut self, node: usize, request: &StoreRequest) -> Option<Fate> {
         let (_, prefix, fate) = self.pick.as_ref().filter(|pick| pick.0 == node)?;
         let StoreRequest::CompareAndSwap(write) = request else { return None };
@@ -64,8 +66,8 @@
         Some(fate)
     }
 
-    /// How long a request of a node is delayed.
-    pub(super) fn delay_of(&self, node: usize, request: &StoreRequest) -> u64 {
+    /// Returns the additional delay of a request of a node.
+    pub(super) fn delay_ms_of(&self, node: usize, request: &StoreRequest) -> u64 {
         let slow = self.slow.get(&node).copied().unwrap_or(0);
         if matches!(request, StoreRequest::CompareAndSwap(_)) {
             slow + self.slow_writes.get(&node).copied().unwrap_or(0)
--- a/tests/support/users.rs
+++ b/tests/support/users.rs
@@ -1,4 +1,4 @@
-//! What users do: submissions, questions, cancellations, and the answers to them.
+//! Simulated users: their submissions, status queries and cancellations, and the answers.
 
 use super::{Answer, World};
 use serde_json::Value;
@@ -6,21 +6,21 @@
 use woadlever::core::{HttpRequest, Input};
 use woadlever::wire::workers::WorkerHeartbeat;
 
-/// Numbers of requests begin here, above all numbers of calls.
-const FIRST_REQUEST: u64 = 1 << 40;
+/// The first request id; request ids are above all call numbers.
+const FIRST_REQUEST_ID: u64 = 1 << 40;
 
-/// What users have asked for and were told.
+/// Requests of users and the answers to them.
 pub struct Users {
-    /// Jobs as submitted.
+    /// Submitted jobs by id.
     pub jobs: HashMap<String, Value>,
-    /// Answers to users, by number of the request.
+    /// Answers to users, by request id.
     pub answers: HashMap<u64, Answer>,
-    next_request: u64,
-    /// What users were last told of jobs that are over.
-    pub(super) told: HashMap<String, String>,
-    /// Jobs that some user asked to cancel.
+    next_request_id: u64,
+    /// Status last reported to users of jobs that have ended, by job id.
+    pub(super) reported_final_status: HashMap<String, String>,
+    /// Jobs that a user asked to cancel.
     pub asked_to_cancel: HashSet<String>,
-    /// When the cancellation of a job was confirmed.
+    /// Time at which the cancellation of a job was confirmed.
     pub cancelled: HashMap<String, u64>,
 }
 
@@ -29,8 +29,8 @@
         Users {
             jobs: HashMap::new(),
             answers: HashMap::new(),
-            next_request: FIRST_REQUEST,
-            told: HashMap::new(),
+            next_request_id: FIRST_REQUEST_ID,
+            reported_final_status: HashMap::new(),
             asked_to_cancel: HashSet::new(),
             cancelled: HashMap::new(),
         }
@@ -38,30 +38,31 @@
 }
 
 impl Users {
-    /// The number of the next request.
-    pub(super) fn number_request(&mut self) -> u64 {
-        let number = self.next_request;
-        self.next_request += 1;
-        number
+    /// Returns a new request id.
+    pub(super) fn next_request_id(&mut self) -> u64 {
+        let id = self.next_request_id;
+        self.next_request_id += 1;
+        id
     }
 }
 
 impl World {
-    /// A user's request to one node; the answer shows up in `answers`.
+    /// Sends a user's request to one node and returns the request id, under which the answer
+    /// appears in [`Users::answers`].
     pub fn ask(&mut self, node: usize, request: HttpRequest) -> u64 {
-        let request_id = self.users.number_request();
+        let request_id = self.users.next_request_id();
         self.step(node, Input::Http { request_id, request });
         request_id
     }
 
-    /// Submits a job to one node; the number of the request.
+    /// Submits a job to one node and returns the request id.
     pub fn submit(&mut self, node: usize, body: &Value) -> u64 {
         let id = body["name_id"].as_str().unwrap_or("").to_string();
         self.users.jobs.entry(id).or_insert(body.clone());
         self.ask(node, HttpRequest::Submit(body.to_string().into_bytes()))
     }
 
-    /// Submits a job to one node until it is accepted; ends the test after a minute.
+    /// Submits a job to one node until it is accepted; panics after a minute of simulated time.
     pub fn accept(&mut self, node: usize, body: &Value) {
         for _ in 0..60 {
             let request = self.submit(node, body);
@@ -74,22 +75,22 @@
         panic!("not accepted: {body}");
     }
 
-    /// What a node says of a job's state: its status, the HTTP status of an answer without
-    /// one, or "none" if there is no answer in time.
+    /// Returns the status of a job that a node reports, the HTTP status if the answer contains no
+    /// job status, or "none" if there is no answer in time.
     pub fn status(&mut self, node: usize, id: &str) -> String {
         let request = self.ask(node, HttpRequest::Status(id.into()));
         self.run(300);
         self.status_answered(request)
     }
 
-    /// The same of a request that was made before.
+    /// Returns the same as [`World::status`] for a request that was sent before.
     pub fn status_answered(&self, request: u64) -> String {
         let Some(answer) = self.users.answers.get(&request) else { return "none".into() };
         let body: Value = serde_json::from_str(&answer.body).unwrap_or_default();
         body["status"].as_str().map_or(answer.status.to_string(), str::to_string)
     }
 
-    /// Lets the time pass until a job is done; false if it isn't within the limit.
+    /// Advances simulated time until a job is done. Returns whether it is done within the limit.
     pub fn until_done(&mut self, id: &str, limit_ms: u64) -> bool {
         let end = self.now + limit_ms;
         while self.now < end {
@@ -101,7 +102,7 @@
         false
     }
 
-    /// A user cancels a job at one node; the HTTP status of the answer, 0 without one.
+    /// Cancels a job at one node. Returns the HTTP status of the answer, or 0 without an answer.
     pub fn cancel(&mut self, node: usize, id: &str) -> u16 {
         self.users.asked_to_cancel.insert(id.into());
         let request = self.ask(node, HttpRequest::Cancel(id.into()));
@@ -113,9 +114,9 @@
         answer.status
     }
 
-    /// A heartbeat that was under way for a long time reaches a node after all.
+    /// Delivers a delayed heartbeat to a node.
     pub fn late_heartbeat(&mut self, node: usize, heartbeat: WorkerHeartbeat) {
-        let request_id = self.users.number_request();
+        let request_id = self.users.next_request_id();
         let request = HttpRequest::WorkerHeartbeat(Box::new(heartbeat));
         self.step(node, Input::Http { request_id, request });
     }
--- a/tests/support/workers.rs
+++ b/tests/support/workers.rs
@@ -1,4 +1,4 @@
-//! Fakes of workers, written from the protocol.
+//! In-memory fakes of workers, written from the protocol.
 
 use super::events::Event;
 use super::network::WORKERS;
@@ -10,10 +10,10 @@
     Command, CommandAction, DirectCommands, HeartbeatResponse, HeartbeatTask, TaskState, WorkerHeartbeat,
 };
 
-/// A worker gives an answer up after this time.
-const TIMEOUT_MS: u64 = 4_000;
+/// Time after which a worker stops waiting for the answer to a heartbeat.
+const HEARTBEAT_TIMEOUT_MS: u64 = 4_000;
 
-/// A task that a worker knows.
+/// A task on a worker, which lists it in its heartbeats until it is told to forget it.
 pub struct WorkerTask {
     /// Id of its job.
     pub job: String,
@@ -21,11 +21,11 @@
     pub task: u32,
     /// Number of the attempt.
     pub attempt: u64,
-    /// What it does now.
+    /// Current state of the task.
     pub state: TaskState,
-    /// Why it has exited.
+    /// Why the task has exited, if it has.
     pub why: Option<String>,
-    /// When its state changes next by itself.
+    /// Time of the next transition: the end of the fetch or of the run.
     pub at: u64,
 }
 
@@ -37,45 +37,45 @@
     pub type_name: String,
     /// Zone of the machine.
     pub zone: String,
-    /// Whether it is a spot instance.
+    /// Whether the machine is a spot instance.
     pub spot: bool,
-    /// When it was rented.
-    pub rented: u64,
-    /// When it has booted.
+    /// Time at which the machine was created.
+    pub rented_at: u64,
+    /// Time at which the machine has booted.
     pub up_at: u64,
-    /// False once the machine is gone for good.
+    /// Whether the machine still exists.
     pub alive: bool,
-    /// It sends no heartbeats, and nothing reaches it.
+    /// Whether the worker is unreachable: it sends no heartbeats, and nothing reaches it.
     pub cut: bool,
-    /// Its heartbeats reach nobody, while direct commands reach it.
+    /// Whether the worker's heartbeats are lost, while direct commands reach it.
     pub mute: bool,
-    /// It hangs until then: it does nothing, and what reaches it waits.
+    /// Time until which the worker hangs: it does nothing, and messages to it wait.
     pub hung_until: u64,
-    /// Its tasks fail as soon as they start.
+    /// Whether all tasks on the worker fail as soon as they start.
     pub sick: bool,
-    /// Counts the ends of its lease, from 1.
+    /// Incarnation of the worker: 1 at first, and one more each time its lease expires.
     pub incarnation: u64,
-    /// Number of its last heartbeat in this incarnation.
+    /// Sequence number of the last heartbeat in this incarnation.
     pub sequence: u64,
-    /// The newest fencing token that it has seen.
+    /// The highest fencing token that the worker has seen.
     pub fencing_token: u64,
-    /// Tasks that it lists in its heartbeats.
+    /// Tasks that the worker lists in its heartbeats.
     pub tasks: Vec<WorkerTask>,
-    /// When the last answered heartbeat was sent.
+    /// Start of the lease: the time at which the last answered heartbeat was sent.
     pub(super) lease_from: u64,
-    /// The heartbeat that waits for its answer.
+    /// The heartbeat that is waiting for an answer, if any.
     pub(super) in_flight: Option<SentHeartbeat>,
-    /// When the next heartbeat is due.
+    /// Time at which the next heartbeat is due.
     pub(super) next_at: u64,
-    /// When the last heartbeat was sent.
+    /// Time at which the last heartbeat was sent.
     pub(super) heartbeat_at: u64,
-    /// The node that it sends its heartbeats to.
+    /// The node that the worker sends its heartbeats to.
     pub(super) node: usize,
-    /// Whether it has news since its last heartbeat.
+    /// Whether the worker's state has changed since its last heartbeat.
     pub(super) changed: bool,
 }
 
-/// A heartbeat that waits for its answer.
+/// A heartbeat that is waiting for an answer.
 #[derive(Clone, Copy)]
 pub(super) struct SentHeartbeat {
     id: u64,
@@ -83,7 +83,7 @@
 }
 
 impl Worker {
-    /// The heartbeat that it would send now.
+    /// Returns the heartbeat that the worker would send now.
     pub fn heartbeat(&self) -> WorkerHeartbeat {
         WorkerHeartbeat {
             machine: self.name.clone(),
@@ -110,7 +110,7 @@
 }
 
 impl WorkerTask {
-    /// Whether it uses its machine.
+    /// Whether the task is running or saving and so uses resources of its machine.
     pub(super) fn runs(&self) -> bool {
         matches!(self.state, TaskState::Running | TaskState::Saving)
     }
@@ -122,7 +122,7 @@
 }
 
 impl Worker {
-    /// At the end of its lease a worker drops its tasks and begins a new incarnation.
+    /// Drops all tasks and begins a new incarnation if the lease has expired.
     fn expire_lease(&mut self, now: u64) {
         if now > self.lease_from + LEASE_MS {
             self.tasks.clear();
@@ -133,7 +133,7 @@
         }
     }
 
-    /// Starts and ends tasks; those that were started.
+    /// Starts and ends tasks whose transition is due. Returns the tasks that were started.
     fn advance_tasks(&mut self, now: u64, run_ms: u64) -> Vec<(String, u32)> {
         let mut started = Vec::new();
         for task in self.tasks.iter_mut().filter(|task| now >= task.at) {
@@ -153,9 +153,9 @@
         started
     }
 
-    /// A heartbeat without an answer is given up, and the next goes to another node.
-    fn give_up_heartbeat(&mut self, now: u64, nodes: usize) {
-        if self.in_flight.is_some_and(|heartbeat| now > heartbeat.sent_at + TIMEOUT_MS) {
+    /// Stops waiting for a heartbeat that has timed out, and sends the next one to another node.
+    fn time_out_heartbeat(&mut self, now: u64, nodes: usize) {
+        if self.in_flight.is_some_and(|heartbeat| now > heartbeat.sent_at + HEARTBEAT_TIMEOUT_MS) {
             self.in_flight = None;
             self.node = (self.node + 1) % nodes;
             self.next_at = now + 1000;
@@ -175,17 +175,18 @@
         self.next_at = now + gap;
     }
 
-    /// Carries out a command from the answer to a heartbeat; a task that starts has its image
-    /// after `fetch_ms`.
-    fn obey(&mut self, command: &Command, now: u64, fetch_ms: u64) {
+    /// Executes a command from the answer to a heartbeat. The image of a new task is fetched after
+    /// `fetch_ms`.
+    fn execute_command(&mut self, command: &Command, now: u64, fetch_ms: u64) {
         let Some((job, task)) = command.task.rsplit_once('/') else { return };
         let task: u32 = task.parse().unwrap();
         let is_same_task = |known: &WorkerTask| known.job == job && known.task == task;
-        let is_it = |known: &WorkerTask| is_same_task(known) && known.attempt == command.attempt;
-        match (command.action, self.tasks.iter().position(is_it)) {
+        let is_same_attempt =
+            |known: &WorkerTask| is_same_task(known) && known.attempt == command.attempt;
+        match (command.action, self.tasks.iter().position(is_same_attempt)) {
             (CommandAction::Start, None) => {
-                let is_alive = |known: &WorkerTask| known.state != TaskState::Exited;
-                let busy = self.tasks.iter().any(|known| is_same_task(known) && is_alive(known));
+                let is_unfinished = |known: &WorkerTask| known.state != TaskState::Exited;
+                let busy = self.tasks.iter().any(|known| is_same_task(known) && is_unfinished(known));
                 self.tasks.push(WorkerTask {
                     job: job.into(),
                     task,
@@ -207,15 +208,15 @@
     }
 }
 
-/// Commands that arrived at workers.
+/// Counts of the commands in answers to heartbeats that reached the workers.
 #[derive(Debug, Clone, Default)]
 pub struct CommandCounts {
-    /// Attempts that workers were told to run, by how often.
+    /// Number of start commands for each attempt, by task and attempt number.
     pub runs: HashMap<(String, u64), u32>,
-    /// Commands to stop an attempt.
+    /// Number of commands to stop an attempt.
     pub stops: u32,
-    /// Commands to forget an attempt that has exited.
-    pub clears: u32,
+    /// Number of commands to forget an attempt that has exited.
+    pub forgets: u32,
 }
 
 impl CommandCounts {
@@ -225,18 +226,18 @@
                 *self.runs.entry((command.task.clone(), command.attempt)).or_default() += 1;
             }
             CommandAction::Stop => self.stops += 1,
-            CommandAction::Forget => self.clears += 1,
+            CommandAction::Forget => self.forgets += 1,
         }
     }
 
-    /// Attempts that workers were told to run.
+    /// Number of attempts that workers were told to run.
     pub fn attempts(&self) -> usize {
         self.runs.len()
     }
 }
 
 impl World {
-    /// Adds a machine that boots for `boot` ms; its name.
+    /// Adds a machine that takes `boot` ms to boot. Returns its name.
     pub fn add_worker(&mut self, number: usize, zone: &str, spot: bool, boot: u64) -> String {
         let name = format!("host-{number:06}");
         let up_at = self.now + boot;
@@ -245,7 +246,7 @@
             type_name: "m16".into(),
             zone: zone.into(),
             spot,
-            rented: self.now,
+            rented_at: self.now,
             up_at,
             alive: true,
             cut: false,
@@ -266,7 +267,7 @@
         name
     }
 
-    /// The worker's process starts anew on the same machine.
+    /// Restarts the worker process on the same machine, without its state.
     pub fn restart_worker(&mut self, index: usize) {
         let now = self.now;
         let worker = &mut self.workers[index];
@@ -277,7 +278,7 @@
         worker.next_at = now;
     }
 
-    /// Lets the time pass for one worker.
+    /// Advances one worker to the current time.
     pub(super) fn worker_tick(&mut self, index: usize) {
         let now = self.now;
         let jitter = self.rng.random_range(0..1500);
@@ -285,13 +286,14 @@
         if !worker.alive || now < worker.up_at {
             return;
         }
-        // A machine that hangs may go on within its lease only.
+        // The lease also expires while the machine hangs: afterwards the worker may continue its
+        // tasks only if the lease still holds.
         worker.expire_lease(now);
         if now < worker.hung_until {
             return;
         }
         let started = worker.advance_tasks(now, self.run_ms);
-        worker.give_up_heartbeat(now, self.node_count);
+        worker.time_out_heartbeat(now, self.node_count);
         if worker.is_heartbeat_due(now) {
             let gap = if self.size.has_frequent_heartbeats() {
                 2_250 + jitter
@@ -310,13 +312,13 @@
         }
     }
 
-    /// The answer to a heartbeat reaches its worker.
+    /// Delivers the answer to a heartbeat to its worker.
     pub(super) fn on_heartbeat_response(&mut self, index: usize, id: u64, answer: Answer) {
         let now = self.now;
         let nodes = self.node_count;
         let worker = &mut self.workers[index];
         let Some(heartbeat) = worker.in_flight.filter(|heartbeat| heartbeat.id == id) else { return };
-        if !worker.alive || worker.cut || now > heartbeat.sent_at + TIMEOUT_MS {
+        if !worker.alive || worker.cut || now > heartbeat.sent_at + HEARTBEAT_TIMEOUT_MS {
             return;
         }
         worker.in_flight = None;
@@ -345,17 +347,17 @@
         worker.lease_from = worker.lease_from.max(heartbeat.sent_at);
         for command in response.commands {
             self.commands.count(&command);
-            worker.obey(&command, now, self.fetch_ms);
+            worker.execute_command(&command, now, self.fetch_ms);
         }
     }
 
-    /// A command that came straight to the worker.
+    /// Delivers direct commands to a worker.
     pub(super) fn on_direct_commands(&mut self, index: usize, direct: DirectCommands) {
         let worker = &mut self.workers[index];
         if !worker.alive || worker.cut {
             return;
         }
-        // The answer is a heartbeat, and counts as one.
+        // The response to direct commands is a heartbeat and takes a sequence number.
         worker.sequence += 1;
         if direct.fencing_token < worker.fencing_token || direct.incarnation != worker.incarnation {
             return;
@@ -369,10 +371,10 @@
             );
             let (job, task) = command.task.rsplit_once('/').unwrap();
             let task: u32 = task.parse().unwrap();
-            let is_it = |known: &&mut WorkerTask| {
+            let is_same_attempt = |known: &&mut WorkerTask| {
                 known.job == job && known.task == task && known.attempt == command.attempt
             };
-            let found = worker.tasks.iter_mut().find(is_it);
+            let found = worker.tasks.iter_mut().find(is_same_attempt);
             if let Some(stopped) = found.filter(|found| found.state != TaskState::Exited) {
                 stopped.exit("halted");
                 worker.changed = true;
