--- a/tests/loopback.rs
+++ b/tests/loopback.rs
@@ -1,7 +1,7 @@
-//! Real processes of the service on loopback, against this repository's fakes: all
-//! controllers are killed at once, several times, with work running. What is asserted is
-//! the history of all workers and what users are told, never how long it took; the bound
-//! on the number of checks only ends a test that would never end.
+//! Real processes of the service on loopback, against this repository's fakes: all controllers
+//! are killed at once, several times, while tasks run. The test asserts on the history of all
+//! workers and on the answers to users, never on how long anything took; the limit on the number
+//! of checks only ends a test that would not end otherwise.
 
 #![allow(unreachable_pub, reason = "modules of a test program are not a library")]
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic, reason = "a test fails by panicking")]
@@ -9,7 +9,7 @@
 mod processes;
 
 use processes::{
-    Addresses, Cluster, ClusterSettings, ZONES, free_ports, job, submit, until_done, until_seen,
+    Addresses, Cluster, ClusterSettings, ZONES, free_ports, job, submit, until_done, wait_until,
 };
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -22,21 +22,21 @@
 const MACHINES: usize = 200;
 const JOBS: u32 = 16;
 const TASKS: u32 = 40;
-const RUN: Duration = Duration::from_secs(12);
+const TASK_DURATION: Duration = Duration::from_secs(12);
 
 #[tokio::test]
 async fn all_controllers_are_killed_several_times_and_each_task_runs_once() {
     let ports = free_ports(2 * NODES);
     let nodes: Vec<Addresses> =
-        ports.chunks(2).map(|pair| Addresses { front: pair[0], inner: pair[1] }).collect();
-    let front: Vec<SocketAddr> = nodes.iter().map(|node| node.front).collect();
+        ports.chunks(2).map(|pair| Addresses { public: pair[0], internal: pair[1] }).collect();
+    let public_addresses: Vec<SocketAddr> = nodes.iter().map(|node| node.public).collect();
     let (state, state_address) = FakeStore::start().await.unwrap();
     let history = History::default();
     let settings = WorkerSettings {
-        nodes: (0..NODES).map(|node| (format!("n{node}"), front[node])).collect(),
+        nodes: (0..NODES).map(|node| (format!("n{node}"), public_addresses[node])).collect(),
         heartbeat: Duration::from_secs(1),
         lease: Duration::from_secs(45),
-        run: RUN,
+        run: TASK_DURATION,
         history: history.clone(),
     };
     let zones = ZONES.map(String::from).to_vec();
@@ -54,17 +54,18 @@
     cluster.start();
     let client = reqwest::Client::new();
     for id in 1..=JOBS {
-        submit(&client, &front, &job(id, TASKS)).await;
+        submit(&client, &public_addresses, &job(id, TASKS)).await;
     }
-    // Killed while work runs, and again before all is reconciled.
+    // Kills the controllers while tasks run, and again before the new ones have reconciled all
+    // state.
     for starts in [50, 200, 200] {
-        until_seen("tasks started", || history.starts().len() >= starts).await;
+        wait_until("tasks started", || history.starts().len() >= starts).await;
         cluster.kill();
         cluster.start();
         tokio::time::sleep(Duration::from_millis(1_500)).await;
     }
     for id in 1..=JOBS {
-        until_done(&client, &front, id).await;
+        until_done(&client, &public_addresses, id).await;
     }
     let starts = history.starts();
     assert_eq!(starts.len(), (JOBS * TASKS) as usize);
@@ -73,7 +74,7 @@
     assert_eq!(
         (history.ordered(), history.stopped()),
         ((JOBS * TASKS) as usize, 0),
-        "commands that were not needed"
+        "unnecessary commands were sent"
     );
     assert!(cloud.machines() <= MACHINES);
     assert_eq!(state.value("w/job/run-000001").unwrap()["s"], "d");
--- a/tests/processes/mod.rs
+++ b/tests/processes/mod.rs
@@ -1,4 +1,4 @@
-//! Real processes of the service on loopback, against this repository's fakes.
+//! Runs real processes of the service on loopback, against this repository's fakes.
 
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
@@ -12,23 +12,23 @@
 
 /// The zones of each cluster; nodes alternate between them.
 pub const ZONES: [&str; 2] = ["east", "west"];
-/// Checks after which a test that would never end is ended.
+/// Number of unsuccessful checks after which a test that would not end otherwise panics.
 pub const MAX_CHECKS: u32 = 1_200;
 /// Time between two checks.
 pub const CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Addresses of one controller.
+/// Listening addresses of one controller.
 #[derive(Debug, Clone, Copy)]
 pub struct Addresses {
-    /// For users and workers.
-    pub front: SocketAddr,
-    /// For the other controllers.
-    pub inner: SocketAddr,
+    /// Address for users and workers.
+    pub public: SocketAddr,
+    /// Address for the other controllers.
+    pub internal: SocketAddr,
 }
 
 /// Settings of a cluster.
 pub struct ClusterSettings {
-    /// Names its folder.
+    /// Name of the directory for its files.
     pub name: &'static str,
     /// Addresses of the controllers.
     pub nodes: Vec<Addresses>,
@@ -36,24 +36,25 @@
     pub cloud: SocketAddr,
     /// Address of the store.
     pub state: SocketAddr,
-    /// Time between two heartbeats of a worker.
+    /// Heartbeat interval of a worker.
     pub report_s: f64,
-    /// How long a worker's lease lasts.
+    /// Duration of a worker's lease.
     pub lease_s: f64,
-    /// The time within which a cancelled job has to end.
+    /// Time within which all tasks of a cancelled job must have ended.
     pub cancel_s: f64,
-    /// The operators' file of each node.
+    /// Contents of each node's operator settings file.
     pub operator: Vec<String>,
 }
 
-/// Controllers as processes, with their settings on disk.
+/// Controllers that run as processes, with their settings on disk.
 pub struct Cluster {
+    /// The platform and the operator settings file of each node.
     files: Vec<(PathBuf, PathBuf)>,
     processes: Vec<Child>,
 }
 
 impl Cluster {
-    /// Writes the settings; no process is started.
+    /// Writes the settings files and removes old logs, without starting a process.
     pub fn new(settings: &ClusterSettings) -> Cluster {
         let directory = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(settings.name);
         std::fs::create_dir_all(&directory).unwrap();
@@ -72,7 +73,7 @@
     /// Starts a process for each node.
     pub fn start(&mut self) {
         for (platform, operator) in &self.files {
-            // The logs of a node's processes stay on disk to trace a failure.
+            // Logs of the node's processes stay on disk for the analysis of failures.
             let log = OpenOptions::new().create(true).append(true).open(platform.with_extension("log"));
             let process = Command::new(env!("CARGO_BIN_EXE_woadlever"))
                 .arg("--operator")
@@ -87,7 +88,7 @@
         }
     }
 
-    /// Kills all processes and waits for their end.
+    /// Kills all processes and waits until they have ended.
     pub fn kill(&mut self) {
         for mut process in self.processes.drain(..) {
             let _ = process.kill();
@@ -103,17 +104,21 @@
 }
 
 impl ClusterSettings {
+    /// Returns the platform settings of one node.
     fn platform_text(&self, node: usize) -> String {
         let mut text = format!(
             "host_name=\"n{node}\"\ndomain=\"{}\"\nbind=\"{}\"\ninternal_addr=\"{}\"\n",
             ZONES[node % 2],
-            self.nodes[node].front,
-            self.nodes[node].inner
+            self.nodes[node].public,
+            self.nodes[node].internal
         );
         for peer in (0..self.nodes.len()).filter(|peer| *peer != node) {
-            let (zone, inner) = (ZONES[peer % 2], self.nodes[peer].inner);
-            write!(text, "[[known]]\nhost_name=\"n{peer}\"\ndomain=\"{zone}\"\nendpoint=\"{inner}\"\n")
-                .unwrap();
+            let (zone, internal) = (ZONES[peer % 2], self.nodes[peer].internal);
+            write!(
+                text,
+                "[[known]]\nhost_name=\"n{peer}\"\ndomain=\"{zone}\"\nendpoint=\"{internal}\"\n"
+            )
+            .unwrap();
         }
         let (cloud, state) = (self.cloud, self.state);
         let (report_s, lease_s, cancel_s) = (self.report_s, self.lease_s, self.cancel_s);
@@ -130,14 +135,14 @@
     }
 }
 
-/// Ports that were free a moment ago.
+/// Returns loopback addresses with different ports, which were free at the time of the call.
 pub fn free_ports(count: usize) -> Vec<SocketAddr> {
     let listeners: Vec<TcpListener> =
         (0..count).map(|_| TcpListener::bind(("127.0.0.1", 0)).unwrap()).collect();
     listeners.iter().map(|listener| listener.local_addr().unwrap()).collect()
 }
 
-/// A job as its user submits it.
+/// Returns the submission of a batch job with the id `run-{id}`.
 pub fn job(id: u32, tasks: u32) -> Value {
     json!({"name_id": format!("run-{id:06}"), "jobclass": "c", "crew": "t0", "shape": "batch",
         "urgency": "normal", "pieces": tasks, "cores": 4.0, "cards": 0.0, "memory_gb": 4.0,
@@ -145,17 +150,18 @@
         "bundle": "img", "pull_gb": 0.0, "guess_s": 12.0, "bookmark_s": 0.0, "stow_s": 0.0})
 }
 
-/// Asks any node until one answers as wanted.
-pub async fn until(
+/// Sends a request to the nodes in turn until one answers as wanted; panics after
+/// [`MAX_CHECKS`] attempts.
+pub async fn poll_until(
     client: &reqwest::Client,
-    front: &[SocketAddr],
+    addresses: &[SocketAddr],
     what: &str,
-    ask: impl Fn(&reqwest::Client, SocketAddr) -> reqwest::RequestBuilder,
+    request: impl Fn(&reqwest::Client, SocketAddr) -> reqwest::RequestBuilder,
     wanted: impl Fn(u16, &Value) -> bool,
 ) {
-    for look in 0..MAX_CHECKS {
-        let address = front[look as usize % front.len()];
-        if let Ok(response) = ask(client, address).timeout(Duration::from_secs(5)).send().await {
+    for attempt in 0..MAX_CHECKS {
+        let address = addresses[attempt as usize % addresses.len()];
+        if let Ok(response) = request(client, address).timeout(Duration::from_secs(5)).send().await {
             let status = response.status().as_u16();
             let body = response.json::<Value>().await.unwrap_or_default();
             if wanted(status, &body) {
@@ -164,33 +170,33 @@
         }
         tokio::time::sleep(CHECK_INTERVAL).await;
     }
-    panic!("never: {what}");
+    panic!("timed out waiting for: {what}");
 }
 
-/// Submits a job until it is accepted.
-pub async fn submit(client: &reqwest::Client, front: &[SocketAddr], job: &Value) {
+/// Submits a job to the nodes in turn until it is accepted.
+pub async fn submit(client: &reqwest::Client, addresses: &[SocketAddr], job: &Value) {
     let post = |client: &reqwest::Client, address: SocketAddr| {
         client.post(format!("http://{address}/api/jobs")).json(job)
     };
-    until(client, front, "accepted", post, |status, _| status == 200 || status == 201).await;
+    poll_until(client, addresses, "accepted", post, |status, _| status == 200 || status == 201).await;
 }
 
-/// Asks about a job until it is done.
-pub async fn until_done(client: &reqwest::Client, front: &[SocketAddr], id: u32) {
+/// Queries the status of a job until it is done.
+pub async fn until_done(client: &reqwest::Client, addresses: &[SocketAddr], id: u32) {
     let get = |client: &reqwest::Client, address: SocketAddr| {
         client.get(format!("http://{address}/api/jobs/run-{id:06}"))
     };
     let is_done = |status: u16, body: &Value| status == 200 && body["status"] == "done";
-    until(client, front, &format!("run-{id:06} done"), get, is_done).await;
+    poll_until(client, addresses, &format!("run-{id:06} done"), get, is_done).await;
 }
 
-/// Checks again and again until something holds.
-pub async fn until_seen(what: &str, holds: impl Fn() -> bool) {
+/// Checks repeatedly until a condition holds; panics after [`MAX_CHECKS`] checks.
+pub async fn wait_until(what: &str, holds: impl Fn() -> bool) {
     for _ in 0..MAX_CHECKS {
         if holds() {
             return;
         }
         tokio::time::sleep(CHECK_INTERVAL).await;
     }
-    panic!("never: {what}");
+    panic!("timed out waiting for: {what}");
 }
