--- a/tests/large_fleet.rs
+++ b/tests/large_fleet.rs
@@ -1,4 +1,4 @@
-//! Six thousand machines: as many as the operators run, and half as many again.
+//! Six thousand machines, which is one and a half times as many as the operators run.
 
 #![allow(unreachable_pub, reason = "modules of a test program are not a library")]
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic, reason = "a test fails by panicking")]
@@ -10,20 +10,21 @@
 const NODES: usize = 5;
 const MACHINES: usize = 6_000;
 /// Tasks that fit on one machine.
-const TASKS_A_MACHINE: u32 = 4;
-const TASKS_A_JOB: u32 = 200;
+const TASKS_PER_MACHINE: u32 = 4;
+const TASKS_PER_JOB: u32 = 200;
 
-/// Machines with tasks.
-fn used(world: &World) -> usize {
+/// Number of machines with tasks.
+fn machines_in_use(world: &World) -> usize {
     world.workers.iter().filter(|worker| worker.alive && !worker.tasks.is_empty()).count()
 }
 
-/// Machines that have not been terminated.
-fn there(world: &World) -> usize {
+/// Number of machines that have not been terminated.
+fn live_machines(world: &World) -> usize {
     world.workers.iter().filter(|worker| worker.alive).count()
 }
 
-/// Rented on demand, run, kept through the loss of the leader, and drained.
+/// Creates six thousand machines on demand, runs tasks on them and crashes the leader. Checks that
+/// all jobs are done, each task started once, and the machines are terminated afterwards.
 #[test]
 fn six_thousand_machines_are_rented_run_outlast_their_leader_and_go_back() {
     let mut world = World::fleet(NODES, 91);
@@ -32,18 +33,23 @@
     world.cloud.boot_ms = 5_000..8_000;
     world.run(5_000);
 
-    let jobs = MACHINES as u32 * TASKS_A_MACHINE / TASKS_A_JOB;
+    let jobs = MACHINES as u32 * TASKS_PER_MACHINE / TASKS_PER_JOB;
     for id in 0..jobs {
-        world.submit(id as usize % NODES, &job(id, "t1", TASKS_A_JOB, 60.0));
+        world.submit(id as usize % NODES, &job(id, "t1", TASKS_PER_JOB, 60.0));
         world.run(25);
     }
 
-    // The cloud takes 250 machines a second at most.
+    // The rate limit of the cloud allows at most 250 machines per second.
     let end = world.now + 150_000;
-    while used(&world) < MACHINES * 9 / 10 && world.now < end {
+    while machines_in_use(&world) < MACHINES * 9 / 10 && world.now < end {
         world.run(1_000);
     }
-    assert!(used(&world) >= MACHINES * 9 / 10, "{} of {} machines in use", used(&world), there(&world));
+    assert!(
+        machines_in_use(&world) >= MACHINES * 9 / 10,
+        "{} of {} machines in use",
+        machines_in_use(&world),
+        live_machines(&world)
+    );
 
     let leader = world.leader().expect("a leader");
     let starts = world.oracle.starts.len();
@@ -55,18 +61,25 @@
     while !(0..jobs).all(|id| done(&world, id)) && world.now < end {
         world.run(1_000);
     }
-    let open = (0..jobs).filter(|id| !done(&world, *id)).count();
-    assert_eq!(open, 0, "jobs that are not done; {starts} tasks had started when the leader ended");
+    let unfinished = (0..jobs).filter(|id| !done(&world, *id)).count();
+    assert_eq!(
+        unfinished, 0,
+        "jobs that are not done; {starts} tasks had started when the leader crashed"
+    );
     assert!(world.each_task_started_once(), "a task was started again");
 
     let end = world.now + 200_000;
-    while there(&world) > MACHINES / 20 && world.now < end {
+    while live_machines(&world) > MACHINES / 20 && world.now < end {
         world.run(2_000);
     }
-    assert!(there(&world) <= MACHINES / 20, "{} machines are still there", there(&world));
+    assert!(
+        live_machines(&world) <= MACHINES / 20,
+        "{} machines are still there",
+        live_machines(&world)
+    );
     assert_eq!((world.store.refused, world.cloud.refused), (0, 0), "calls beyond the limits");
 
-    let longest = woadlever::wire::peer::MAX_FRAME / 4;
-    assert!(world.network.longest_frame < longest, "a frame of {} bytes", world.network.longest_frame);
+    let limit = woadlever::wire::peer::MAX_FRAME / 4;
+    assert!(world.network.longest_frame < limit, "a frame of {} bytes", world.network.longest_frame);
     world.assert_rules_kept();
 }
