--- a/tests/processes/mod.rs
+++ b/tests/processes/mod.rs
@@ -12,7 +12,7 @@
 
 /// The zones of each cluster; nodes alternate between them.
 pub const ZONES: [&str; 2] = ["east", "west"];
-/// Number of unsuccessful checks after which a test that would not end otherwise panics.
+/// Number of unsuccessful checks after which a test that would not end otherwise is aborted.
 pub const MAX_CHECKS: u32 = 1_200;
 /// Time between two checks.
 pub const CHECK_INTERVAL: Duration = Duration::from_millis(200);
--- a/tests/support/cells.rs
+++ b/tests/support/cells.rs
@@ -231,8 +231,8 @@
         }
     }
 
-    /// Advances simulated time until the condition holds. Returns whether it holds in the end,
-    /// after `limit_ms` at the latest.
+    /// Advances simulated time until the condition holds, for at most about `limit_ms`. Returns
+    /// whether it holds.
     pub fn until(&mut self, limit_ms: u64, holds: impl Fn(&Cells) -> bool) -> bool {
         let end = self.now() + limit_ms;
         while self.now() < end && !holds(self) {
@@ -291,9 +291,9 @@
     }
 
     /// Checks that no task runs in two cells at once, and that none runs in any cell for longer
-    /// than `cancel_s` after the cancellation of its job. The oracle of each cell checks that a job
-    /// has one final state; it is given the tasks started in all cells, because a job that is
-    /// done may have run in another cell.
+    /// than `cancel_s` after the cancellation of its job. Also passes the tasks started in all
+    /// cells to the oracle of each cell, because a job that is done may have run in another cell;
+    /// these oracles check that a job has one final state.
     fn check(&mut self) {
         let now = self.now();
         let mut seen: HashMap<(String, u32), usize> = HashMap::new();
--- a/tests/support/cloud.rs
+++ b/tests/support/cloud.rs
@@ -30,7 +30,7 @@
     pub returned: Vec<String>,
     /// Range of the boot times of new machines.
     pub boot_ms: Range<u64>,
-    /// Token bucket of the rate limit: the remaining calls, and the time as of which they remain.
+    /// Token bucket of the rate limit: the remaining calls and the time of the last refill.
     token_bucket: (f64, u64),
     /// Number of calls made, refused ones included.
     pub calls: u32,
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -41,7 +41,7 @@
 use woadlever::core::{Answer, Input};
 use woadlever_cells::message::CellMessage;
 
-/// The zones of each simulated cluster; nodes alternate between them.
+/// The zones of each simulated cluster; nodes and machines alternate between them.
 pub const ZONES: [&str; 2] = ["east", "west"];
 /// Duration of a worker's lease.
 pub const LEASE_MS: u64 = 20_000;
--- a/tests/support/store.rs
+++ b/tests/support/store.rs
@@ -50,13 +50,13 @@
     pub mutations: f64,
 }
 
-/// Token buckets that enforce the rate limits: the remaining tokens, and the time as of which
-/// they remain.
+/// Token buckets that enforce the rate limits: the remaining tokens and the time of the last
+/// refill.
 #[derive(Default)]
 struct TokenBuckets {
     requests: f64,
     mutations: f64,
-    as_of: u64,
+    refilled_at: u64,
 }
 
 /// Limits of the store that are lower than the default ones.
@@ -147,10 +147,10 @@
     pub(super) fn is_rate_limited(&mut self, now: u64, request: &StoreRequest) -> bool {
         let Some(rates) = self.rates else { return false };
         let buckets = &mut self.buckets;
-        let passed_s = (now - buckets.as_of) as f64 / 1000.0;
+        let passed_s = (now - buckets.refilled_at) as f64 / 1000.0;
         buckets.requests = (buckets.requests + rates.requests * passed_s).min(rates.requests);
         buckets.mutations = (buckets.mutations + rates.mutations * passed_s).min(rates.mutations);
-        buckets.as_of = now;
+        buckets.refilled_at = now;
         let mutations = match request {
             StoreRequest::CompareAndSwap(write) => write.mutations.len() as f64,
             _ => 0.0,
