--- a/tests/cells/fixtures.rs
+++ b/tests/cells/fixtures.rs
@@ -1,18 +1,18 @@
-//! Cells, and jobs that move between them, that several subjects share.
+//! Clusters of cells and forwarded jobs shared by the tests of this program.
 
 use crate::support::cells::Cells;
 use crate::support::job;
 
 /// The cell that users submit to.
 pub(crate) const ORIGIN: usize = 0;
-/// The cell that jobs move to where there are two.
+/// The cell that jobs are forwarded to when there are only two cells.
 pub(crate) const HOST: usize = 1;
-/// The third cell.
+/// A third cell.
 pub(crate) const OTHER: usize = 2;
-/// The job that moves.
+/// Id of the job that is forwarded.
 pub(crate) const JOB: &str = "run-000001";
 
-/// Cells of which the first can rent no machines.
+/// Returns `count` cells of which the origin can rent no machines.
 pub(crate) fn full_origin(count: usize, seed: u64) -> Cells {
     let mut cells = Cells::new(count, seed);
     cells.worlds[ORIGIN].cloud.capacity = 0;
@@ -20,9 +20,9 @@
     cells
 }
 
-/// Submits a job to the full cell and waits until it runs in another one; the number of that
-/// cell.
-pub(crate) fn spilled(cells: &mut Cells, tasks: u32, run_s: f64) -> usize {
+/// Submits [`JOB`] to the full origin, waits until it runs in another cell and returns the index of
+/// that cell.
+pub(crate) fn forward_job(cells: &mut Cells, tasks: u32, run_s: f64) -> usize {
     for world in &mut cells.worlds {
         world.run_ms = (run_s * 1_000.0) as u64;
     }
@@ -33,14 +33,14 @@
     (1..cells.worlds.len()).find(|cell| cells.running(*cell, JOB) > 0).unwrap()
 }
 
-/// Each task was started once in all cells together.
+/// Asserts that each task of a job was started exactly once across all cells.
 pub(crate) fn assert_each_task_started_once(cells: &Cells, id: &str, tasks: u32) {
     let starts: u32 = (0..cells.worlds.len()).map(|cell| cells.starts(cell, id)).sum();
     assert_eq!(starts, tasks, "starts of {id}");
 }
 
-/// Two jobs of the full origin that run in the other cell, the first for long.
-pub(crate) fn two_spilled(seed: u64) -> Cells {
+/// Returns two cells with two jobs of the full origin, of 300 s each, that run in the host cell.
+pub(crate) fn two_forwarded_jobs(seed: u64) -> Cells {
     let mut cells = full_origin(2, seed);
     cells.worlds[HOST].run_ms = 300_000;
     cells.accept(ORIGIN, &job(1, "t1", 4, 300.0));
--- a/tests/cells/late_messages.rs
+++ b/tests/cells/late_messages.rs
@@ -1,21 +1,22 @@
-//! Messages between cells and writes to the store that are lost, copied or late.
+//! Lost, duplicated and delayed messages between cells and writes to the store.
 
 use crate::fixtures::{
-    HOST, JOB, ORIGIN, assert_each_task_started_once, full_origin, spilled, two_spilled,
+    HOST, JOB, ORIGIN, assert_each_task_started_once, forward_job, full_origin, two_forwarded_jobs,
 };
 use crate::support::cells::Cells;
 use crate::support::{CANCEL_MS, job};
 use woadlever_cells::message::CellMessage;
 
 #[test]
-fn an_offer_that_was_held_up_is_not_accepted_after_the_recall() {
+fn a_delayed_offer_is_not_accepted_after_the_recall() {
     let mut cells = full_origin(2, 130);
     cells.held.insert((ORIGIN, HOST), Vec::new());
-    // The origin knows the free capacity of the host.
+    // Only this direction is held back: the origin still learns the free capacity of the host.
     cells.accept(ORIGIN, &job(1, "t1", 4, 10.0));
     assert!(cells.until(60_000, |cells| cells.forwarded_to(ORIGIN, JOB).is_some()));
     cells.worlds[ORIGIN].cloud.capacity = 12;
-    // The host receives nothing and doesn't name the job, which is recalled for being idle.
+    // The host does not receive the offer and so does not report the job, which the origin recalls
+    // as idle.
     assert!(cells.until_done(ORIGIN, JOB, 240_000), "{:?}", cells.record(ORIGIN, JOB));
     cells.release_held(ORIGIN, HOST);
     cells.run(60_000);
@@ -25,7 +26,7 @@
 }
 
 #[test]
-fn lost_messages_and_late_copies_do_no_harm() {
+fn jobs_complete_despite_lost_messages_and_late_duplicates() {
     for seed in 0..4 {
         let mut cells = full_origin(3, 140 + seed);
         cells.loss = 0.3;
@@ -51,7 +52,7 @@
 }
 
 #[test]
-fn writes_that_are_carried_out_late_do_no_harm() {
+fn jobs_complete_despite_store_writes_applied_late() {
     for seed in 0..4 {
         let mut cells = full_origin(2, 150 + seed);
         for world in &mut cells.worlds {
@@ -72,13 +73,13 @@
 }
 
 #[test]
-fn a_forwarding_whose_write_is_under_way_leaves_the_job_to_nobody_else() {
+fn a_job_whose_forwarding_write_is_in_flight_is_started_only_once() {
     let mut cells = full_origin(2, 170);
     cells.worlds[ORIGIN].run_ms = 30_000;
     cells.accept(ORIGIN, &job(1, "t1", 4, 30.0));
     cells.hold_writes(ORIGIN, JOB);
     cells.run(20_000);
-    assert!(cells.worlds[ORIGIN].store_faults.picked > 0, "the forwarding is under way");
+    assert!(cells.worlds[ORIGIN].store_faults.picked > 0, "the forwarding write is in flight");
 
     cells.worlds[ORIGIN].cloud.capacity = 12;
     cells.run(30_000);
@@ -91,20 +92,23 @@
 }
 
 #[test]
-fn a_lease_for_other_jobs_does_not_carry_one_whose_cancellation_is_not_on_record() {
-    let mut cells = two_spilled(180);
+fn a_lease_renewed_for_other_jobs_does_not_cover_a_job_with_an_unrecorded_cancellation() {
+    let mut cells = two_forwarded_jobs(180);
     cells.hold_writes(HOST, JOB);
     assert!(cells.cancel(ORIGIN, JOB));
     cells.run(CANCEL_MS + 1_000);
-    assert!(cells.worlds[HOST].store_faults.picked > 0, "the cancellation is under way");
+    assert!(cells.worlds[HOST].store_faults.picked > 0, "the cancellation write is in flight");
     assert_eq!(cells.running(HOST, JOB), 0);
     cells.worlds[HOST].store_faults.pick = None;
-    assert!(cells.until(60_000, |cells| cells.running(HOST, "run-000002") == 4), "the other goes on");
+    assert!(
+        cells.until(60_000, |cells| cells.running(HOST, "run-000002") == 4),
+        "the other job keeps running"
+    );
     cells.assert_rules_kept();
 }
 
 #[test]
-fn an_acceptance_that_is_carried_out_after_the_recall_starts_nothing() {
+fn an_acceptance_applied_after_the_recall_starts_nothing() {
     let mut cells = full_origin(2, 190);
     cells.worlds[HOST].run_ms = 400_000;
     cells.accept(ORIGIN, &job(2, "t1", 4, 400.0));
@@ -116,10 +120,14 @@
 
     cells.worlds[ORIGIN].cloud.capacity = 12;
     cells.worlds[ORIGIN].run_ms = 60_000;
-    assert!(cells.until(240_000, |cells| cells.running(ORIGIN, JOB) == 4), "taken back");
+    assert!(
+        cells.until(240_000, |cells| cells.running(ORIGIN, JOB) == 4),
+        "the origin recalls and runs the job"
+    );
     assert!(cells.worlds[HOST].store_faults.picked > 0);
 
-    // Now the host has a live record of it, a valid lease, and can't write the cancellation.
+    // The host now has a live record of the job and a valid lease, and can't write the
+    // cancellation.
     cells.worlds[HOST].carry_out_late();
     cells.run(20_000);
     assert_eq!(cells.starts(HOST, JOB), 0);
@@ -130,22 +138,22 @@
 }
 
 #[test]
-fn an_offer_that_was_refused_is_not_accepted_when_its_copy_comes_late() {
+fn a_late_duplicate_of_a_refused_offer_is_not_accepted() {
     let mut cells = full_origin(2, 200);
     cells.worlds[ORIGIN].cloud.boot_ms = 500..1_000;
     for world in &mut cells.worlds {
         world.run_ms = 60_000;
     }
 
-    // The team is at its quota in the host cell.
+    // The team uses its whole quota in the host cell.
     cells.accept(HOST, &job(8, "t1", 16, 60.0));
     assert!(cells.until(60_000, |cells| cells.running(HOST, "run-000008") == 16));
 
     cells.recorded = Some(((ORIGIN, HOST), Vec::new()));
     cells.accept(ORIGIN, &job(1, "t1", 4, 60.0));
-    let is_back =
+    let is_returned =
         |cells: &Cells| cells.record(ORIGIN, JOB).is_some_and(|record| record["f"]["p"] == "b");
-    assert!(cells.until(60_000, is_back), "refused and recalled");
+    assert!(cells.until(60_000, is_returned), "refused and returned");
 
     let recorded = cells.recorded.take().unwrap().1;
     let offer =
@@ -153,7 +161,8 @@
     let offer = offer.unwrap().clone();
     cells.worlds[ORIGIN].cloud.capacity = 12;
 
-    // Free capacity at the host, a new leader that has received nothing, and then the late copy.
+    // Frees capacity at the host and elects a new leader there that has received no message, then
+    // delivers the late duplicate.
     assert!(cells.cancel(HOST, "run-000008"));
 
     cells.part(ORIGIN, HOST);
@@ -164,10 +173,10 @@
         cells.repeat(HOST, offer.clone());
         cells.run(1_000);
     }
-    assert_eq!(cells.record(HOST, JOB).unwrap()["s"], "c", "the copy is of a former epoch");
+    assert_eq!(cells.record(HOST, JOB).unwrap()["s"], "c", "the duplicate has an earlier epoch");
     assert_eq!(cells.starts(HOST, JOB), 0);
 
-    // Offered anew, it may well be taken.
+    // A new offer of the job may be accepted.
     cells.join();
     assert!(cells.until_done(ORIGIN, JOB, 240_000));
     assert_each_task_started_once(&cells, JOB, 4);
@@ -175,23 +184,23 @@
 }
 
 #[test]
-fn a_late_message_from_before_the_offer_does_not_take_a_running_job_away() {
+fn a_late_message_sent_before_the_offer_does_not_stop_a_running_job() {
     let mut cells = full_origin(2, 250);
     cells.recorded = Some(((ORIGIN, HOST), Vec::new()));
-    spilled(&mut cells, 4, 60.0);
+    forward_job(&mut cells, 4, 60.0);
     let epoch = cells.record(ORIGIN, JOB).unwrap()["f"]["e"].as_u64().unwrap();
     let recorded = cells.recorded.take().unwrap().1;
 
-    // The job was accepted when this was sent, and not forwarded yet.
-    let is_before =
+    // A message sent when the origin had accepted the job but not yet forwarded it.
+    let is_before_offer =
         |message: &&CellMessage| message.revision > epoch && message.forwarded.jobs.is_empty();
-    let before = recorded.iter().rfind(is_before).unwrap().clone();
+    let late_message = recorded.iter().rfind(is_before_offer).unwrap().clone();
     cells.part(ORIGIN, HOST);
     let leader = cells.worlds[HOST].leader().unwrap();
     cells.worlds[HOST].crash(leader, 500);
     cells.run(5_000);
     for _ in 0..3 {
-        cells.repeat(HOST, before.clone());
+        cells.repeat(HOST, late_message.clone());
         cells.run(1_000);
     }
     assert_eq!(cells.record(HOST, JOB).unwrap()["s"], "l");
--- a/tests/cells/losses.rs
+++ b/tests/cells/losses.rs
@@ -1,6 +1,6 @@
-//! Controllers, whole cells or the links between cells are lost while a job is away.
+//! Loss of controllers, of whole cells or of links between cells while a job is forwarded.
 
-use crate::fixtures::{HOST, JOB, ORIGIN, assert_each_task_started_once, full_origin, spilled};
+use crate::fixtures::{HOST, JOB, ORIGIN, assert_each_task_started_once, forward_job, full_origin};
 use crate::support::cells::Cells;
 use crate::support::{CANCEL_MS, job};
 
@@ -8,7 +8,7 @@
 fn all_controllers_of_the_origin_are_lost_and_the_job_goes_on() {
     for seed in 0..4 {
         let mut cells = full_origin(2, 40 + seed);
-        spilled(&mut cells, 6, 30.0);
+        forward_job(&mut cells, 6, 30.0);
         cells.crash_cell(ORIGIN, 3_000);
         assert!(cells.until_done(ORIGIN, JOB, 120_000), "seed {seed}");
         assert_each_task_started_once(&cells, JOB, 6);
@@ -20,7 +20,7 @@
 fn all_controllers_of_the_host_are_lost_and_the_job_goes_on() {
     for seed in 0..4 {
         let mut cells = full_origin(2, 50 + seed);
-        let host = spilled(&mut cells, 6, 30.0);
+        let host = forward_job(&mut cells, 6, 30.0);
         cells.crash_cell(host, 3_000);
         assert!(cells.until_done(ORIGIN, JOB, 120_000), "seed {seed}");
         assert_each_task_started_once(&cells, JOB, 6);
@@ -30,7 +30,7 @@
 
 #[test]
 fn the_leaders_of_both_cells_are_killed_at_every_step_of_a_move() {
-    // The job is offered about ten seconds after its acceptance; what follows takes some
+    // The job is offered about ten seconds after its acceptance; the rest of the move takes a few
     // steps of a quarter of a second each.
     for step in 0..12 {
         let mut cells = full_origin(2, 60 + step);
@@ -42,12 +42,12 @@
             let leader = cells.worlds[cell].leader().unwrap_or(0);
             cells.worlds[cell].crash(leader, 500 + step * 300);
         }
-        let is_over_or_recalled = |cells: &Cells| {
+        let is_done_or_recalled = |cells: &Cells| {
             let record = cells.record(ORIGIN, JOB).unwrap();
             record["s"] == "d" || record["f"]["p"] == "r" || record["f"]["p"] == "b"
         };
-        assert!(cells.until(240_000, is_over_or_recalled), "step {step}");
-        assert_eq!(cells.record(ORIGIN, JOB).unwrap()["s"], "d", "step {step}: not taken back");
+        assert!(cells.until(240_000, is_done_or_recalled), "step {step}");
+        assert_eq!(cells.record(ORIGIN, JOB).unwrap()["s"], "d", "step {step}: recalled");
         assert!(cells.until_done(ORIGIN, JOB, 240_000), "step {step}: {:?}", cells.record(ORIGIN, JOB));
         assert_each_task_started_once(&cells, JOB, 4);
         cells.assert_rules_kept();
@@ -55,11 +55,11 @@
 }
 
 #[test]
-fn messages_that_reach_a_leader_before_it_has_read_the_records_do_no_harm() {
+fn a_leader_tolerates_messages_that_arrive_before_it_has_read_the_records() {
     for cell in [ORIGIN, HOST] {
         let mut cells = full_origin(2, 75);
-        spilled(&mut cells, 6, 40.0);
-        // Reading takes some seconds, and messages come twice a second.
+        forward_job(&mut cells, 6, 40.0);
+        // Reading the records takes a few seconds, and messages arrive twice a second.
         for node in 0..3 {
             cells.worlds[cell].store_faults.slow.insert(node, 1_000);
         }
@@ -75,21 +75,28 @@
 fn a_host_that_goes_silent_gives_the_job_up_before_the_origin_runs_it() {
     for seed in 0..3 {
         let mut cells = full_origin(2, 80 + seed);
-        let host = spilled(&mut cells, 6, 300.0);
+        let host = forward_job(&mut cells, 6, 300.0);
 
-        // The host cell goes on with its workers, cut off from the other cells.
+        // The host cell keeps its workers but is partitioned from the origin.
         cells.part(ORIGIN, host);
         cells.worlds[ORIGIN].cloud.capacity = 12;
         cells.worlds[ORIGIN].run_ms = 10_000;
-        assert!(cells.until(60_000, |cells| cells.running(host, JOB) == 0), "the lease ends");
+        assert!(
+            cells.until(60_000, |cells| cells.running(host, JOB) == 0),
+            "the host still runs the job after its cell lease ended"
+        );
         assert!(cells.until_done(ORIGIN, JOB, 180_000), "seed {seed}");
         assert_eq!(cells.starts(ORIGIN, JOB), 6, "seed {seed}");
 
-        let at_host = cells.starts(host, JOB);
+        let starts_at_host = cells.starts(host, JOB);
         cells.join();
         cells.run(60_000);
-        assert_eq!(cells.starts(host, JOB), at_host, "seed {seed}: nothing starts again at the host");
-        assert_eq!(cells.record(host, JOB).unwrap()["s"], "c", "seed {seed}: a tombstone is left");
+        assert_eq!(
+            cells.starts(host, JOB),
+            starts_at_host,
+            "seed {seed}: a task started again at the host"
+        );
+        assert_eq!(cells.record(host, JOB).unwrap()["s"], "c", "seed {seed}: the host has no tombstone");
         assert_eq!(cells.status(ORIGIN, JOB), "done");
         cells.assert_rules_kept();
     }
@@ -98,13 +105,16 @@
 #[test]
 fn a_host_whose_controllers_are_gone_for_long_gives_the_job_up() {
     let mut cells = full_origin(2, 90);
-    let host = spilled(&mut cells, 6, 300.0);
+    let host = forward_job(&mut cells, 6, 300.0);
     cells.crash_cell(host, 150_000);
     let lost_at = cells.now();
     cells.worlds[ORIGIN].cloud.capacity = 12;
     cells.worlds[ORIGIN].run_ms = 10_000;
     assert!(cells.until(120_000, |cells| cells.running(ORIGIN, JOB) > 0));
-    println!("from the loss of the host cell to the first start at home: {} ms", cells.now() - lost_at);
+    println!(
+        "from the loss of the host cell to the first start at the origin: {} ms",
+        cells.now() - lost_at
+    );
     assert!(cells.until_done(ORIGIN, JOB, 140_000));
     cells.run(90_000);
     assert_eq!(cells.record(host, JOB).unwrap()["s"], "c");
@@ -119,7 +129,7 @@
         world.run_ms = 15_000;
     }
 
-    // Capacity for four tasks of twelve at a time.
+    // The host has capacity for four of the twelve tasks at a time.
     cells.worlds[HOST].cloud.capacity = 1;
     cells.accept(ORIGIN, &job(1, "t1", 12, 15.0));
     assert!(cells.until(120_000, |cells| cells.running(HOST, JOB) > 0));
@@ -132,16 +142,19 @@
     cells.worlds[ORIGIN].cloud.capacity = 12;
     assert!(cells.until_done(ORIGIN, JOB, 240_000));
 
-    let at_origin = cells.starts(ORIGIN, JOB);
-    assert!(at_origin <= 8, "{at_origin} of 12 started at the origin, four were done at the host");
+    let starts_at_origin = cells.starts(ORIGIN, JOB);
+    assert!(
+        starts_at_origin <= 8,
+        "{starts_at_origin} of 12 started at the origin, four were done at the host"
+    );
     cells.assert_rules_kept();
 }
 
 #[test]
-fn a_cancellation_reaches_tasks_in_another_cell_in_time_even_if_no_message_does() {
+fn a_cancelled_job_ends_in_time_in_another_cell_even_without_messages() {
     for seed in 0..4 {
         let mut cells = full_origin(2, 110 + seed);
-        let host = spilled(&mut cells, 6, 300.0);
+        let host = forward_job(&mut cells, 6, 300.0);
         if seed % 2 == 1 {
             cells.part(ORIGIN, host);
         }
@@ -164,13 +177,13 @@
 }
 
 #[test]
-fn a_link_that_fails_one_way_moves_nothing_twice() {
-    for (seed, way) in [(120, (ORIGIN, HOST)), (121, (HOST, ORIGIN))] {
+fn a_one_way_link_failure_runs_no_job_in_two_cells() {
+    for (seed, direction) in [(120, (ORIGIN, HOST)), (121, (HOST, ORIGIN))] {
         let mut cells = full_origin(2, seed);
-        spilled(&mut cells, 6, 40.0);
-        cells.cut.insert(way);
+        forward_job(&mut cells, 6, 40.0);
+        cells.cut.insert(direction);
         cells.worlds[ORIGIN].cloud.capacity = 12;
-        assert!(cells.until_done(ORIGIN, JOB, 240_000), "{way:?}");
+        assert!(cells.until_done(ORIGIN, JOB, 240_000), "{direction:?}");
         cells.join();
         cells.run(60_000);
         assert_eq!(cells.status(ORIGIN, JOB), "done");
@@ -179,9 +192,9 @@
 }
 
 #[test]
-fn the_end_of_a_job_is_not_lost_with_the_hosts_controllers() {
+fn the_completion_of_a_hosted_job_survives_the_loss_of_the_hosts_controllers() {
     let mut cells = full_origin(2, 210);
-    spilled(&mut cells, 4, 10.0);
+    forward_job(&mut cells, 4, 10.0);
     cells.run(2_000);
     cells.part(ORIGIN, HOST);
     assert!(cells.until_done(HOST, JOB, 30_000));
--- a/tests/cells/main.rs
+++ b/tests/cells/main.rs
@@ -1,5 +1,5 @@
-//! Cells that share load: a whole job moves to another cell and runs exactly once, through
-//! the loss of controllers, of whole cells and of messages between them.
+//! Load sharing between cells: a whole job is forwarded to another cell and runs exactly once,
+//! despite the loss of controllers, of whole cells and of messages between them.
 
 #![allow(unreachable_pub, reason = "modules of a test program are not a library")]
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic, reason = "a test fails by panicking")]
--- a/tests/cells/moves.rs
+++ b/tests/cells/moves.rs
@@ -1,18 +1,20 @@
-//! Jobs move when, and only when, another cell has capacity for them.
+//! Jobs are forwarded if their own cell lacks capacity and another cell has it, and only then.
 
-use crate::fixtures::{HOST, JOB, ORIGIN, OTHER, assert_each_task_started_once, full_origin, spilled};
+use crate::fixtures::{
+    HOST, JOB, ORIGIN, OTHER, assert_each_task_started_once, forward_job, full_origin,
+};
 use crate::support::cells::Cells;
 use crate::support::job;
 use woadlever::config::Operator;
 use woadlever::core::HttpRequest;
 
 #[test]
-fn a_job_that_finds_no_capacity_moves_and_runs_once() {
+fn a_job_without_capacity_at_its_origin_is_forwarded_and_runs_once() {
     let mut cells = full_origin(2, 1);
-    let host = spilled(&mut cells, 6, 10.0);
+    let host = forward_job(&mut cells, 6, 10.0);
     cells.run(3_000);
     assert_eq!(cells.status(ORIGIN, JOB), "running");
-    assert_eq!(cells.status(host, JOB), "404", "the host's users know nothing of it");
+    assert_eq!(cells.status(host, JOB), "404", "the job is visible to the host's users");
     assert!(cells.until_done(ORIGIN, JOB, 120_000));
     assert_eq!(cells.status(ORIGIN, JOB), "done");
     assert_eq!(cells.starts(ORIGIN, JOB), 0);
@@ -20,15 +22,16 @@
     cells.assert_rules_kept();
 }
 
-/// Simulated seconds until 24 jobs of four tasks are done that all come to one small cell.
-fn crowd_s(cells_in_all: usize) -> u64 {
-    let mut cells = Cells::new(cells_in_all, 240);
+/// Returns the simulated time, in seconds, in which a burst of 24 jobs of four tasks each completes
+/// when all of them are submitted to one small cell out of `cell_count`.
+fn burst_completion_s(cell_count: usize) -> u64 {
+    let mut cells = Cells::new(cell_count, 240);
     for world in &mut cells.worlds {
         world.run_ms = 20_000;
     }
     cells.worlds[ORIGIN].cloud.capacity = 2;
     cells.run(8_000);
-    let began = cells.now();
+    let started_at = cells.now();
     for id in 1..=24 {
         cells.accept(ORIGIN, &job(id, "t1", 4, 20.0));
     }
@@ -37,14 +40,14 @@
         assert_each_task_started_once(&cells, &format!("run-{id:06}"), 4);
     }
     cells.assert_rules_kept();
-    (cells.now() - began) / 1_000
+    (cells.now() - started_at) / 1_000
 }
 
 #[test]
-fn a_crowd_at_one_cell_is_done_sooner_with_others_beside_it() {
-    let (alone, shared) = (crowd_s(1), crowd_s(3));
-    println!("a crowd at one cell: {alone} s alone, {shared} s with two others");
-    assert!(shared * 2 < alone, "{shared} s with two others, {alone} s alone");
+fn a_burst_at_one_cell_completes_sooner_with_other_cells() {
+    let (alone, shared) = (burst_completion_s(1), burst_completion_s(3));
+    println!("burst at one cell: {alone} s alone, {shared} s with two other cells");
+    assert!(shared * 2 < alone, "{shared} s with two other cells, {alone} s alone");
 }
 
 #[test]
@@ -66,59 +69,60 @@
 fn two_cells_offer_capacity_at_once_and_one_gets_the_job() {
     for seed in 0..4 {
         let mut cells = full_origin(3, 30 + seed);
-        let host = spilled(&mut cells, 6, 10.0);
+        let host = forward_job(&mut cells, 6, 10.0);
         let other = if host == HOST { OTHER } else { HOST };
         assert!(cells.until_done(ORIGIN, JOB, 120_000), "seed {seed}");
         assert_eq!(cells.starts(other, JOB), 0, "seed {seed}");
-        assert!(cells.record(other, JOB).is_none(), "seed {seed}: the other cell knows nothing of it");
+        assert!(cells.record(other, JOB).is_none(), "seed {seed}: the other cell has a record of it");
         assert_each_task_started_once(&cells, JOB, 6);
         cells.assert_rules_kept();
     }
 }
 
 #[test]
-fn a_cell_that_cannot_run_a_job_at_all_does_not_keep_others_out() {
+fn jobs_that_a_cell_can_never_run_do_not_block_other_jobs() {
     let mut cells = full_origin(2, 230);
     for world in &mut cells.worlds {
         world.run_ms = 5_000;
     }
 
-    // The other cell has no team t0, which its free capacity doesn't show.
+    // The other cell doesn't know team t0, which the free capacity that it reports doesn't show.
     cells.worlds[HOST].without_team = Some("t0");
     cells.crash_cell(HOST, 100);
     cells.run(10_000);
     for id in 2..=4 {
         cells.accept(ORIGIN, &job(id, "t0", 2, 5.0));
     }
-    let are_back = |cells: &Cells| {
-        let is_back = |id: u32| cells.record(ORIGIN, &format!("run-{id:06}")).unwrap()["f"]["p"] == "b";
-        (2..=4).all(is_back)
+    let all_returned = |cells: &Cells| {
+        let is_returned =
+            |id: u32| cells.record(ORIGIN, &format!("run-{id:06}")).unwrap()["f"]["p"] == "b";
+        (2..=4).all(is_returned)
     };
-    assert!(cells.until(60_000, are_back), "refused");
+    assert!(cells.until(60_000, all_returned), "refused");
 
     cells.accept(ORIGIN, &job(1, "t1", 2, 5.0));
     let is_offered = |cells: &Cells| cells.forwarded_to(ORIGIN, JOB).is_some();
-    assert!(cells.until(13_000, is_offered), "offered as soon as it has waited");
+    assert!(cells.until(13_000, is_offered), "not offered once its waiting time was over");
     assert!(cells.until_done(ORIGIN, JOB, 120_000));
     assert_eq!(cells.starts(HOST, JOB), 2);
     cells.assert_rules_kept();
 }
 
 #[test]
-fn a_job_that_was_refused_is_taken_by_the_same_cell_once_it_has_capacity() {
+fn a_refused_job_is_accepted_by_the_same_cell_once_it_has_capacity() {
     let mut cells = full_origin(2, 290);
     for world in &mut cells.worlds {
         world.run_ms = 20_000;
     }
 
-    // The team is at its quota in the host cell for some tens of seconds.
+    // The team uses its whole quota in the host cell for a few tens of seconds.
     cells.accept(HOST, &job(8, "t1", 16, 20.0));
     assert!(cells.until(60_000, |cells| cells.running(HOST, "run-000008") == 16));
 
     cells.accept(ORIGIN, &job(1, "t1", 4, 20.0));
-    let is_back =
+    let is_returned =
         |cells: &Cells| cells.record(ORIGIN, JOB).is_some_and(|record| record["f"]["p"] == "b");
-    assert!(cells.until(60_000, is_back), "refused and recalled");
+    assert!(cells.until(60_000, is_returned), "refused and returned");
     assert!(cells.until_done(ORIGIN, JOB, 180_000), "{:?}", cells.record(ORIGIN, JOB));
     assert_eq!(cells.starts(HOST, JOB), 4);
     assert_each_task_started_once(&cells, JOB, 4);
@@ -126,7 +130,7 @@
 }
 
 #[test]
-fn a_cell_that_takes_no_jobs_is_offered_none() {
+fn a_cell_with_accept_disabled_is_offered_no_jobs() {
     let mut cells = Cells::with_settings(2, 260, "accept=false");
     cells.worlds[ORIGIN].cloud.capacity = 0;
     cells.run(8_000);
@@ -140,16 +144,20 @@
 }
 
 #[test]
-fn sharing_is_switched_off_and_jobs_come_home() {
+fn disabling_cells_returns_forwarded_jobs_to_their_origin() {
     let mut cells = full_origin(2, 270);
-    spilled(&mut cells, 4, 300.0);
+    forward_job(&mut cells, 4, 300.0);
     cells.worlds[ORIGIN].operator = Operator::default();
     cells.crash_cell(ORIGIN, 1_000);
     cells.worlds[ORIGIN].cloud.capacity = 12;
     cells.worlds[ORIGIN].run_ms = 10_000;
     assert!(cells.until_done(ORIGIN, JOB, 200_000));
     assert_eq!(cells.starts(ORIGIN, JOB), 4);
-    assert_eq!(cells.record(HOST, JOB).unwrap()["s"], "l", "the host has received no message");
+    assert_eq!(
+        cells.record(HOST, JOB).unwrap()["s"],
+        "l",
+        "the host has changed the record without a message"
+    );
     cells.run(700_000);
     assert_eq!(cells.record(HOST, JOB).unwrap()["s"], "c");
     assert_eq!(cells.starts(HOST, JOB), 4);
@@ -157,7 +165,7 @@
 }
 
 #[test]
-fn a_job_that_has_begun_at_home_stays_there() {
+fn a_job_with_started_tasks_is_not_forwarded() {
     let mut cells = Cells::new(2, 220);
     cells.worlds[ORIGIN].cloud.capacity = 1;
     cells.worlds[ORIGIN].cloud.boot_ms = 500..1_000;
@@ -171,9 +179,9 @@
 }
 
 #[test]
-fn an_id_of_another_cells_job_is_refused_and_its_own_job_is_never_hosted_over() {
+fn the_id_of_a_hosted_job_is_refused_and_a_cells_own_job_is_never_overwritten() {
     let mut cells = full_origin(2, 160);
-    let host = spilled(&mut cells, 4, 30.0);
+    let host = forward_job(&mut cells, 4, 30.0);
     let request = cells.worlds[host].submit(0, &job(1, "t1", 4, 30.0));
     cells.run(1_000);
     assert_eq!(cells.worlds[host].users.answers[&request].status, 422);
@@ -183,7 +191,7 @@
     assert_eq!(cells.worlds[host].users.answers[&request].status, 404);
     assert!(cells.until_done(ORIGIN, JOB, 120_000));
 
-    // The other way round: both cells have a job of this id, and neither is lost.
+    // Both cells accept a job of their own with this id; neither job is lost.
     let mut cells = Cells::new(2, 161);
     cells.worlds[ORIGIN].cloud.capacity = 0;
     cells.run(8_000);
