--- a/tests/cells/late_messages.rs
+++ b/tests/cells/late_messages.rs
@@ -79,7 +79,7 @@
     cells.accept(ORIGIN, &job(1, "t1", 4, 30.0));
     cells.hold_writes(ORIGIN, JOB);
     cells.run(20_000);
-    assert!(cells.worlds[ORIGIN].store_faults.picked > 0, "the forwarding write is in flight");
+    assert!(cells.worlds[ORIGIN].store_faults.picked > 0, "the forwarding write is not in flight");
 
     cells.worlds[ORIGIN].cloud.capacity = 12;
     cells.run(30_000);
@@ -97,12 +97,12 @@
     cells.hold_writes(HOST, JOB);
     assert!(cells.cancel(ORIGIN, JOB));
     cells.run(CANCEL_MS + 1_000);
-    assert!(cells.worlds[HOST].store_faults.picked > 0, "the cancellation write is in flight");
+    assert!(cells.worlds[HOST].store_faults.picked > 0, "the cancellation write is not in flight");
     assert_eq!(cells.running(HOST, JOB), 0);
     cells.worlds[HOST].store_faults.pick = None;
     assert!(
         cells.until(60_000, |cells| cells.running(HOST, "run-000002") == 4),
-        "the other job keeps running"
+        "the other job did not keep running"
     );
     cells.assert_rules_kept();
 }
@@ -122,7 +122,7 @@
     cells.worlds[ORIGIN].run_ms = 60_000;
     assert!(
         cells.until(240_000, |cells| cells.running(ORIGIN, JOB) == 4),
-        "the origin recalls and runs the job"
+        "the origin did not recall and run the job"
     );
     assert!(cells.worlds[HOST].store_faults.picked > 0);
 
@@ -153,7 +153,7 @@
     cells.accept(ORIGIN, &job(1, "t1", 4, 60.0));
     let is_returned =
         |cells: &Cells| cells.record(ORIGIN, JOB).is_some_and(|record| record["f"]["p"] == "b");
-    assert!(cells.until(60_000, is_returned), "refused and returned");
+    assert!(cells.until(60_000, is_returned), "the job was not refused and returned");
 
     let recorded = cells.recorded.take().unwrap().1;
     let offer =
@@ -173,7 +173,11 @@
         cells.repeat(HOST, offer.clone());
         cells.run(1_000);
     }
-    assert_eq!(cells.record(HOST, JOB).unwrap()["s"], "c", "the duplicate has an earlier epoch");
+    assert_eq!(
+        cells.record(HOST, JOB).unwrap()["s"],
+        "c",
+        "a duplicate of an earlier epoch was accepted"
+    );
     assert_eq!(cells.starts(HOST, JOB), 0);
 
     // A new offer of the job may be accepted.
--- a/tests/cells/moves.rs
+++ b/tests/cells/moves.rs
@@ -98,7 +98,7 @@
             |id: u32| cells.record(ORIGIN, &format!("run-{id:06}")).unwrap()["f"]["p"] == "b";
         (2..=4).all(is_returned)
     };
-    assert!(cells.until(60_000, all_returned), "refused");
+    assert!(cells.until(60_000, all_returned), "the jobs were not refused and returned");
 
     cells.accept(ORIGIN, &job(1, "t1", 2, 5.0));
     let is_offered = |cells: &Cells| cells.forwarded_to(ORIGIN, JOB).is_some();
@@ -122,7 +122,7 @@
     cells.accept(ORIGIN, &job(1, "t1", 4, 20.0));
     let is_returned =
         |cells: &Cells| cells.record(ORIGIN, JOB).is_some_and(|record| record["f"]["p"] == "b");
-    assert!(cells.until(60_000, is_returned), "refused and returned");
+    assert!(cells.until(60_000, is_returned), "the job was not refused and returned");
     assert!(cells.until_done(ORIGIN, JOB, 180_000), "{:?}", cells.record(ORIGIN, JOB));
     assert_eq!(cells.starts(HOST, JOB), 4);
     assert_each_task_started_once(&cells, JOB, 4);
--- a/tests/pipelines/dependencies.rs
+++ b/tests/pipelines/dependencies.rs
@@ -25,23 +25,25 @@
     }
 }
 
-/// Whichever stage is cancelled, and whenever: its dependents are cancelled with it and never
-/// run, the rest completes.
+/// Cancelling a stage also cancels its dependents, which never run, whichever stage it is and
+/// whenever it is cancelled; all other stages complete.
 #[test]
-fn a_cancellation_takes_all_dependents_and_nothing_else() {
-    for (seed, cancelled, gone) in [(4, 1, &[1, 2, 3, 4, 5][..]), (5, 3, &[3, 4, 5]), (6, 5, &[5])] {
+fn a_cancellation_cancels_all_dependents_and_no_other_job() {
+    for (seed, cancelled, with_dependents) in
+        [(4, 1, &[1, 2, 3, 4, 5][..]), (5, 3, &[3, 4, 5]), (6, 5, &[5])]
+    {
         let mut world = world(seed);
         world.run_ms = 15_000;
         accept_pipeline(&mut world);
         assert_eq!(world.cancel((seed as usize) % 3, &id(cancelled)), 200);
 
-        // Named afterwards: accepted, and cancelled from the start.
+        // A dependent that is submitted afterwards is accepted, and cancelled from the start.
         let (status, body) = submit(&mut world, 0, &stage(6, &[cancelled]));
         assert!(status == 201 && body.contains("withdrawn"), "{status} {body}");
 
         world.run(40_000);
         for number in 1..=6 {
-            let expected = if gone.contains(&number) || number == 6 { "c" } else { "d" };
+            let expected = if with_dependents.contains(&number) || number == 6 { "c" } else { "d" };
             if expected == "d" {
                 assert!(world.until_done(&id(number), 200_000));
             }
@@ -51,8 +53,8 @@
     }
 }
 
-/// The cancellation and the submission of the next stage cross each other, at
-/// two nodes that don't know of each other's yet.
+/// A job is cancelled at one node while a dependent is submitted at another, and neither node has
+/// seen the other's write yet.
 #[test]
 fn a_submission_that_races_with_a_cancellation_is_cancelled_too() {
     for (seed, slow) in [(7, 0), (8, 1_500), (9, 6_000)] {
@@ -61,7 +63,7 @@
         world.accept(0, &stage(1, &[]));
         world.accept(0, &stage(2, &[1]));
 
-        // n1's watch lags, so that it takes the dependency for live.
+        // The watch of node n1 lags, so that n1 considers the dependency live.
         world.store_faults.slow_watch.insert(1, slow);
         world.run(2 * slow + 100);
         world.users.asked_to_cancel.insert(id(1));
@@ -87,7 +89,7 @@
     }
 }
 
-/// A cancellation answered with `done` cancels nothing.
+/// A cancellation that is answered with `done` cancels no dependents.
 #[test]
 fn dependents_of_a_job_that_was_done_before_its_cancellation_go_on() {
     let mut world = world(10);
@@ -97,7 +99,7 @@
     let request = world.ask(2, HttpRequest::Cancel(id(1)));
     world.run(500);
     assert!(world.users.answers[&request].body.contains("done"));
-    // Named when it is over already, by a job of another team.
+    // A job of another team that depends on the done job is submitted afterwards.
     let mut late = stage(3, &[1, 2]);
     late["crew"] = json!("t0");
     assert_eq!(submit(&mut world, 2, &late).0, 201);
@@ -106,11 +108,11 @@
 }
 
 #[test]
-fn a_bad_list_is_refused_by_name_and_a_known_job_never_is() {
+fn an_invalid_awaits_list_is_rejected_unless_the_job_is_already_accepted() {
     let mut world = world(11);
     world.accept(0, &stage(1, &[]));
     let mut submission = stage(2, &[]);
-    for (awaits, status) in [
+    for (awaits, expected) in [
         (json!("run-000001"), 400),
         (json!({"run-000001": 1}), 400),
         (json!([1]), 400),
@@ -121,13 +123,13 @@
         (json!([id(1), id(77)]), 422),
     ] {
         submission["awaits"] = awaits;
-        let (got, body) = submit(&mut world, 1, &submission);
-        assert_eq!(got, status, "{submission} {body}");
+        let (status, body) = submit(&mut world, 1, &submission);
+        assert_eq!(status, expected, "{submission} {body}");
         assert!(body.contains("\"field\":\"awaits\""), "{body}");
     }
     assert_eq!(world.status(0, &id(2)), "404");
 
-    // Repeats count once; null and nothing are the same.
+    // Duplicate ids count once; a null list is the same as none.
     submission["awaits"] = json!([id(1), id(1), id(1)]);
     assert_eq!(submit(&mut world, 2, &submission).0, 201);
 
@@ -138,7 +140,8 @@
     submission["awaits"] = Value::Null;
     assert_eq!(submit(&mut world, 2, &submission).0, 201);
 
-    // Accepted: whatever it says now, and at whatever node, it gets its state.
+    // A resubmission of an accepted job is answered with the job's state, whatever its list says
+    // and whichever node receives it.
     for (node, awaits) in [(0, json!("x")), (1, json!([id(88)])), (2, json!([id(2)]))] {
         let mut again = stage(2, &[]);
         again["awaits"] = awaits;
@@ -149,10 +152,10 @@
     world.assert_rules_kept();
 }
 
-/// That a job was never accepted, and that one was not accepted before, is said
-/// on a read of the store, not on a watch that lags.
+/// A node decides from a read of the store, not from its lagging watch, that a dependency was never
+/// accepted or that a submitted job is new.
 #[test]
-fn a_node_that_lags_refuses_nothing_that_was_accepted() {
+fn a_lagging_node_rejects_no_accepted_job_or_dependency() {
     let mut world = world(12);
     world.store_faults.slow_watch.insert(1, 20_000);
     world.run(3_000);
@@ -160,8 +163,8 @@
     assert_eq!(first.0, 201);
     assert_eq!(submit(&mut world, 1, &stage(2, &[1])).0, 201);
 
-    // The first answer was lost, and the user repeats it elsewhere, with a body
-    // that a new job would be refused for.
+    // The first answer was lost, and the user retries at another node with a body that would be
+    // rejected for a new job.
     assert_eq!(submit(&mut world, 0, &stage(5, &[])).0, 201);
 
     let mut again = stage(5, &[99]);
@@ -170,7 +173,8 @@
     assert!(status == 200 && body.contains("queued"), "{status} {body}");
     assert_eq!(submit(&mut world, 1, &stage(3, &[98])).0, 422);
 
-    // In an outage nothing is known, and nothing is refused for good.
+    // During an outage of the store a node can't know what was accepted, and rejects nothing
+    // permanently.
     world.store.down = true;
     world.run(200);
     assert_eq!(submit(&mut world, 1, &stage(4, &[97])).0, 503);
@@ -182,9 +186,9 @@
 }
 
 /// A job that waits for its dependencies uses none of its team's quota or guarantee, causes
-/// no scale-out, and its waiting time doesn't count.
+/// no scale-out, and the time that it spends so doesn't count as waiting time.
 #[test]
-fn a_job_that_waits_for_its_dependencies_uses_nothing() {
+fn a_job_that_waits_for_its_dependencies_uses_no_quota_or_capacity() {
     let mut world = world(13);
     world.run_ms = 150_000;
     world.accept(0, &job(1, "t1", 2, 150.0));
@@ -201,8 +205,8 @@
     world.run(60_000);
     assert_eq!(world.oracle.starts.keys().filter(|task| task.starts_with("run-000003")).count(), 8);
 
-    // Once ready, it waits for its team's quota like any other job and preempts nobody: the
-    // time before counts for nothing.
+    // Once ready, the job waits for its team's quota like any other and preempts no task, because
+    // the time before it became ready doesn't count.
     world.run(80_000);
     assert_eq!(state_of(&world, 1), "d");
     assert!(world.until_done(&id(2), 400_000));
@@ -210,31 +214,31 @@
     world.assert_rules_kept();
 }
 
-/// The time at which a job's last dependency was done is on record: a new leader counts from
-/// there, and preempts nothing for a job that has just become ready.
+/// The time at which a job's last dependency completed is recorded: a new leader counts the waiting
+/// time from then and preempts nothing for a job that has just become ready.
 #[test]
-fn the_moment_a_job_became_ready_survives_a_change_of_leader() {
+fn the_time_at_which_a_job_became_ready_survives_a_change_of_leader() {
     let mut world = world(14);
     world.cloud.capacity = 2;
     world.run_ms = 190_000;
     world.accept(0, &job(1, "t1", 1, 190.0));
-    let mut last = job(2, "t1", 1, 10.0);
-    last["cores"] = json!(16.0);
-    last["urgency"] = json!("prod");
-    last["awaits"] = json!([id(1)]);
-    world.accept(0, &last);
+    let mut dependent = job(2, "t1", 1, 10.0);
+    dependent["cores"] = json!(16.0);
+    dependent["urgency"] = json!("prod");
+    dependent["awaits"] = json!([id(1)]);
+    world.accept(0, &dependent);
     world.run(120_000);
 
-    // All that is left carries work of low priority when the job becomes ready.
+    // All remaining capacity runs tasks of low priority when the job becomes ready.
     let mut low = job(3, "t1", 8, 190.0);
     low["urgency"] = json!("idle");
     world.accept(0, &low);
     while state_of(&world, 1) != "d" {
         world.run(500);
     }
-    let at = world.store.job(&id(1)).unwrap()["t"].as_u64().unwrap();
+    let ready_at = world.store.job(&id(1)).unwrap()["t"].as_u64().unwrap();
     let now = 1_000_000_000 + world.now;
-    assert!(at <= now && at + 5_000 > now);
+    assert!(ready_at <= now && ready_at + 5_000 > now);
 
     let leader = world.leader().unwrap();
     world.crash(leader, 5_000);
@@ -246,13 +250,13 @@
         .any(|task| task.why.as_deref() == Some("halted"));
     assert!(
         !preempted && !world.oracle.starts.contains_key("run-000002/0"),
-        "others were preempted for it at once"
+        "tasks were preempted for a job that has just become ready"
     );
     world.assert_rules_kept();
 }
 
 #[test]
-fn a_restart_of_all_nodes_forgets_no_dependency() {
+fn dependencies_survive_a_restart_of_all_nodes() {
     let mut world = world(15);
     accept_pipeline(&mut world);
     world.run(4_000);
@@ -270,11 +274,11 @@
     world.assert_rules_kept();
 }
 
-/// One node after the other is asked for the first time after an outage that was
-/// longer than a cancellation may take: none calls a job live whose dependency
-/// is cancelled, and none goes back on it.
+/// Each node is asked for the first time after an outage of the store that was longer than a
+/// cancellation may take: no node reports a job as live whose dependency is cancelled, and no node
+/// contradicts an earlier answer.
 #[test]
-fn the_first_answer_after_a_long_outage_is_no_orphan() {
+fn the_first_answer_after_a_long_outage_reports_no_orphan_as_live() {
     for seed in [16, 17] {
         let mut world = world(seed);
         world.run_ms = 100_000;
@@ -282,7 +286,7 @@
             world.accept(0, &stage(number, awaits));
         }
 
-        // No leader is there to propagate the cancellation before the outage begins.
+        // No leader is left to propagate the cancellation before the outage begins.
         let leader = world.leader().unwrap();
         let user_api = (leader + 1) % 3;
         world.crash(leader, 1_000);
@@ -293,7 +297,7 @@
         world.run(CANCEL_MS + 8_000);
         world.store.down = false;
 
-        // The one that knows nothing yet is asked first.
+        // The restarted node, which has read nothing yet, is asked first.
         for number in [4, 3, 2] {
             for node in [leader, (user_api + 1) % 3, user_api] {
                 let request = world.ask(node, HttpRequest::Status(id(number)));
@@ -315,10 +319,10 @@
     }
 }
 
-/// A user API whose watch gets no answers may be able to read all the same. It does not
-/// know what was cancelled meanwhile, and says so.
+/// A user API whose watch gets no answers may still be able to read records. It does not know which
+/// jobs were cancelled meanwhile, and must say so rather than report a waiting job as live.
 #[test]
-fn a_user_api_whose_watch_lags_calls_no_waiting_job_live() {
+fn a_user_api_whose_watch_lags_reports_no_waiting_job_as_live() {
     let mut world = world(18);
     world.run_ms = 200_000;
     accept_pipeline(&mut world);
@@ -340,10 +344,10 @@
     world.assert_rules_kept();
 }
 
-/// A leader may keep its lease and get no write through. The node that is asked does not
-/// wait for it.
+/// A leader may keep its lease although none of its writes gets through. A node that is asked for a
+/// dependent's state cancels the dependent itself instead of waiting for the leader.
 #[test]
-fn the_user_api_cancels_what_the_leader_cannot() {
+fn the_user_api_cancels_dependents_when_the_leader_cannot_write() {
     let mut world = world(25);
     world.run_ms = 200_000;
     accept_pipeline(&mut world);
@@ -354,7 +358,7 @@
 
     world.run(CANCEL_MS);
     assert_eq!(world.leader(), Some(leader));
-    assert_eq!(state_of(&world, 5), "l", "nobody was asked yet");
+    assert_eq!(state_of(&world, 5), "l", "cancelled before any node was asked for the job's state");
 
     for node in [(leader + 2) % 3, leader, user_api] {
         assert_eq!(world.status(node, &id(5)), "withdrawn");
@@ -362,10 +366,10 @@
     world.assert_rules_kept();
 }
 
-/// More dependents of a cancelled job than many writes take, while leaders
-/// come and go and more join: all cancelled in time.
+/// A cancelled job has more dependents than fit into many writes: all of them are cancelled in time,
+/// although the leader changes and further dependents are submitted meanwhile.
 #[test]
-fn long_chains_and_wide_fans_are_cancelled_step_by_step() {
+fn long_chains_and_wide_fan_outs_are_cancelled_in_time() {
     let mut world = world(19);
     world.run_ms = 300_000;
     world.lower_store_limits();
@@ -378,7 +382,7 @@
     world.run(2_000);
     assert_eq!(world.cancel(1, &id(1)), 200);
 
-    let from = world.now;
+    let cancelled_at = world.now;
     let leader = world.leader().unwrap();
     world.crash(leader, 3_000);
     for number in 42..50 {
@@ -386,7 +390,7 @@
         world.submit(node, &stage(number, &[number - 1, 21]));
         world.run(200);
     }
-    world.run(CANCEL_MS - (world.now - from) - 1_000);
+    world.run(CANCEL_MS - (world.now - cancelled_at) - 1_000);
     let live: Vec<u32> = (1..50).filter(|number| state_of(&world, *number) == "l").collect();
     assert!(live.is_empty(), "still live: {live:?}");
 
--- a/tests/pipelines/upgrade.rs
+++ b/tests/pipelines/upgrade.rs
@@ -1,5 +1,5 @@
-//! What the version in production left, and limits of the store that are lowered, while
-//! machines serve.
+//! Takeover of the state that the version in production left, and lowered limits of the store, while
+//! machines run tasks.
 
 use crate::fixtures::{ANNOUNCED_LIMITS, id, stage, submit, world};
 use crate::support::store::StoredRecord;
@@ -9,59 +9,60 @@
 use woadlever::wire::peer::Frame;
 use woadlever::wire::store::{JobRecord, JobState};
 
-/// Lets the time pass, and ends the test if a task is on no placement record at any moment.
-fn run_always_on_record(world: &mut World, duration_ms: u64) {
+/// Advances the simulated time and asserts that each task on a machine is on a placement record
+/// throughout.
+fn run_with_all_tasks_recorded(world: &mut World, duration_ms: u64) {
     let end = world.now + duration_ms;
     while world.now < end {
         world.run(50);
-        let off_record = world.off_record();
+        let unrecorded = world.off_record();
         assert!(
-            off_record.is_empty(),
-            "{}: on no record: {:?}",
+            unrecorded.is_empty(),
+            "{} ms: on no placement record: {:?}",
             world.now,
-            &off_record[..off_record.len().min(5)]
+            &unrecorded[..unrecorded.len().min(5)]
         );
     }
 }
 
-/// Length of the longest value under a prefix, in bytes.
+/// Returns the length of the longest value under a prefix, in bytes.
 fn longest_value(world: &World, prefix: &str) -> usize {
     let records = world.store.records_under(prefix);
     records.map(|(_, record)| record.value.to_string().len()).max().unwrap_or(0)
 }
 
-/// What the version in production left is taken over, and split to fit the announced limits
-/// before they come into force; nothing is lost or done twice.
+/// The state that the version in production left is taken over, and split to fit the announced
+/// limits before they come into force; no task is lost or run twice.
 #[test]
-fn what_production_left_is_taken_up_and_brought_under_the_limits() {
-    for (seed, first) in [(20, false), (21, true)] {
+fn production_state_is_taken_over_and_split_to_fit_the_limits() {
+    for (seed, limits_first) in [(20, false), (21, true)] {
         let mut world = World::from_production(seed, ANNOUNCED_LIMITS);
         assert!(longest_value(&world, "place/") > 5_000);
 
-        let running = world.oracle.starts.len();
+        let earlier_starts = world.oracle.starts.len();
 
-        // The limits may come first, while the long records are there.
-        if first {
+        // The limits may come into force first, while the long records still exist.
+        if limits_first {
             world.lower_store_limits();
         }
-        run_always_on_record(&mut world, 6_000);
+        run_with_all_tasks_recorded(&mut world, 6_000);
 
-        // A shard owner is lost while it splits its records.
-        let victim = (world.leader().unwrap() + 1) % 3;
-        world.crash(victim, 2_000);
-        run_always_on_record(&mut world, 12_000);
+        // A shard owner crashes while it splits its records.
+        let shard_owner = (world.leader().unwrap() + 1) % 3;
+        world.crash(shard_owner, 2_000);
+        run_with_all_tasks_recorded(&mut world, 12_000);
         assert!(longest_value(&world, "place/") <= 2_048, "{} bytes", longest_value(&world, "place/"));
 
-        if !first {
+        if !limits_first {
             world.lower_store_limits();
         }
         for node in 0..3 {
             world.crash(node, 3_000);
         }
-        run_always_on_record(&mut world, 30_000);
+        run_with_all_tasks_recorded(&mut world, 30_000);
 
-        // Of the largest job ten tasks were left.
-        assert_eq!(world.oracle.starts.len(), running + 10);
+        // Ten tasks of the largest job were left to start.
+        assert_eq!(world.oracle.starts.len(), earlier_starts + 10);
         assert!(world.each_task_started_once());
 
         for number in 0..30 {
@@ -69,30 +70,30 @@
         }
         assert_eq!(world.status(0, &id(78)), "withdrawn");
 
-        // A job that awaits one of production's, which completes.
+        // A job that depends on jobs of the production version completes.
         world.accept(1, &stage(90, &[0, 3]));
         assert!(world.until_done(&id(90), 400_000));
 
-        // A job of 40,000 tasks, nearly all on record as done by production, in
-        // records longer than the limit by now.
+        // A job of 40,000 tasks completes, nearly all of which the production version recorded as
+        // done in records that are now longer than the limit.
         assert!(world.until_done(&id(77), 200_000));
 
         world.run(5_000);
-        assert!(world.store.records_under("progress/").next().is_none(), "records left behind");
+        assert!(world.store.records_under("progress/").next().is_none(), "progress records left behind");
 
-        let long = world.store.rejected.len();
-        assert!(long <= 4, "{long} times too long: {:?}", world.store.rejected);
+        let rejected = world.store.rejected.len();
+        assert!(rejected <= 4, "{rejected} values rejected as too long: {:?}", world.store.rejected);
         world.assert_rules_kept();
     }
 }
 
-/// A shard owner is lost at the very moment at which attempts are both on the placement
-/// record that they leave and on the one that they move to: the next owner counts them once.
+/// A shard owner crashes while attempts are both on the placement record that they are moved from
+/// and on the one that they are moved to: the next owner counts each of them once.
 #[test]
-fn an_attempt_on_two_records_is_one() {
+fn an_attempt_on_two_placement_records_counts_once() {
     let mut world = World::from_production(26, ANNOUNCED_LIMITS);
     world.lower_store_limits();
-    let twice = |world: &World| {
+    let count_duplicates = |world: &World| {
         let mut seen = HashSet::new();
         let records = world.store.records_under("place/");
         let ids = records.flat_map(|(_, record)| {
@@ -100,59 +101,59 @@
             let rows = record.value["m"].as_array().unwrap().clone();
             rows.into_iter().flat_map(move |row| {
                 let attempts = row[3].as_array().unwrap().clone();
-                let number = |attempt: &[Value]| base + attempt[2].as_u64().unwrap();
-                attempts.chunks(3).map(number).collect::<Vec<_>>()
+                let attempt_id = |attempt: &[Value]| base + attempt[2].as_u64().unwrap();
+                attempts.chunks(3).map(attempt_id).collect::<Vec<_>>()
             })
         });
         ids.filter(|id| !seen.insert(*id)).count()
     };
-    while twice(&world) == 0 {
+    while count_duplicates(&world) == 0 {
         world.run(25);
-        assert!(world.now < 120_000, "nothing was ever moved");
+        assert!(world.now < 120_000, "no attempt was ever on two records");
     }
     for node in 0..3 {
         world.crash(node, 1_000);
     }
-    run_always_on_record(&mut world, 30_000);
-    assert_eq!(twice(&world), 0, "listed twice for good");
+    run_with_all_tasks_recorded(&mut world, 30_000);
+    assert_eq!(count_duplicates(&world), 0, "attempts are still on two records");
     assert!(world.each_task_started_once());
     world.assert_rules_kept();
 }
 
-/// The name of a machine that is being terminated.
+/// Returns the name of a machine that is being terminated.
 fn terminating_machine(index: usize) -> String {
     format!("host-{:06}", 1_000 + 2 * index)
 }
 
-/// Terminating machines are on a record at any moment too: without it a later shard owner
-/// could use one whose return is still carried out.
+/// Terminating machines too are on a placement record at all times: otherwise a later shard owner
+/// could use a machine whose return to the cloud is still in flight.
 #[test]
-fn machines_on_their_way_back_stay_on_record_while_a_long_one_shrinks() {
-    for (seed, moves, lossy) in [(27, 40, 0.0), (28, 90, 0.4)] {
+fn terminating_machines_stay_recorded_while_a_long_record_is_split() {
+    for (seed, machine_count, loss) in [(27, 40, 0.0), (28, 90, 0.4)] {
         let mut world = World::from_production(seed, ANNOUNCED_LIMITS);
-        world.store_faults.loss = lossy;
+        world.store_faults.loss = loss;
         let key = "place/east.0/0";
         let record = world.store.records.get_mut(key).unwrap();
-        for index in 0..moves {
+        for index in 0..machine_count {
             let row = json!([terminating_machine(index), 0, 4, []]);
             record.value["m"].as_array_mut().unwrap().push(row);
         }
 
-        // They can't be returned now.
+        // While the cloud is down the machines can't be returned.
         world.cloud.is_down = true;
         world.lower_store_limits();
-        let on_record = |world: &World| {
+        let count_recorded = |world: &World| {
             let records = world.store.records_under("place/east");
             let rows = records.flat_map(|(_, record)| record.value["m"].as_array().unwrap().clone());
             let terminating: HashSet<String> = rows
                 .filter(|row| row[2].as_u64().unwrap() & 4 != 0)
                 .map(|row| row[0].as_str().unwrap().to_string())
                 .collect();
-            (0..moves).filter(|index| terminating.contains(&terminating_machine(*index))).count()
+            (0..machine_count).filter(|index| terminating.contains(&terminating_machine(*index))).count()
         };
         for _ in 0..1_200 {
             world.run(25);
-            assert_eq!(on_record(&world), moves, "at {}", world.now);
+            assert_eq!(count_recorded(&world), machine_count, "at {} ms", world.now);
         }
         world.store_faults.loss = 0.0;
         world.run(30_000);
@@ -162,10 +163,10 @@
     }
 }
 
-/// A job of the largest number of tasks is recorded, resumed and finished under the smallest
-/// limits, and leaves no record behind.
+/// A job of the maximum number of tasks is recorded, resumed and finished under the lowest limits,
+/// and leaves no progress record behind.
 #[test]
-fn a_job_of_many_tasks_goes_on_when_the_limits_are_lowered() {
+fn a_job_of_many_tasks_completes_when_the_limits_are_lowered() {
     let mut world = World::with_announced_limits(3, 22, ANNOUNCED_LIMITS);
     world.cloud.capacity = 0;
     world.run_ms = 300;
@@ -180,10 +181,10 @@
     submission["memory_gb"] = json!(0.25);
     world.accept(0, &submission);
     world.run(15_000);
-    let done = |world: &World| world.store.records_under("progress/").count();
-    assert_eq!(done(&world), 1);
+    let count_progress_records = |world: &World| world.store.records_under("progress/").count();
+    assert_eq!(count_progress_records(&world), 1);
 
-    // Bits far apart: every whole progress segment is as long as it can be.
+    // The bits are set up to the end, so that every complete progress segment has its maximum length.
     let full = "ff".repeat(2_048);
     for segment in 0..6 {
         world.store.revision += 1;
@@ -205,15 +206,15 @@
     assert!(world.until_done(&id(1), 200_000));
 
     world.run(5_000);
-    assert_eq!(done(&world), 0, "records of progress left behind");
+    assert_eq!(count_progress_records(&world), 0, "progress records left behind");
     assert!(world.store.rejected.len() <= 3, "{:?}", world.store.rejected);
     world.assert_rules_kept();
 }
 
-/// A catalog too long for one record under the new limits is kept in several, and every
+/// A catalog that is too long for one record under the new limits is stored in several, and every
 /// user API knows all machine types after a restart.
 #[test]
-fn a_long_catalog_is_kept_in_parts() {
+fn a_long_catalog_is_stored_in_several_records() {
     let mut world = World::with_announced_limits(3, 23, ANNOUNCED_LIMITS);
     world.lower_store_limits();
     world.cloud.more_types = 30;
@@ -234,14 +235,14 @@
     world.assert_rules_kept();
 }
 
-/// Frames and records made by the version in production are read, and what is
-/// written while it may still be there has its layout.
+/// Frames and records written by the version in production can be read, and what this version writes
+/// while the other may still run has the same layout.
 #[test]
-fn old_frames_and_records_are_read_and_written_as_they_were() {
+fn production_frames_and_records_are_read_and_written_unchanged() {
     for line in include_str!("../fixtures/frames.hex").lines() {
         let byte = |start: usize| u8::from_str_radix(&line[start..start + 2], 16).unwrap();
         let bytes: Vec<u8> = (0..line.len()).step_by(2).map(byte).collect();
-        let frame: Frame = bitcode::decode(&bytes).expect("production's frame");
+        let frame: Frame = bitcode::decode(&bytes).expect("a frame of the production version");
         assert_eq!(bitcode::encode(&frame), bytes);
     }
     let fixture: Value = serde_json::from_str(include_str!("../fixtures/production.json")).unwrap();
@@ -252,14 +253,16 @@
         .iter()
         .filter(|entry| entry[0].as_str().unwrap().contains("w/job"))
     {
-        let record: JobRecord = serde_json::from_value(entry[1].clone()).expect("production's record");
-        assert_eq!(serde_json::to_value(&record).unwrap(), entry[1], "written back as it was");
+        let record: JobRecord =
+            serde_json::from_value(entry[1].clone()).expect("a record of the production version");
+        assert_eq!(serde_json::to_value(&record).unwrap(), entry[1], "not written back unchanged");
 
         live += usize::from(record.state == JobState::Live);
     }
     assert_eq!(live, 31);
 
-    // An old leader finds no description to start from in a job that awaits others.
+    // A leader of the production version finds no description in the record of a job that awaits
+    // others, and so can't start the job.
     let mut world = world(24);
     world.accept(0, &stage(1, &[]));
     world.accept(0, &stage(2, &[1]));
