--- a/tests/final_jobs/clusters.rs
+++ b/tests/final_jobs/clusters.rs
@@ -7,11 +7,11 @@
 use woadlever::core::common::job_table::{FINAL_JOBS_BATCH, MAX_FINAL_JOBS};
 use woadlever::wire::workers::{HeartbeatTask, TaskState};
 
-/// Jobs that an operator's day leaves on record, and a hundred thousand besides.
+/// Number of final jobs on record: those of one day at an operator, 26 a minute, and 100,000 more.
 const RECORDED_JOBS: u32 = 26 * 60 * 24 + 100_000;
 const FIRST_OLD_JOB: u32 = 500_000;
 
-/// The id of the job with a number.
+/// Returns the id of the job with this number.
 pub(crate) fn id(number: u32) -> String {
     format!("run-{number:06}")
 }
@@ -20,11 +20,11 @@
     format!("w/job/{}", id(number))
 }
 
-fn done() -> Value {
+fn done_record() -> Value {
     json!({"s": "d", "n": 2, "t": 1})
 }
 
-fn cancelled() -> Value {
+fn cancelled_record() -> Value {
     json!({"s": "c", "n": 2})
 }
 
@@ -38,14 +38,14 @@
     }
 }
 
-/// Three nodes that have just been restarted, with final jobs on record: the even
-/// ones are done, the odd ones cancelled.
+/// Returns three nodes that have just been restarted with final jobs on record: those with even
+/// numbers are done, those with odd numbers cancelled.
 fn restarted_with(final_jobs: u32, seed: u64) -> World {
     let mut world = World::new(3, seed);
     world.run(3_000);
     crash_all(&mut world, 500);
     for number in 0..final_jobs {
-        let value = if number % 2 == 0 { done() } else { cancelled() };
+        let value = if number % 2 == 0 { done_record() } else { cancelled_record() };
         world.store.put_record(&job_key(FIRST_OLD_JOB + number), value);
     }
     world.store.floor = world.store.revision;
@@ -54,7 +54,7 @@
     world
 }
 
-fn answer(world: &mut World, node: usize, call: HttpRequest) -> (u16, Value, Option<u32>) {
+fn send_request(world: &mut World, node: usize, call: HttpRequest) -> (u16, Value, Option<u32>) {
     let request = world.ask(node, call);
     world.run(1_500);
     let answer = world.users.answers[&request].clone();
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn a_restart_after_many_days_takes_up_its_roles_within_ten_seconds_and_keeps_few_jobs() {
+fn nodes_restarted_with_many_final_jobs_resume_within_ten_seconds_and_keep_few_in_memory() {
     let mut world = World::new(3, 1);
     world.run(3_000);
 
@@ -71,17 +71,17 @@
     world.run(10_000);
     crash_all(&mut world, 1_000);
     for number in 0..RECORDED_JOBS {
-        world.store.put_record(&job_key(FIRST_OLD_JOB + number), done());
+        world.store.put_record(&job_key(FIRST_OLD_JOB + number), done_record());
     }
     world.store.floor = world.store.revision;
     world.store.page_size = Some(500);
     world.run(11_000);
-    assert!(world.leader().is_some(), "nobody leads ten seconds after the start");
+    assert!(world.leader().is_some(), "no leader ten seconds after the start");
 
     for node in 0..3 {
         assert_eq!(jobs_in_memory(&world, node), 1);
     }
-    assert_eq!(world.status(1, &id(1)), "running", "the machines' tasks went on");
+    assert_eq!(world.status(1, &id(1)), "running", "the tasks on the machines did not keep running");
     assert!(world.until_done(&id(1), 120_000));
     assert_eq!(world.oracle.starts.len(), 2);
     world.assert_rules_kept();
@@ -90,24 +90,25 @@
 #[test]
 fn a_job_no_longer_in_memory_is_answered_from_its_record() {
     let mut world = restarted_with(40, 2);
-    let (old_done, old_withdrawn) = (id(FIRST_OLD_JOB), id(FIRST_OLD_JOB + 1));
+    let (old_done, old_cancelled) = (id(FIRST_OLD_JOB), id(FIRST_OLD_JOB + 1));
     assert_eq!(jobs_in_memory(&world, 0), 0);
     for node in 0..3 {
-        let (status, body, _) = answer(&mut world, node, HttpRequest::Status(old_done.clone()));
+        let (status, body, _) = send_request(&mut world, node, HttpRequest::Status(old_done.clone()));
         assert_eq!((status, &body["status"], &body["done"]), (200, &json!("done"), &json!(2)));
-        let (status, body, _) = answer(&mut world, node, HttpRequest::Status(old_withdrawn.clone()));
+        let (status, body, _) =
+            send_request(&mut world, node, HttpRequest::Status(old_cancelled.clone()));
         assert_eq!((status, &body["status"]), (200, &json!("withdrawn")));
     }
-    let (status, ..) = answer(&mut world, 0, HttpRequest::Status(id(499_999)));
+    let (status, ..) = send_request(&mut world, 0, HttpRequest::Status(id(499_999)));
     assert_eq!(status, 404);
 }
 
 #[test]
-fn without_the_store_a_job_no_longer_in_memory_is_not_called_unknown() {
+fn without_the_store_a_job_no_longer_in_memory_is_not_reported_as_unknown() {
     let mut world = restarted_with(40, 3);
     world.store.down = true;
     for call in [HttpRequest::Status(id(FIRST_OLD_JOB)), HttpRequest::Cancel(id(FIRST_OLD_JOB))] {
-        let (status, _, retry_after_s) = answer(&mut world, 0, call);
+        let (status, _, retry_after_s) = send_request(&mut world, 0, call);
         assert_eq!((status, retry_after_s), (503, Some(1)));
     }
 }
@@ -118,15 +119,15 @@
     let mut submission = job(FIRST_OLD_JOB, "t1", 2, 5.0);
     submission["awaits"] = json!([id(499_999)]);
     let (status, body, _) =
-        answer(&mut world, 0, HttpRequest::Submit(submission.to_string().into_bytes()));
+        send_request(&mut world, 0, HttpRequest::Submit(submission.to_string().into_bytes()));
     assert_eq!((status, &body["status"]), (200, &json!("done")));
 
     let submission = job(FIRST_OLD_JOB + 1, "t1", 2, 5.0);
     let (status, body, _) =
-        answer(&mut world, 1, HttpRequest::Submit(submission.to_string().into_bytes()));
+        send_request(&mut world, 1, HttpRequest::Submit(submission.to_string().into_bytes()));
     assert_eq!((status, &body["status"]), (200, &json!("withdrawn")));
 
-    let (status, body, _) = answer(&mut world, 2, HttpRequest::Cancel(id(FIRST_OLD_JOB + 2)));
+    let (status, body, _) = send_request(&mut world, 2, HttpRequest::Cancel(id(FIRST_OLD_JOB + 2)));
     assert_eq!((status, &body["status"]), (200, &json!("done")));
 
     let records = world.store.records.clone();
@@ -153,11 +154,11 @@
     world.assert_rules_kept();
 }
 
-/// The dependencies are final when the nodes start, and are read before their dependents, so
-/// that they are not kept. Their records are read one by one before any user is told that the
-/// job waits.
+/// The dependencies are final when the nodes start, and are read before their dependents, so that
+/// they are not kept in memory. A node reads their records one by one before it tells any user that
+/// a dependent waits.
 #[test]
-fn a_restart_finds_out_what_became_of_awaited_jobs() {
+fn restarted_nodes_look_up_the_final_states_of_awaited_jobs() {
     let mut world = World::new(3, 6);
     world.run(3_000);
 
@@ -175,8 +176,8 @@
     crash_all(&mut world, 200);
     world.users.asked_to_cancel.insert(id(2));
     world.users.jobs.remove(&id(1));
-    world.store.put_record(&job_key(1), done());
-    world.store.put_record(&job_key(2), cancelled());
+    world.store.put_record(&job_key(1), done_record());
+    world.store.put_record(&job_key(2), cancelled_record());
     world.store_faults.slow = (0..3).map(|node| (node, 300)).collect();
     world.run(200);
     let mut requests = Vec::new();
@@ -198,9 +199,9 @@
     world.assert_rules_kept();
 }
 
-/// Machines that no node reaches keep the tasks of a cancelled job, which the nodes
-/// no longer have in memory after their restart. Until they are gone the tasks
-/// count against the team's quota, also before the shard owners have told the leader.
+/// Machines that no node can reach keep running tasks of a cancelled job, which the nodes no longer
+/// have in memory after their restart. Until these tasks are gone they count against the team's
+/// quota, even before the shard owners have reported them to the leader.
 #[test]
 fn tasks_of_a_job_no_longer_in_memory_still_use_their_teams_quota() {
     let mut world = World::new(3, 7);
@@ -213,7 +214,7 @@
         let tasks = world.workers.iter().filter(|worker| worker.alive).flat_map(|worker| &worker.tasks);
         tasks.filter(|task| task.job == id(number) && task.state == TaskState::Running).count()
     };
-    assert_eq!(running(&world, 1), 8, "the team is at its limit");
+    assert_eq!(running(&world, 1), 8, "the team is not at its limit");
 
     world.run_ms = 5_000;
     world.accept(0, &job(2, "t0", 8, 5.0));
@@ -233,7 +234,7 @@
         world.run(25);
         world.leader()
     });
-    let leader = leader.expect("a leader");
+    let leader = leader.expect("no leader was elected");
     world.network.cuts.remove(&(leader, usize::MAX));
     world.network.cuts.remove(&(usize::MAX, leader));
     world.run(6_000);
@@ -249,7 +250,7 @@
     let mut world = restarted_with(40, 8);
     world.accept(0, &job(1, "t1", 1, 600.0));
     world.run(40_000);
-    let worker = world.workers.iter().position(|worker| worker.alive).expect("a machine");
+    let worker = world.workers.iter().position(|worker| worker.alive).expect("no machine is up");
     let mut heartbeat = world.workers[worker].heartbeat();
     heartbeat.sequence += 1;
     let old_task = |number: u32, state: TaskState| HeartbeatTask {
@@ -262,7 +263,7 @@
     heartbeat.tasks.push(old_task(FIRST_OLD_JOB + 1, TaskState::Exited));
     let shard_owner = world.shard_owner_of(worker);
     let (status, body, _) =
-        answer(&mut world, shard_owner, HttpRequest::WorkerHeartbeat(Box::new(heartbeat)));
+        send_request(&mut world, shard_owner, HttpRequest::WorkerHeartbeat(Box::new(heartbeat)));
     assert_eq!(status, 200);
 
     let orders = body["orders"].as_array().cloned().unwrap_or_default();
@@ -282,7 +283,7 @@
     let mut world = World::new(3, 9);
     world.run(3_000);
     crash_all(&mut world, 500);
-    world.store.put_record(&job_key(FIRST_OLD_JOB), done());
+    world.store.put_record(&job_key(FIRST_OLD_JOB), done_record());
     let progress = format!("progress/{}/0", id(FIRST_OLD_JOB));
     world.store.put_record(&progress, json!("c0"));
     world.run(20_000);
@@ -300,7 +301,7 @@
     for number in 0..total {
         let key = job_key(FIRST_OLD_JOB + number);
         world.store.put_record(&key, live.clone());
-        world.store.put_record(&key, done());
+        world.store.put_record(&key, done_record());
         if number % 200 == 0 {
             world.run(100);
         }
@@ -313,9 +314,9 @@
         assert_eq!(world.status(node, &id(FIRST_OLD_JOB + total - 1)), "done");
     }
 
-    // A full read after the watch has fallen behind doesn't bring them back either.
+    // A full read after the watch has fallen behind doesn't load the dropped jobs again either.
     world.store.floor = world.store.revision + 1;
-    world.store.put_record(&job_key(FIRST_OLD_JOB + total), done());
+    world.store.put_record(&job_key(FIRST_OLD_JOB + total), done_record());
     world.store.put_record("w/other", json!(1));
     world.store.page_size = Some(500);
     world.run(5_000);
--- a/tests/final_jobs/job_table.rs
+++ b/tests/final_jobs/job_table.rs
@@ -1,4 +1,4 @@
-//! The table of jobs of one node, and the records that it takes in.
+//! The job table of one node and the job records that are applied to it.
 
 use crate::clusters::id;
 use crate::support::{job, platform};
@@ -13,7 +13,7 @@
     NodeContext::new(Arc::new(platform(0, 3)), Operator::default(), 1, 1, 1_000)
 }
 
-/// The record of a job as accepted, with its description.
+/// Returns the record of an accepted job, with its description.
 fn live_record() -> JobRecord {
     let body = job(1, "t1", 2, 5.0).to_string();
     let submission = woadlever::wire::users::parse_job(body.as_bytes()).expect("a submission");
@@ -38,10 +38,10 @@
     end_jobs(&mut context, 1_000, MAX_FINAL_JOBS + FINAL_JOBS_BATCH, 30);
     context.jobs.set_watched_revision(Some(100));
     context.drop_final_jobs(|_| {});
-    assert_eq!(context.job_index(&id(1)), None, "the oldest is dropped");
+    assert_eq!(context.job_index(&id(1)), None, "the oldest job was not dropped");
     assert_eq!(context.jobs.len(), MAX_FINAL_JOBS);
 
-    // A read that was under way for long, and a page of a full read.
+    // A single read that was in flight for a long time, and a page of a full read.
     assert!(!context.apply_job_record(&id(1), live_record(), 10, RecordSource::Single));
 
     context.jobs.set_watched_revision(None);
@@ -51,14 +51,14 @@
     assert!(context.apply_job_record(&id(1), JobRecord::done(2, 1), 20, page));
     assert_eq!(context.job_index(&id(1)), None);
 
-    // A record that has just been written is newer than what the watch has shown.
+    // A record that has just been written is newer than the latest revision that the watch has seen.
     context.jobs.set_watched_revision(Some(100));
     assert!(context.apply_job_record(&id(2), live_record(), 101, RecordSource::Single));
     assert!(context.job_index(&id(2)).is_some());
 }
 
-/// The watch has still to show that the job was live: dropped before that, it would be taken
-/// for a new one.
+/// The watch has yet to report that the job was live: if the job were dropped before that, it would
+/// be taken for a new one.
 #[test]
 fn a_final_job_newer_than_the_watch_is_kept() {
     let mut context = context();
@@ -67,12 +67,12 @@
     end_jobs(&mut context, 1_000, MAX_FINAL_JOBS + FINAL_JOBS_BATCH, 30);
     context.drop_final_jobs(|_| {});
     assert!(context.apply_job_record(&id(1), live_record(), 140, RecordSource::Watch));
-    let index = context.job_index(&id(1)).expect("still there");
+    let index = context.job_index(&id(1)).expect("the final job was dropped");
     assert_eq!(context.job(index).state, JobState::Done);
 }
 
 #[test]
-fn jobs_in_use_are_kept_and_an_index_is_never_used_again() {
+fn jobs_in_use_are_kept_and_an_index_is_never_reused() {
     let mut context = context();
     context.jobs.set_watched_revision(Some(100));
     end_jobs(&mut context, 1, 2, 20);
@@ -83,13 +83,13 @@
     });
     assert_eq!(context.job_index(&id(1)), Some(in_use));
     assert_eq!(context.job_index(&id(2)), None);
-    assert!(context.must_stop(other), "who kept the index starts nothing");
+    assert!(context.must_stop(other), "a holder of the old index may start tasks");
     assert!(context.apply_job_record(&id(2), JobRecord::done(2, 1), 20, RecordSource::Single));
     assert_ne!(context.job_index(&id(2)), Some(other));
 }
 
-/// The tombstone of another cell's job is the one final state that another can follow, and
-/// only if its cell offers it anew.
+/// The tombstone of another cell's job is the only final state that can be followed by another
+/// state, and only if the origin cell makes a new offer.
 #[test]
 fn a_job_that_another_cell_offers_again_is_live_and_stays_in_memory() {
     let mut context = context();
@@ -106,7 +106,11 @@
 
     let index = context.job_index(&id(1)).unwrap();
     assert!(context.apply_job_record(&id(1), hosted(5), 30, RecordSource::Watch));
-    assert_eq!(context.job(index).state, JobState::Cancelled, "the same offer, late");
+    assert_eq!(
+        context.job(index).state,
+        JobState::Cancelled,
+        "a late copy of the same offer revived the job"
+    );
     assert!(context.apply_job_record(&id(1), hosted(7), 40, RecordSource::Watch));
 
     let job = context.job(index);
@@ -124,10 +128,14 @@
     assert!(context.apply_job_record(&id(3), hosted(7), 70, RecordSource::Watch));
 
     let ended = context.job_index(&id(3)).unwrap();
-    assert_eq!(context.job(ended).state, JobState::Done, "what is done stays done");
+    assert_eq!(context.job(ended).state, JobState::Done, "a new offer revived a done job");
     assert!(context.apply_job_record(&id(2), JobRecord::cancelled(2), 60, RecordSource::Single));
     assert!(context.apply_job_record(&id(2), live_record(), 70, RecordSource::Watch));
 
     let own = context.job_index(&id(2)).unwrap();
-    assert_eq!(context.job(own).state, JobState::Cancelled, "a job of this cell stays cancelled");
+    assert_eq!(
+        context.job(own).state,
+        JobState::Cancelled,
+        "a live record revived a cancelled job of this cell"
+    );
 }
--- a/tests/final_jobs/main.rs
+++ b/tests/final_jobs/main.rs
@@ -1,5 +1,5 @@
-//! Final jobs leave memory: the number that a node keeps is bounded, and the others are
-//! answered, depended on and stopped as before.
+//! Final jobs are dropped from memory: a node keeps a bounded number of them, and status requests,
+//! dependencies and stop commands work as before for the others.
 
 #![allow(unreachable_pub, reason = "modules of a test program are not a library")]
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic, reason = "a test fails by panicking")]
--- a/tests/pipelines/upgrade.rs
+++ b/tests/pipelines/upgrade.rs
@@ -184,7 +184,8 @@
     let count_progress_records = |world: &World| world.store.records_under("progress/").count();
     assert_eq!(count_progress_records(&world), 1);
 
-    // The bits are set up to the end, so that every complete progress segment has its maximum length.
+    // The bits are set up to the end, so that every complete progress segment has its maximum
+    // length.
     let full = "ff".repeat(2_048);
     for segment in 0..6 {
         world.store.revision += 1;
