--- a/tests/soak/faults.rs
+++ b/tests/soak/faults.rs
@@ -1,4 +1,4 @@
-//! Faults drawn at random, each with an end of its own.
+//! Random faults, each of which ends at a random time of its own.
 
 use crate::support::network::WORKERS;
 use crate::support::{Fate, World};
@@ -7,105 +7,108 @@
 use woadlever::core::HttpRequest;
 use woadlever::wire::workers::WorkerHeartbeat;
 
-/// Leases of a leader last for five seconds: faults of about that length meet their ends.
+/// Duration of about one lease of a leader, which lasts five seconds: faults of this duration end
+/// close to the expiry of the lease.
 const ABOUT_A_LEASE_MS: Range<u64> = 2_500..7_500;
-/// Time within which all nodes end in a total loss.
-const TOTAL_LOSS_MS: u64 = 1_000;
-/// How long direct commands take when nothing holds them up.
-const USUAL_DIRECT_COMMANDS_MS: u64 = 2;
-/// Copies of heartbeats that are kept.
-const MAX_COPIES: usize = 2_000;
+/// Time within which all nodes crash when the whole cluster is lost.
+const CLUSTER_CRASH_WINDOW_MS: u64 = 1_000;
+/// Latency of direct commands without a fault.
+const DIRECT_COMMAND_LATENCY_MS: u64 = 2;
+/// Maximum number of heartbeat copies that are kept for later delivery.
+const MAX_HEARTBEAT_COPIES: usize = 2_000;
 
-/// What ends a fault.
+/// An action at a later time, which ends a fault or, in the loss of a whole cluster, crashes a node.
 #[derive(Debug, Clone)]
-enum Remedy {
-    ServeNode(usize),
-    Thaw(usize),
+enum ScheduledAction {
+    AcceptStoreCalls(usize),
+    ResumeNode(usize),
     StartStore,
-    StopLosing,
-    Join(usize, usize),
-    JoinZones,
-    Connect(usize),
-    Unmute(usize),
+    StopWriteLoss,
+    RestoreLink(usize, usize),
+    RestoreZoneLinks,
+    ReconnectWorker(usize),
+    DeliverHeartbeats(usize),
     DeliverReplies(usize),
-    DeliverCommands,
-    CarryOutLate,
-    SpeedUp,
+    RestoreCommandLatency,
+    ApplyLateWrites,
+    RestoreLatency,
     Crash { node: usize, back_ms: u64 },
 }
 
-impl Remedy {
+impl ScheduledAction {
     fn apply(self, world: &mut World) {
         match self {
-            Remedy::ServeNode(node) => {
+            ScheduledAction::AcceptStoreCalls(node) => {
                 world.store.refuses.remove(&node);
             }
-            Remedy::Thaw(node) => world.thaw(node),
-            Remedy::StartStore => world.store.down = false,
-            Remedy::StopLosing => world.store_faults.loss = 0.0,
-            Remedy::Join(one, other) => {
+            ScheduledAction::ResumeNode(node) => world.thaw(node),
+            ScheduledAction::StartStore => world.store.down = false,
+            ScheduledAction::StopWriteLoss => world.store_faults.loss = 0.0,
+            ScheduledAction::RestoreLink(one, other) => {
                 world.network.cuts.remove(&(one, other));
             }
-            Remedy::JoinZones => world.join_zones(),
-            Remedy::Connect(worker) => world.workers[worker].cut = false,
-            Remedy::Unmute(worker) => world.workers[worker].mute = false,
-            Remedy::DeliverReplies(worker) => {
+            ScheduledAction::RestoreZoneLinks => world.join_zones(),
+            ScheduledAction::ReconnectWorker(worker) => world.workers[worker].cut = false,
+            ScheduledAction::DeliverHeartbeats(worker) => world.workers[worker].mute = false,
+            ScheduledAction::DeliverReplies(worker) => {
                 world.network.lose_replies.remove(&worker);
             }
-            Remedy::DeliverCommands => world.network.direct_commands_ms = USUAL_DIRECT_COMMANDS_MS,
-            Remedy::CarryOutLate => {
+            ScheduledAction::RestoreCommandLatency => {
+                world.network.direct_commands_ms = DIRECT_COMMAND_LATENCY_MS;
+            }
+            ScheduledAction::ApplyLateWrites => {
                 world.store_faults.pick = None;
                 world.carry_out_late();
             }
-            Remedy::SpeedUp => {
+            ScheduledAction::RestoreLatency => {
                 world.network.lag.clear();
                 world.store_faults.slow.clear();
                 world.store_faults.slow_writes.clear();
             }
-            Remedy::Crash { node, back_ms } => world.crash(node, back_ms),
+            ScheduledAction::Crash { node, back_ms } => world.crash(node, back_ms),
         }
     }
 }
 
-/// The faults that hold now, with the times at which they end.
+/// The faults in effect, with the times at which they end.
 #[derive(Default)]
 pub struct Faults {
-    remedies: Vec<(u64, Remedy)>,
-    copies: Vec<WorkerHeartbeat>,
+    scheduled: Vec<(u64, ScheduledAction)>,
+    heartbeat_copies: Vec<WorkerHeartbeat>,
 }
 
 impl Faults {
-    /// Lets the time pass, and ends the faults whose time is over.
+    /// Advances the simulated time and ends the faults whose time is over.
     pub fn run(&mut self, world: &mut World, ms: u64) {
         let end = world.now + ms;
         while world.now < end {
             world.run(50);
             let now = world.now;
             tracing::debug!(now, "simulated time");
-            for (_, remedy) in self.remedies.extract_if(.., |(at, _)| *at <= now) {
-                tracing::info!(now, ?remedy, "fault ends");
-                remedy.apply(world);
+            for (_, action) in self.scheduled.extract_if(.., |(at, _)| *at <= now) {
+                tracing::info!(now, ?action, "fault ends");
+                action.apply(world);
             }
         }
     }
 
-    /// Ends all faults.
+    /// Ends all faults now, and drops the crashes that are still scheduled.
     pub fn end(&mut self, world: &mut World) {
-        for (_, remedy) in self.remedies.drain(..) {
-            match remedy {
-                Remedy::Crash { .. } => {}
+        for (_, action) in self.scheduled.drain(..) {
+            match action {
+                ScheduledAction::Crash { .. } => {}
                 other => other.apply(world),
             }
         }
     }
 
-    fn end_after(&mut self, world: &mut World, ms: Range<u64>, remedy: Remedy) {
-        let at = world.now + world.rng.random_range(ms);
-        tracing::info!(now = world.now, at, ?remedy, "fault begins");
-        self.remedies.push((at, remedy));
+    fn schedule(&mut self, world: &mut World, delay_ms: Range<u64>, action: ScheduledAction) {
+        let at = world.now + world.rng.random_range(delay_ms);
+        tracing::info!(now = world.now, at, ?action, "fault begins");
+        self.scheduled.push((at, action));
     }
 
-    /// Begins one more fault.
+    /// Draws a fault at random and begins it.
     pub fn draw(&mut self, world: &mut World) {
         match world.rng.random_range(0..6) {
             0 | 1 => self.draw_store_fault(world),
@@ -116,7 +119,7 @@
         }
     }
 
-    /// Mostly the leader, or any node.
+    /// Returns the leader, if there is one, in 60 % of the cases, and otherwise any node.
     fn draw_node(world: &mut World) -> usize {
         let any = world.rng.random_range(0..world.node_count);
         if world.rng.random_bool(0.6) { world.leader().unwrap_or(any) } else { any }
@@ -127,41 +130,42 @@
         match world.rng.random_range(0..10) {
             0..=3 => {
                 world.store.refuses.insert(node);
-                self.end_after(world, ABOUT_A_LEASE_MS, Remedy::ServeNode(node));
+                self.schedule(world, ABOUT_A_LEASE_MS, ScheduledAction::AcceptStoreCalls(node));
             }
             4 => {
-                // Alone with its workers.
+                // The node is cut off from the store and from all other nodes, but not from its
+                // workers.
                 world.store.refuses.insert(node);
                 let ends_at = world.now + world.rng.random_range(ABOUT_A_LEASE_MS);
-                self.remedies.push((ends_at, Remedy::ServeNode(node)));
+                self.scheduled.push((ends_at, ScheduledAction::AcceptStoreCalls(node)));
                 for peer in (0..world.node_count).filter(|peer| *peer != node) {
                     world.network.cuts.insert((node, peer));
-                    self.remedies.push((ends_at, Remedy::Join(node, peer)));
+                    self.scheduled.push((ends_at, ScheduledAction::RestoreLink(node, peer)));
                 }
             }
             5 => {
                 world.store.down = true;
-                self.end_after(world, 1_000..12_000, Remedy::StartStore);
+                self.schedule(world, 1_000..12_000, ScheduledAction::StartStore);
             }
             6 => {
                 world.store_faults.loss = 0.3;
-                self.end_after(world, 3_000..15_000, Remedy::StopLosing);
+                self.schedule(world, 3_000..15_000, ScheduledAction::StopWriteLoss);
             }
             7 => {
                 let fate = if world.rng.random_bool(0.5) { Fate::Late } else { Fate::AnswerLost };
                 world.store_faults.pick = Some((node, "place/".into(), fate));
-                self.end_after(world, 1_000..8_000, Remedy::CarryOutLate);
+                self.schedule(world, 1_000..8_000, ScheduledAction::ApplyLateWrites);
             }
             8 => {
                 let delay_ms = world.rng.random_range(200..3_000);
                 world.store_faults.slow_writes.insert(node, delay_ms);
-                self.end_after(world, 2_000..9_000, Remedy::SpeedUp);
+                self.schedule(world, 2_000..9_000, ScheduledAction::RestoreLatency);
             }
             _ => {
                 let delay_ms = world.rng.random_range(50..800);
                 world.store_faults.slow.insert(node, delay_ms);
                 world.network.lag.insert(node, delay_ms / 2);
-                self.end_after(world, 2_000..9_000, Remedy::SpeedUp);
+                self.schedule(world, 2_000..9_000, ScheduledAction::RestoreLatency);
             }
         }
     }
@@ -176,19 +180,25 @@
             1 => {
                 for node in 0..world.node_count {
                     let back_ms = world.rng.random_range(100..5_000);
-                    self.end_after(world, 1..TOTAL_LOSS_MS, Remedy::Crash { node, back_ms });
+                    self.schedule(
+                        world,
+                        1..CLUSTER_CRASH_WINDOW_MS,
+                        ScheduledAction::Crash { node, back_ms },
+                    );
                 }
             }
             _ if !self.is_frozen(node) => {
                 world.freeze(node);
-                self.end_after(world, 500..9_000, Remedy::Thaw(node));
+                self.schedule(world, 500..9_000, ScheduledAction::ResumeNode(node));
             }
             _ => {}
         }
     }
 
     fn is_frozen(&self, node: usize) -> bool {
-        self.remedies.iter().any(|(_, remedy)| matches!(remedy, Remedy::Thaw(frozen) if *frozen == node))
+        self.scheduled
+            .iter()
+            .any(|(_, action)| matches!(action, ScheduledAction::ResumeNode(frozen) if *frozen == node))
     }
 
     fn draw_network_fault(&mut self, world: &mut World) {
@@ -196,46 +206,50 @@
         match world.rng.random_range(0..5) {
             0 => {
                 world.network.cuts.insert((node, WORKERS));
-                self.end_after(world, 1_000..12_000, Remedy::Join(node, WORKERS));
+                self.schedule(world, 1_000..12_000, ScheduledAction::RestoreLink(node, WORKERS));
             }
             1 => {
                 let peer = (node + 1) % world.node_count;
                 world.network.cuts.insert((node, peer));
-                self.end_after(world, 1_000..10_000, Remedy::Join(node, peer));
+                self.schedule(world, 1_000..10_000, ScheduledAction::RestoreLink(node, peer));
             }
-            2 if !self.remedies.iter().any(|(_, remedy)| matches!(remedy, Remedy::JoinZones)) => {
+            2 if !self
+                .scheduled
+                .iter()
+                .any(|(_, action)| matches!(action, ScheduledAction::RestoreZoneLinks)) =>
+            {
                 world.part_zones();
-                self.end_after(world, 1_000..12_000, Remedy::JoinZones);
+                self.schedule(world, 1_000..12_000, ScheduledAction::RestoreZoneLinks);
             }
             3 => {
                 world.network.direct_commands_ms = world.rng.random_range(2_000..16_000);
-                self.end_after(world, 3_000..15_000, Remedy::DeliverCommands);
+                self.schedule(world, 3_000..15_000, ScheduledAction::RestoreCommandLatency);
             }
-            _ => self.repeat_old_heartbeats(world),
+            _ => self.replay_old_heartbeats(world),
         }
     }
 
-    /// Copies of heartbeats from up to minutes ago reach any node.
-    fn repeat_old_heartbeats(&mut self, world: &mut World) {
+    /// Delivers copies of heartbeats, some of them minutes old, to random nodes.
+    fn replay_old_heartbeats(&mut self, world: &mut World) {
         for _ in 0..world.workers.len() / 4 {
             let worker = world.rng.random_range(0..world.workers.len());
             let copy = world.workers[worker].heartbeat();
-            if self.copies.len() < MAX_COPIES {
-                self.copies.push(copy);
+            if self.heartbeat_copies.len() < MAX_HEARTBEAT_COPIES {
+                self.heartbeat_copies.push(copy);
             } else {
-                let place = world.rng.random_range(0..MAX_COPIES);
-                self.copies[place] = copy;
+                let index = world.rng.random_range(0..MAX_HEARTBEAT_COPIES);
+                self.heartbeat_copies[index] = copy;
             }
-            let place = world.rng.random_range(0..self.copies.len());
+            let index = world.rng.random_range(0..self.heartbeat_copies.len());
             let node = world.rng.random_range(0..world.node_count);
-            world.late_heartbeat(node, self.copies[place].clone());
+            world.late_heartbeat(node, self.heartbeat_copies[index].clone());
         }
     }
 
     fn draw_machine_fault(&mut self, world: &mut World) {
-        let share = if world.rng.random_bool(0.3) { 8 } else { 40 };
+        let divisor = if world.rng.random_bool(0.3) { 8 } else { 40 };
         let kind = world.rng.random_range(0..5);
-        for _ in 0..world.workers.len() / share {
+        for _ in 0..world.workers.len() / divisor {
             let worker = world.rng.random_range(0..world.workers.len());
             match kind {
                 0 => {
@@ -243,15 +257,15 @@
                 }
                 1 => {
                     world.workers[worker].cut = true;
-                    self.end_after(world, 1_000..30_000, Remedy::Connect(worker));
+                    self.schedule(world, 1_000..30_000, ScheduledAction::ReconnectWorker(worker));
                 }
                 2 => {
                     world.workers[worker].mute = true;
-                    self.end_after(world, 1_000..30_000, Remedy::Unmute(worker));
+                    self.schedule(world, 1_000..30_000, ScheduledAction::DeliverHeartbeats(worker));
                 }
                 3 => {
                     world.network.lose_replies.insert(worker);
-                    self.end_after(world, 1_000..15_000, Remedy::DeliverReplies(worker));
+                    self.schedule(world, 1_000..15_000, ScheduledAction::DeliverReplies(worker));
                 }
                 _ if world.workers[worker].alive => lose_machine(world, worker),
                 _ => {}
@@ -263,7 +277,7 @@
         let mut ids: Vec<String> = world.users.jobs.keys().cloned().collect();
         ids.sort();
         if ids.is_empty() || world.rng.random_bool(0.5) {
-            return self.repeat_old_heartbeats(world);
+            return self.replay_old_heartbeats(world);
         }
         for _ in 0..2 {
             let id = ids[world.rng.random_range(0..ids.len())].clone();
@@ -274,9 +288,9 @@
     }
 }
 
-/// A machine ends for good, and a new one comes in its place. Workers that start anew on the same
-/// machine are no fault here: the protocol knows none, and late copies of their heartbeats could
-/// not be told from new ones.
+/// Ends a machine permanently and adds a new one in its place. Restarts of a worker on the same
+/// machine are not among these faults: the protocol does not provide for them, and late copies of
+/// heartbeats from before a restart could not be told from new ones.
 fn lose_machine(world: &mut World, worker: usize) {
     let lost = &mut world.workers[worker];
     lost.alive = false;
--- a/tests/soak/main.rs
+++ b/tests/soak/main.rs
@@ -1,9 +1,9 @@
-//! Teams at their limits through faults drawn at random, with short gaps between them.
+//! Clusters whose teams are at their limits, under random faults with short gaps between them.
 //!
-//! CI plays a few fixed seeds. `SOAK_SEEDS=200 SOAK_FIRST=1000 cargo test --release --test soak`
-//! plays others (CONTRIBUTING.md). A seed that breaks a rule is named and plays the same way
-//! again with `SOAK_SEEDS=1 SOAK_FIRST=<seed>`; `SOAK_LOG=debug` adds what the nodes log, with the
-//! simulated time and the faults.
+//! CI runs a few fixed seeds. `SOAK_SEEDS=200 SOAK_FIRST=1000 cargo test --release --test soak`
+//! runs others (CONTRIBUTING.md). A seed that breaks a rule is printed, and can be replayed
+//! identically with `SOAK_SEEDS=1 SOAK_FIRST=<seed>`; `SOAK_LOG=debug` also prints the logs of the
+//! nodes, with the simulated time and the faults.
 
 #![allow(unreachable_pub, reason = "modules of a test program are not a library")]
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic, reason = "a test fails by panicking")]
@@ -19,38 +19,39 @@
 use support::{PinnedTeams, World, ZONES, job};
 use tracing::Level;
 
-/// Tasks take four CPUs of a machine's sixteen.
+/// CPUs of each task, out of the sixteen of a machine.
 const CPUS_PER_TASK: u32 = 4;
 const CPUS_PER_MACHINE: u32 = 16;
 const TASKS_PER_JOB: u32 = 40;
-/// Time for the machines to be up and a leader to lead.
+/// Time for the machines to start and for a leader to be elected.
 const WARM_UP_MS: u64 = 14_000;
-/// How long faults are drawn.
-const FAULTS_MS: u64 = 90_000;
-/// Once all faults are over, all that was accepted is done within this time.
+/// Duration of the phase in which faults are drawn.
+const FAULT_PHASE_MS: u64 = 90_000;
+/// Time after the end of all faults within which all accepted jobs have to be done.
 const RECOVERY_MS: u64 = 240_000;
 
-/// A cluster to be played.
+/// Size and load of a simulated cluster.
 #[derive(Debug, Clone, Copy)]
 struct Cluster {
     nodes: usize,
     machines: usize,
     teams: PinnedTeams,
-    /// Rounds of work that each team has for all that it may use.
+    /// Work of each team, in multiples of the tasks that its limit allows at the same time.
     rounds: u32,
 }
 
 impl Cluster {
-    /// `machines` machines, and teams whose limits add up to nearly all of them.
+    /// Returns a cluster of `machines` machines with teams whose limits add up to nearly all of
+    /// them.
     fn new(nodes: usize, machines: usize, teams: u32, is_fleet: bool) -> Cluster {
         let cpus_max = machines as u32 * CPUS_PER_MACHINE * 9 / 10 / teams;
-        // A limit that no number of tasks meets exactly, and a guarantee near it.
+        // A limit that is no multiple of a task's CPUs, and a guarantee close to it.
         let cpus_max = cpus_max / CPUS_PER_TASK * CPUS_PER_TASK + 1;
         let teams = PinnedTeams { count: teams, cpus: cpus_max * 9 / 10, cpus_max, is_fleet };
         Cluster { nodes, machines, teams, rounds: if is_fleet { 3 } else { 8 } }
     }
 
-    /// The world with its machines, and more work than the teams may run.
+    /// Starts the world with its machines and submits more work than the teams may run at once.
     fn start(self, seed: u64) -> World {
         let mut world = World::pinned(self.nodes, seed, self.teams);
         world.cloud.capacity = self.machines;
@@ -85,11 +86,11 @@
     }
 }
 
-/// Plays a seed; what was broken, and the starts that were checked.
-fn play(cluster: Cluster, seed: u64) -> (Vec<String>, u64) {
+/// Runs a seed and returns the broken rules and the number of starts that were checked.
+fn run_seed(cluster: Cluster, seed: u64) -> (Vec<String>, u64) {
     let mut world = cluster.start(seed);
     let mut faults = Faults::default();
-    let end = world.now + FAULTS_MS;
+    let end = world.now + FAULT_PHASE_MS;
     while world.now < end {
         world.run_ms = world.rng.random_range(3_000..14_000);
         world.fetch_ms = world.rng.random_range(200..4_000);
@@ -111,18 +112,18 @@
     (broken, world.oracle.checked_starts)
 }
 
-/// Accepted jobs that are neither done nor cancelled.
+/// Returns the accepted jobs that are neither done nor cancelled.
 fn open_jobs(world: &World) -> Vec<String> {
     let is_open = |id: &&String| world.store.job(id).is_some_and(|record| record["s"] == "l");
     world.users.jobs.keys().filter(is_open).cloned().collect()
 }
 
-/// Prints what the nodes log, if asked for.
+/// Prints the logs of the nodes if `SOAK_LOG` names a level.
 fn log_from_env() {
     let level = std::env::var("SOAK_LOG").ok().and_then(|level| level.parse::<Level>().ok());
     if let Some(level) = level {
         let subscriber = tracing_subscriber::fmt().with_max_level(level).without_time();
-        // Both tests ask for it; the first one has set it.
+        // Both tests call this, and only the first call can set the subscriber.
         let _ = subscriber.with_ansi(false).with_writer(std::io::stdout).try_init();
     }
 }
@@ -131,20 +132,20 @@
     std::env::var(name).ok()?.parse().ok()
 }
 
-/// Plays seeds on clusters of three and of five nodes in turn.
-fn soak(clusters: [Cluster; 2], usual_seeds: u64) {
+/// Runs seeds on the two clusters, of three and of five nodes, in turn.
+fn soak(clusters: [Cluster; 2], default_seeds: u64) {
     log_from_env();
     let first = number_from_env("SOAK_FIRST").unwrap_or(0);
-    let seeds = number_from_env("SOAK_SEEDS").unwrap_or(usual_seeds);
+    let seeds = number_from_env("SOAK_SEEDS").unwrap_or(default_seeds);
     let mut failed = Vec::new();
     let mut starts = 0;
     for seed in first..first + seeds {
         let cluster = clusters[seed as usize % clusters.len()];
-        let (broken, checked) = play(cluster, seed);
+        let (broken, checked) = run_seed(cluster, seed);
         starts += checked;
         if !broken.is_empty() {
-            let first_ones = &broken[..broken.len().min(3)];
-            println!("seed {seed}, {} nodes: {} broken: {first_ones:?}", cluster.nodes, broken.len());
+            let first_broken = &broken[..broken.len().min(3)];
+            println!("seed {seed}, {} nodes: {} broken: {first_broken:?}", cluster.nodes, broken.len());
             failed.push(seed);
         }
     }
