--- a/tests/recovery.rs
+++ b/tests/recovery.rs
@@ -1,5 +1,5 @@
-//! Recovery from the loss of all controllers: workers' heartbeats are reconciled with what is
-//! on record before commands are sent, and no more commands are sent than needed.
+//! Recovery from the loss of all controllers: workers' heartbeats are reconciled with the records
+//! before commands are sent, and no more commands are sent than needed.
 
 #![allow(unreachable_pub, reason = "modules of a test program are not a library")]
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic, reason = "a test fails by panicking")]
@@ -13,11 +13,11 @@
 use woadlever::wire::workers::TaskState;
 
 const NODES: usize = 3;
-/// Commands sent after a restart may exceed the least that is needed by this factor.
-const COMMAND_FACTOR: f64 = 1.1;
+/// Maximum ratio of the commands that are sent after a restart to the least number that is needed.
+const MAX_COMMAND_RATIO: f64 = 1.1;
 
-/// A busy cluster: long tasks on all machines, and some that wait.
-fn busy(seed: u64) -> World {
+/// Returns a busy cluster: long tasks run on all machines, and more tasks are queued.
+fn busy_cluster(seed: u64) -> World {
     let mut world = World::new(NODES, seed);
     world.run_ms = 60_000;
     world.run(5_000);
@@ -29,14 +29,14 @@
     world
 }
 
-/// Ends all processes; they start anew after `back_ms`.
+/// Crashes all nodes, which restart after `back_ms`.
 fn crash_all(world: &mut World, back_ms: u64) {
     for node in 0..NODES {
         world.crash(node, back_ms);
     }
 }
 
-/// Tasks that are on a machine and have not ended.
+/// Returns the tasks that are on a machine and have not ended.
 fn running_tasks(world: &World) -> HashSet<String> {
     let live = world.workers.iter().filter(|worker| worker.alive).flat_map(|worker| &worker.tasks);
     live.filter(|task| task.state != TaskState::Exited)
@@ -44,8 +44,8 @@
         .collect()
 }
 
-/// Tasks that are neither on a machine nor done, from the true state of the workers and
-/// the records: at least this number of commands to start is needed.
+/// Returns the number of tasks that are neither on a machine nor done, according to the actual state
+/// of the workers and the records: at least as many start commands are needed.
 fn count_needed_starts(world: &World) -> usize {
     let on_machines: HashSet<String> = world
         .workers
@@ -65,17 +65,17 @@
     needed
 }
 
-/// Whether the progress on record says that a task is done.
+/// Whether the progress record lists a task as done.
 fn is_recorded_done(world: &World, id: &str, task: u64) -> bool {
     let Some(progress) = world.store.value(&format!("progress/{id}/0")) else { return false };
     let digits = progress.as_str().unwrap_or_default().as_bytes();
     let byte = (task / 8) as usize;
-    let place = byte * 2 + usize::from(task % 8 < 4);
-    let digit = digits.get(place).and_then(|digit| (*digit as char).to_digit(16)).unwrap_or(0);
+    let digit_index = byte * 2 + usize::from(task % 8 < 4);
+    let digit = digits.get(digit_index).and_then(|digit| (*digit as char).to_digit(16)).unwrap_or(0);
     digit & (1 << (task % 4)) != 0
 }
 
-/// Lets the time pass until all jobs are done.
+/// Advances the simulated time until all jobs are done.
 fn run_until_all_done(world: &mut World) {
     let ids: Vec<String> = world.users.jobs.keys().cloned().collect();
     for id in ids {
@@ -89,23 +89,27 @@
 }
 
 #[test]
-fn running_work_is_kept_and_no_command_is_sent_that_is_not_needed() {
+fn running_tasks_are_kept_and_no_unneeded_command_is_sent() {
     for seed in 0..6 {
-        let mut world = busy(700 + seed);
+        let mut world = busy_cluster(700 + seed);
         crash_all(&mut world, 3_000 + seed * 1_000);
         world.commands = CommandCounts::default();
-        let least = count_needed_starts(&world);
-        let kept = running_tasks(&world);
+        let needed = count_needed_starts(&world);
+        let running_before = running_tasks(&world);
         world.run(20_000);
-        let still = running_tasks(&world);
-        assert!(kept.is_subset(&still), "seed {seed}: lost {:?}", kept.difference(&still));
+        let running_after = running_tasks(&world);
+        assert!(
+            running_before.is_subset(&running_after),
+            "seed {seed}: lost {:?}",
+            running_before.difference(&running_after)
+        );
         assert_eq!(world.commands.stops, 0, "seed {seed}");
 
         run_until_all_done(&mut world);
         let sent = world.commands.attempts();
         assert!(
-            sent as f64 <= least as f64 * COMMAND_FACTOR,
-            "seed {seed}: {sent} runs, {least} needed"
+            sent as f64 <= needed as f64 * MAX_COMMAND_RATIO,
+            "seed {seed}: {sent} attempts sent, {needed} needed"
         );
         assert_no_task_ran_again(&world);
         world.assert_rules_kept();
@@ -113,14 +117,14 @@
 }
 
 #[test]
-fn several_losses_before_the_first_is_reconciled_lose_nothing() {
+fn repeated_crashes_during_reconciliation_lose_no_task() {
     for seed in 0..4 {
-        let mut world = busy(720 + seed);
+        let mut world = busy_cluster(720 + seed);
         world.commands = CommandCounts::default();
-        let kept = running_tasks(&world);
+        let running_before = running_tasks(&world);
 
-        // One by one, then all again before the last is back, and again while machines
-        // are still being reconciled.
+        // Crashes the nodes one by one, then all of them before the last is back, and all again
+        // while machines are still being reconciled.
         for node in 0..NODES {
             world.crash(node, 1_000 + 900 * node as u64);
         }
@@ -129,8 +133,12 @@
         world.run(2_200);
         crash_all(&mut world, 800);
         world.run(15_000);
-        let still = running_tasks(&world);
-        assert!(kept.is_subset(&still), "seed {seed}: lost {:?}", kept.difference(&still));
+        let running_after = running_tasks(&world);
+        assert!(
+            running_before.is_subset(&running_after),
+            "seed {seed}: lost {:?}",
+            running_before.difference(&running_after)
+        );
 
         run_until_all_done(&mut world);
         assert_no_task_ran_again(&world);
@@ -138,21 +146,21 @@
     }
 }
 
-/// Puts an attempt onto a machine that is on no record.
+/// Adds a running attempt that is on no record to a machine.
 fn add_unrecorded_attempt(world: &mut World, worker: usize, job: &str, task: u32, attempt: u64) {
     let at = world.now + 600_000;
     let task = WorkerTask { job: job.into(), task, attempt, state: TaskState::Running, why: None, at };
     world.workers[worker].tasks.push(task);
 }
 
-fn is_there(world: &World, worker: usize, attempt: u64) -> bool {
+fn has_live_attempt(world: &World, worker: usize, attempt: u64) -> bool {
     let tasks = &world.workers[worker].tasks;
     tasks.iter().any(|task| task.attempt == attempt && task.state != TaskState::Exited)
 }
 
 #[test]
-fn attempts_that_no_record_speaks_of_are_stopped_and_nothing_else_is() {
-    let mut world = busy(740);
+fn attempts_without_a_record_are_stopped_and_no_others() {
+    let mut world = busy_cluster(740);
     let finished = job(9, "t0", 1, 5.0);
     world.run_ms = 5_000;
     world.accept(0, &finished);
@@ -160,10 +168,10 @@
 
     world.run_ms = 60_000;
     crash_all(&mut world, 4_000);
-    let kept = running_tasks(&world);
+    let running_before = running_tasks(&world);
 
-    // A job never accepted, another attempt at a task that runs elsewhere, an attempt of
-    // an earlier incarnation at a known job, and one of a job that is done.
+    // Attempts of a job that was never accepted, of a task that runs elsewhere, of a known job from
+    // an earlier incarnation, and of a job that is done.
     add_unrecorded_attempt(&mut world, 0, "run-777777", 0, 5);
     add_unrecorded_attempt(&mut world, 1, "run-000002", 1, 7);
     add_unrecorded_attempt(&mut world, 2, "run-000003", 2, 3);
@@ -171,9 +179,12 @@
     world.commands = CommandCounts::default();
     world.run(25_000);
     for (worker, attempt) in [(0, 5), (1, 7), (2, 3), (3, 11)] {
-        assert!(!is_there(&world, worker, attempt), "attempt {attempt} goes on");
+        assert!(!has_live_attempt(&world, worker, attempt), "attempt {attempt} was not stopped");
     }
-    assert!(kept.iter().all(|task| running_tasks(&world).contains(task)), "kept work was stopped");
+    assert!(
+        running_before.iter().all(|task| running_tasks(&world).contains(task)),
+        "a recorded attempt was stopped"
+    );
 
     // Each command may be sent again with the answer to the next heartbeat.
     assert!((4..=8).contains(&world.commands.stops), "{} stops", world.commands.stops);
@@ -184,11 +195,11 @@
 }
 
 #[test]
-fn what_the_store_lists_and_no_worker_admits_to_is_run_once_more() {
-    let mut world = busy(760);
+fn recorded_tasks_that_no_worker_reports_are_run_once_more() {
+    let mut world = busy_cluster(760);
     crash_all(&mut world, 4_000);
 
-    // Their workers start anew while no controller runs.
+    // Two workers restart, and lose their tasks, while no controller runs.
     let mut lost = HashSet::new();
     for worker in [0, 1] {
         let tasks = &world.workers[worker].tasks;
@@ -198,10 +209,10 @@
     assert!(!lost.is_empty());
 
     world.commands = CommandCounts::default();
-    let least = count_needed_starts(&world);
+    let needed = count_needed_starts(&world);
     run_until_all_done(&mut world);
     let sent = world.commands.attempts();
-    assert!(sent as f64 <= least as f64 * COMMAND_FACTOR, "{sent} runs, {least} needed");
+    assert!(sent as f64 <= needed as f64 * MAX_COMMAND_RATIO, "{sent} attempts sent, {needed} needed");
 
     for (task, starts) in &world.oracle.starts {
         assert_eq!(*starts, if lost.contains(task) { 2 } else { 1 }, "{task}");
@@ -210,50 +221,53 @@
 }
 
 #[test]
-fn work_of_a_machine_that_is_gone_moves_only_after_its_lease() {
-    let mut world = busy(770);
+fn tasks_of_an_unreachable_machine_move_only_after_its_lease_ends() {
+    let mut world = busy_cluster(770);
     crash_all(&mut world, 2_000);
-    let gone = world.workers[0].name.clone();
-    let lost: Vec<String> =
+    let unreachable = world.workers[0].name.clone();
+    let its_tasks: Vec<String> =
         world.workers[0].tasks.iter().map(|task| format!("{}/{}", task.job, task.task)).collect();
 
-    // The machine is cut off, not gone: its tasks run on until its own lease ends.
+    // The machine is unreachable but up: its tasks keep running until its own lease ends.
     world.workers[0].cut = true;
     world.run(12_000);
-    let elsewhere = |world: &World| {
-        let others = world.workers.iter().filter(|worker| worker.name != gone && worker.alive);
+    let count_elsewhere = |world: &World| {
+        let others = world.workers.iter().filter(|worker| worker.name != unreachable && worker.alive);
         let tasks: Vec<String> = others
             .flat_map(|worker| &worker.tasks)
             .map(|task| format!("{}/{}", task.job, task.task))
             .collect();
-        lost.iter().filter(|task| tasks.contains(task)).count()
+        its_tasks.iter().filter(|task| tasks.contains(task)).count()
     };
-    assert_eq!(elsewhere(&world), 0, "its lease has not ended");
+    assert_eq!(count_elsewhere(&world), 0, "tasks moved before the lease of their machine ended");
 
     run_until_all_done(&mut world);
     world.assert_rules_kept();
 }
 
 #[test]
-fn heartbeats_older_than_the_loss_prove_nothing() {
-    let mut world = busy(780);
-
-    // Heartbeats from before the tasks were there.
-    let mut old = world.workers[0].heartbeat();
-    old.tasks.clear();
-    old.sequence = 1;
-    old.fencing_token = 0;
+fn heartbeats_from_before_the_crash_end_no_running_task() {
+    let mut world = busy_cluster(780);
+
+    // A heartbeat from before the tasks were started.
+    let mut old_heartbeat = world.workers[0].heartbeat();
+    old_heartbeat.tasks.clear();
+    old_heartbeat.sequence = 1;
+    old_heartbeat.fencing_token = 0;
     crash_all(&mut world, 2_000);
-    let kept = running_tasks(&world);
+    let running_before = running_tasks(&world);
     world.run(2_300);
     for step in 0..20 {
         for node in 0..NODES {
-            world.late_heartbeat(node, old.clone());
+            world.late_heartbeat(node, old_heartbeat.clone());
         }
         world.run(100 + step * 20);
     }
     world.run(8_000);
-    assert!(kept.is_subset(&running_tasks(&world)), "work was given up because of an old heartbeat");
+    assert!(
+        running_before.is_subset(&running_tasks(&world)),
+        "tasks were given up because of an old heartbeat"
+    );
 
     run_until_all_done(&mut world);
     assert_no_task_ran_again(&world);
@@ -261,23 +275,27 @@
 }
 
 #[test]
-fn the_store_comes_back_later_and_goes_again_in_the_middle() {
+fn a_second_store_outage_while_records_are_read_loses_no_task() {
     for seed in 0..4 {
-        let mut world = busy(790 + seed);
+        let mut world = busy_cluster(790 + seed);
         world.store.down = true;
         crash_all(&mut world, 500);
-        let kept = running_tasks(&world);
+        let running_before = running_tasks(&world);
         world.run(4_000);
         world.store.down = false;
 
-        // Long enough to read some pages, not all.
+        // Long enough to read some pages of the records, but not all.
         world.run(60 + seed * 40);
         world.store.down = true;
         world.run(3_000);
         world.store.down = false;
         world.run(12_000);
-        let still = running_tasks(&world);
-        assert!(kept.is_subset(&still), "seed {seed}: lost {:?}", kept.difference(&still));
+        let running_after = running_tasks(&world);
+        assert!(
+            running_before.is_subset(&running_after),
+            "seed {seed}: lost {:?}",
+            running_before.difference(&running_after)
+        );
 
         run_until_all_done(&mut world);
         assert_no_task_ran_again(&world);
@@ -286,10 +304,10 @@
 }
 
 #[test]
-fn a_cancellation_acts_whatever_the_phase() {
-    let mut world = busy(800);
+fn a_cancellation_takes_effect_on_machines_that_are_not_reconciled() {
+    let mut world = busy_cluster(800);
 
-    // Machines that reach nobody are never reconciled; direct commands reach them.
+    // Machines whose heartbeats reach no node are never reconciled; direct commands reach them.
     for worker in 0..3 {
         world.workers[worker].mute = true;
     }
@@ -319,7 +337,7 @@
     world.accept(0, &job(1, "t1", 8, 5.0));
     assert!(world.until_done("run-000001", 120_000));
 
-    // Idle machines are drained; the loss comes once a termination is on record.
+    // Idle machines are drained; the nodes crash once a termination is on record.
     let terminating = |world: &World| -> Vec<String> {
         let records = world.store.records_under("place/");
         let rows =
@@ -333,14 +351,14 @@
     while terminating(&world).is_empty() && world.now < end {
         world.run(100);
     }
-    let marked = terminating(&world);
-    assert!(!marked.is_empty(), "no return was recorded");
+    let terminating_machines = terminating(&world);
+    assert!(!terminating_machines.is_empty(), "no termination was recorded");
 
     crash_all(&mut world, 1_000);
     world.run(3_000);
     world.accept(0, &job(2, "t1", 8, 5.0));
     world.run(10_000);
-    for worker in world.workers.iter().filter(|worker| marked.contains(&worker.name)) {
+    for worker in world.workers.iter().filter(|worker| terminating_machines.contains(&worker.name)) {
         assert!(worker.tasks.is_empty(), "{} got work", worker.name);
     }
     world.cloud.is_down = false;
@@ -350,14 +368,14 @@
 
 #[test]
 fn heartbeats_are_answered_while_the_records_are_still_being_read() {
-    let mut world = busy(820);
+    let mut world = busy_cluster(820);
     for node in 0..NODES {
         world.store_faults.slow.insert(node, 900);
     }
     crash_all(&mut world, 1_000);
-    let kept = running_tasks(&world);
+    let running_before = running_tasks(&world);
     world.run(30_000);
-    assert!(kept.is_subset(&running_tasks(&world)), "leases ended while records were read");
+    assert!(running_before.is_subset(&running_tasks(&world)), "leases ended while records were read");
     world.store_faults.slow.clear();
     run_until_all_done(&mut world);
     assert_no_task_ran_again(&world);
@@ -365,8 +383,8 @@
 }
 
 #[test]
-fn users_are_answered_by_every_node_after_the_loss() {
-    let mut world = busy(830);
+fn every_node_answers_users_after_a_crash_of_all_nodes() {
+    let mut world = busy_cluster(830);
     crash_all(&mut world, 2_000);
     world.run(8_000);
     for node in 0..NODES {
--- a/tests/recovery_model.rs
+++ b/tests/recovery_model.rs
@@ -1,6 +1,6 @@
-//! Losses drawn at random, shrunk to the fewest when they break a rule: controllers,
-//! workers, the store and links fail in any order, and in the end everything that
-//! was accepted is done, each task as often as its machines made it start anew.
+//! Random failures of controllers, workers, the store and links in any order, shrunk to the fewest
+//! steps when they break a rule. In the end every accepted job is done, and each task was started
+//! again only as often as restarts of its workers required.
 
 #![allow(unreachable_pub, reason = "modules of a test program are not a library")]
 #![allow(clippy::unwrap_used, clippy::expect_used, clippy::panic, reason = "a test fails by panicking")]
@@ -17,44 +17,44 @@
 const MAX_JOBS: u32 = 6;
 const STEPS: std::ops::Range<usize> = 4..16;
 
-/// A step of a history: what happens to the cluster.
+/// A step of a generated sequence of events in the cluster.
 #[derive(Debug, Clone)]
 enum Step {
     Submit { node: usize, tasks: u32 },
     Crash { node: usize, back_ms: u64 },
     CrashAll { back_ms: [u64; NODES] },
     StoreOutage { is_down: bool },
-    Refuse { node: usize },
-    CutWorkers { node: usize },
+    RefuseStoreCalls { node: usize },
+    CutWorkerLinks { node: usize },
     Heal,
     RestartWorker { worker: usize },
     RepeatHeartbeat { node: usize, worker: usize },
     Wait { ms: u64 },
 }
 
-/// The state that decides which steps may be drawn.
+/// State of the reference model, which decides which steps may be generated.
 #[derive(Debug, Clone)]
-struct Drawn {
+struct ReferenceState {
     jobs: u32,
 }
 
-impl ReferenceStateMachine for Drawn {
-    type State = Drawn;
+impl ReferenceStateMachine for ReferenceState {
+    type State = ReferenceState;
     type Transition = Step;
 
-    fn init_state() -> BoxedStrategy<Drawn> {
-        Just(Drawn { jobs: 0 }).boxed()
+    fn init_state() -> BoxedStrategy<ReferenceState> {
+        Just(ReferenceState { jobs: 0 }).boxed()
     }
 
-    fn transitions(_: &Drawn) -> BoxedStrategy<Step> {
+    fn transitions(_: &ReferenceState) -> BoxedStrategy<Step> {
         let node = 0..NODES;
         prop_oneof![
             3 => (node.clone(), 1_u32..10).prop_map(|(node, tasks)| Step::Submit { node, tasks }),
             2 => (node.clone(), 50_u64..6_000).prop_map(|(node, back_ms)| Step::Crash { node, back_ms }),
             3 => prop::array::uniform3(50_u64..6_000).prop_map(|back_ms| Step::CrashAll { back_ms }),
             2 => any::<bool>().prop_map(|is_down| Step::StoreOutage { is_down }),
-            1 => node.clone().prop_map(|node| Step::Refuse { node }),
-            1 => node.clone().prop_map(|node| Step::CutWorkers { node }),
+            1 => node.clone().prop_map(|node| Step::RefuseStoreCalls { node }),
+            1 => node.clone().prop_map(|node| Step::CutWorkerLinks { node }),
             2 => Just(Step::Heal),
             2 => (0_usize..12).prop_map(|worker| Step::RestartWorker { worker }),
             2 => (node, 0_usize..12).prop_map(|(node, worker)| Step::RepeatHeartbeat { node, worker }),
@@ -63,26 +63,26 @@
         .boxed()
     }
 
-    fn preconditions(state: &Drawn, step: &Step) -> bool {
+    fn preconditions(state: &ReferenceState, step: &Step) -> bool {
         !matches!(step, Step::Submit { .. }) || state.jobs < MAX_JOBS
     }
 
-    fn apply(mut state: Drawn, step: &Step) -> Drawn {
+    fn apply(mut state: ReferenceState, step: &Step) -> ReferenceState {
         state.jobs += u32::from(matches!(step, Step::Submit { .. }));
         state
     }
 }
 
-/// A cluster that the steps are played on.
+/// The system under test: a simulated cluster that the steps are applied to.
 struct Cluster {
     world: World,
     /// Jobs submitted so far.
     jobs: u32,
-    /// Requests of the submissions that were drawn.
+    /// Request ids of the generated submissions.
     submissions: Vec<u64>,
 }
 
-/// Ends all faults but crashes.
+/// Ends all faults except crashes.
 fn heal(world: &mut World) {
     world.store.down = false;
     world.store.refuses.clear();
@@ -91,9 +91,9 @@
 
 impl StateMachineTest for Cluster {
     type SystemUnderTest = Cluster;
-    type Reference = Drawn;
+    type Reference = ReferenceState;
 
-    fn init_test(_: &Drawn) -> Cluster {
+    fn init_test(_: &ReferenceState) -> Cluster {
         let mut world = World::new(NODES, 900);
         world.run_ms = 15_000;
         world.run(5_000);
@@ -104,7 +104,7 @@
         Cluster { world, jobs: 2, submissions: Vec::new() }
     }
 
-    fn apply(mut cluster: Cluster, _: &Drawn, step: Step) -> Cluster {
+    fn apply(mut cluster: Cluster, _: &ReferenceState, step: Step) -> Cluster {
         let world = &mut cluster.world;
         match step {
             Step::Submit { node, tasks } => {
@@ -117,10 +117,10 @@
                 (0..NODES).for_each(|node| world.crash(node, back_ms[node]));
             }
             Step::StoreOutage { is_down } => world.store.down = is_down,
-            Step::Refuse { node } => {
+            Step::RefuseStoreCalls { node } => {
                 world.store.refuses.insert(node);
             }
-            Step::CutWorkers { node } => {
+            Step::CutWorkerLinks { node } => {
                 world.network.cuts.insert((node, WORKERS));
             }
             Step::Heal => heal(world),
@@ -139,11 +139,11 @@
         cluster
     }
 
-    fn check_invariants(cluster: &Cluster, _: &Drawn) {
+    fn check_invariants(cluster: &Cluster, _: &ReferenceState) {
         cluster.world.assert_rules_kept();
     }
 
-    fn teardown(mut cluster: Cluster, _: Drawn) {
+    fn teardown(mut cluster: Cluster, _: ReferenceState) {
         let world = &mut cluster.world;
         heal(world);
         world.run(8_000);
@@ -160,8 +160,8 @@
 }
 
 prop_state_machine! {
-    // Fixed seeds, so that each run draws the same; what once failed is kept in the file.
-    // RECOVERY_CASES draws more of them by hand.
+    // The seed is fixed, so that each run generates the same cases; failed cases are kept in the
+    // file. A manual run can set RECOVERY_CASES to generate more cases.
     #![proptest_config(ProptestConfig {
         cases: std::env::var("RECOVERY_CASES").ok().and_then(|cases| cases.parse().ok()).unwrap_or(200),
         rng_seed: RngSeed::Fixed(20_261_202),
@@ -172,5 +172,5 @@
     })]
 
     #[test]
-    fn nothing_is_lost_and_nothing_runs_twice(sequential STEPS => Cluster);
+    fn no_job_is_lost_and_no_task_runs_twice(sequential STEPS => Cluster);
 }
