--- a/crates/recovery/src/disposition.rs
+++ b/crates/recovery/src/disposition.rs
@@ -61,9 +61,9 @@
 /// not have known of the attempt.
 ///
 /// `first_named_in` is the serial number of the first desired state that named the attempt under
-/// the current fencing token, `echo` that of the newest desired state answered.
-pub fn is_proven_gone(is_listed: bool, first_named_in: Option<u64>, echo: u64) -> bool {
-    !is_listed && first_named_in.is_some_and(|serial| serial <= echo)
+/// the current fencing token, `answered_serial` that of the newest desired state answered.
+pub fn is_proven_gone(is_listed: bool, first_named_in: Option<u64>, answered_serial: u64) -> bool {
+    !is_listed && first_named_in.is_some_and(|serial| serial <= answered_serial)
 }
 
 /// An attempt together with its task. The order is by job, task and attempt.
--- a/src/config/limits.rs
+++ b/src/config/limits.rs
@@ -34,7 +34,7 @@
     pub next: Option<AnnouncedLimits>,
     /// Current length limit of a value in KiB, regardless of `next`.
     #[serde(skip)]
-    pub today_kb: f64,
+    pub current_value_kb: f64,
 }
 
 /// Announced future limits. A limit that is `None` does not change.
@@ -62,7 +62,7 @@
 
     /// Sets each limit to the smaller of its current and its announced value.
     pub(super) fn apply_announced(&mut self) {
-        self.today_kb = self.value_kb;
+        self.current_value_kb = self.value_kb;
         if let Some(next) = &self.next {
             self.rps = self.rps.min(next.rps.unwrap_or(f64::INFINITY));
             self.write_rps = self.write_rps.min(next.write_rps.unwrap_or(f64::INFINITY));
--- a/src/core/common/watch_cache.rs
+++ b/src/core/common/watch_cache.rs
@@ -11,7 +11,7 @@
 use crate::model::{MachineType, Ms};
 use crate::wire::cloud;
 use crate::wire::encoded::Encoded;
-use crate::wire::store::{Event, JobRecord, KeyValue, LeaderRecord, Page, ShardRecord, WatchAnswer};
+use crate::wire::store::{Event, JobRecord, KeyValue, LeaderRecord, Page, ShardRecord, WatchResponse};
 use woadlever_cells::record::CellLease;
 
 /// Maximum time that a watch waits for a change.
@@ -131,7 +131,7 @@
         context.control_lease.renew(read.first_sent_at);
     }
 
-    fn on_changes(&mut self, context: &mut NodeContext, since: u64, changes: WatchAnswer) {
+    fn on_changes(&mut self, context: &mut NodeContext, since: u64, changes: WatchResponse) {
         for Event { put, delete, value, version } in changes.events {
             let value = put.is_some().then_some(value);
             if let Some(key) = put.or(delete) {
--- a/src/core/leader/attempt_decisions.rs
+++ b/src/core/leader/attempt_decisions.rs
@@ -23,7 +23,7 @@
         /// Serial of the first desired state that named the attempt.
         first_named_in: Option<u64>,
         /// Serial of the desired state that the reported state answers.
-        echo: u64,
+        answered_serial: u64,
     },
 }
 
@@ -43,7 +43,7 @@
         let AttemptDecision { attempt, job, task, shard, decision } = entry;
         tracing::debug!(
             term = self.term.number(),
-            shard = context.shards[shard.place()].name,
+            shard = context.shards[shard.as_usize()].name,
             job = context.jobs.id(job),
             task,
             attempt = attempt.number(),
@@ -58,7 +58,7 @@
         for (age_ms, entry) in self.decisions.take(context.clock.now()) {
             tracing::error!(
                 age_ms,
-                shard = context.shards[entry.shard.place()].name,
+                shard = context.shards[entry.shard.as_usize()].name,
                 job = context.jobs.id(entry.job),
                 task = entry.task,
                 attempt = entry.attempt.number(),
--- a/src/core/leader/attempts.rs
+++ b/src/core/leader/attempts.rs
@@ -80,7 +80,7 @@
     /// Marks the attempt as no longer wanted. The next desired state tells the shard owner.
     pub(crate) fn stop(&mut self, shards: &mut [ShardAssignment]) {
         self.is_wanted = false;
-        shards[self.shard.place()].dirty = true;
+        shards[self.shard.as_usize()].dirty = true;
     }
 }
 
@@ -209,7 +209,7 @@
         self.log_decision(context, entry);
         self.attempts.insert(self.next_attempt, attempt);
         self.next_attempt = self.next_attempt.next();
-        self.shards[location.shard.place()].dirty = true;
+        self.shards[location.shard.as_usize()].dirty = true;
     }
 
     /// Queues a task again after an attempt at it is gone. If another attempt at the task is
--- a/src/core/leader/cells/hosted_jobs.rs
+++ b/src/core/leader/cells/hosted_jobs.rs
@@ -8,7 +8,7 @@
 use crate::core::leader::live_jobs::JobLocation;
 use crate::model::{JobIndex, Ms};
 use crate::wire::encoded::Encoded;
-use crate::wire::peer::{MAX_FRAME, ReportedPhase};
+use crate::wire::peer::{MAX_FRAME_BYTES, ReportedPhase};
 use crate::wire::store::JobRecord;
 use rustc_hash::FxHashMap;
 use std::collections::{HashMap, HashSet};
@@ -20,7 +20,7 @@
 
 /// Maximum total size of the bit sets of completed tasks in one message: a quarter of a frame.
 /// Jobs whose bit set exceeds what is left are reported without it until they are done.
-const MAX_DONE_BYTES: usize = MAX_FRAME / 4;
+const MAX_DONE_BYTES: usize = MAX_FRAME_BYTES / 4;
 /// Time after the end of the origin cell's lease at which a hosted job is cancelled here. Its
 /// tasks have been stopped long before.
 const ABANDONED_AFTER_MS: Ms = 600_000;
--- a/src/core/leader/desired_states.rs
+++ b/src/core/leader/desired_states.rs
@@ -34,7 +34,7 @@
         let mut tasks = self.desired_tasks(&due);
         let mut directives = self.fleet.directives(context);
         for shard in due {
-            let index = shard.place();
+            let index = shard.as_usize();
             let Some(KnownOwner { record: owner, fencing_token }) = context.shards.owner(index).cloned()
             else {
                 continue;
@@ -53,7 +53,7 @@
                 waiting: waiting_tasks(context, &assignment.waiting),
                 cordoned: directives.cordoned,
                 decommission: directives.decommission,
-                gone: assignment.gone.iter().map(|instance| instance.name.clone()).collect(),
+                terminated: assignment.gone.iter().map(|instance| instance.name.clone()).collect(),
                 quarantined: directives.quarantined,
             };
             context.send(&owner.node, PeerMessage::DesiredState(state));
@@ -75,7 +75,7 @@
             shard.sent_at = Some(now);
             shard.serial += 1;
             shard.gone.retain(|instance| instance.confirmed_at + GONE_KEPT_MS > now);
-            due.push(ShardIndex::at(index));
+            due.push(ShardIndex::from_usize(index));
         }
         due
     }
@@ -86,7 +86,7 @@
     fn desired_tasks(&mut self, due: &[ShardIndex]) -> Vec<DesiredTasks> {
         let mut tasks: Vec<DesiredTasks> = vec![BTreeMap::new(); self.shards.len()];
         for (id, attempt) in self.attempts.iter_mut().filter(|(_, a)| due.contains(&a.shard)) {
-            let index = attempt.shard.place();
+            let index = attempt.shard.as_usize();
             attempt.first_named_in.get_or_insert(self.shards[index].serial);
             if attempt.is_wanted {
                 let wanted = (attempt.task, id.number(), attempt.may_bind);
--- a/src/core/leader/fleet/cloud_calls/termination.rs
+++ b/src/core/leader/fleet/cloud_calls/termination.rs
@@ -61,7 +61,7 @@
     fn remove_instance(&mut self, context: &NodeContext, index: InstanceIndex) {
         let Some(instance) = self.fleet.machines.remove(index) else { return };
         self.fleet.terminated.insert(&instance.name);
-        if let Some(assignment) = self.shards.get_mut(instance.shard.place()) {
+        if let Some(assignment) = self.shards.get_mut(instance.shard.as_usize()) {
             let confirmed_at = context.clock.now();
             assignment.gone.push(GoneInstance { name: instance.name, confirmed_at });
             assignment.dirty = true;
--- a/src/core/leader/fleet/directives.rs
+++ b/src/core/leader/fleet/directives.rs
@@ -21,7 +21,7 @@
     pub(crate) fn directives(&self, context: &NodeContext) -> Vec<MachineDirectives> {
         let mut directives = vec![MachineDirectives::default(); context.shards.len()];
         for instance in self.machines.values() {
-            let Some(for_shard) = directives.get_mut(instance.shard.place()) else { continue };
+            let Some(for_shard) = directives.get_mut(instance.shard.as_usize()) else { continue };
             if instance.cordoned {
                 for_shard.cordoned.push(instance.name.clone());
             }
--- a/src/core/leader/fleet/instance.rs
+++ b/src/core/leader/fleet/instance.rs
@@ -188,7 +188,7 @@
             }
         }
         self.preemption_notice = reported.preemption_notice;
-        self.confirmed |= reported.fenced;
+        self.confirmed |= reported.knows_fencing_token;
         self.unreachable_since = reported.unreachable.then(|| self.unreachable_since.unwrap_or(now));
         self.is_overloaded = reported.overloaded;
         self.projected_peak = reported.peak;
--- a/src/core/leader/fleet/mod.rs
+++ b/src/core/leader/fleet/mod.rs
@@ -292,7 +292,7 @@
 
 /// Marks a shard as changed, so that its owner is informed of changes to its machines soon.
 fn mark_changed(shards: &mut [ShardAssignment], shard: ShardIndex) {
-    if let Some(assignment) = shards.get_mut(shard.place()) {
+    if let Some(assignment) = shards.get_mut(shard.as_usize()) {
         assignment.dirty = true;
     }
 }
--- a/src/core/leader/free_capacity.rs
+++ b/src/core/leader/free_capacity.rs
@@ -227,7 +227,7 @@
         let used = self.used_by_instance();
         let mut free_capacity = FreeCapacity::default();
         for (index, instance) in self.fleet.machines.iter() {
-            let Some(shard) = self.shards.get(instance.shard.place()) else { continue };
+            let Some(shard) = self.shards.get(instance.shard.as_usize()) else { continue };
             if !shard.has_reported || !instance.takes_tasks(context) {
                 continue;
             }
--- a/src/core/leader/progress/recording.rs
+++ b/src/core/leader/progress/recording.rs
@@ -165,7 +165,7 @@
 fn must_write_parts(context: &NodeContext, tasks: u32, has_lowered_limits: bool) -> bool {
     let text_len = ProgressSegment::whole_text_len(tasks);
     let state = &context.platform.cluster.state;
-    let exceeds_present_limit = text_len as f64 > state.today_kb * 1024.0;
+    let exceeds_present_limit = text_len as f64 > state.current_value_kb * 1024.0;
     text_len > state.value_bytes() && (has_lowered_limits || exceeds_present_limit)
 }
 
--- a/src/core/leader/quota_watch.rs
+++ b/src/core/leader/quota_watch.rs
@@ -113,7 +113,7 @@
         let listed = self.counted_attempts(team_index).take(MAX_LOGGED_ATTEMPTS);
         let attempts: Vec<String> = listed
             .map(|(id, attempt)| {
-                let shard = &context.shards[attempt.shard.place()].name;
+                let shard = &context.shards[attempt.shard.as_usize()].name;
                 format!("{}/{}@{id} {shard}", context.jobs.id(attempt.job), attempt.task)
             })
             .collect();
--- a/src/core/leader/rebuild.rs
+++ b/src/core/leader/rebuild.rs
@@ -191,7 +191,7 @@
             let index = self.apply_recorded_machine(context, shard, machine, &record.types);
             for listed in machine.attempts(record.base) {
                 let Some(job) = record.jobs.get(listed.job) else { continue };
-                let shard = ShardIndex::at(shard);
+                let shard = ShardIndex::from_usize(shard);
                 let attempt = recorded_attempt(context, shard, index, job, listed.task);
                 self.attempts.insert(AttemptId::new(listed.attempt), attempt);
             }
@@ -207,10 +207,10 @@
     ) -> InstanceIndex {
         let type_name = types.get(machine.type_index()).map_or("", String::as_str);
         let zone = &context.shards[shard].zone;
-        let is_spot = machine.is(RecordedMachine::SPOT);
+        let is_spot = machine.has_any_flag(RecordedMachine::SPOT);
         let index = self.fleet.find_or_add(context, machine.name(), type_name, zone, is_spot);
         if let Some(known) = self.fleet.machines.get_mut(index) {
-            known.cordoned |= machine.is(RecordedMachine::CORDONED);
+            known.cordoned |= machine.has_any_flag(RecordedMachine::CORDONED);
             known.confirmed = true;
             known.recorded |= machine.has_attempts();
         }
--- a/src/core/leader/reconciliation.rs
+++ b/src/core/leader/reconciliation.rs
@@ -70,15 +70,15 @@
         if !self.accepts_reported_state(context, from, &reported) {
             return;
         }
-        let assignment = &mut self.shards[shard.place()];
+        let assignment = &mut self.shards[shard.as_usize()];
         if !assignment.has_reported {
             assignment.has_reported = true;
             self.cycle_due = true;
         }
         let teams = &context.platform.cluster.teams;
-        self.shards[shard.place()].reported_usage = usage_in_report(teams, &reported);
+        self.shards[shard.as_usize()].reported_usage = usage_in_report(teams, &reported);
         let listed = self.apply_reported_state(context, shard, &reported);
-        self.remove_gone_attempts(context, shard, &listed, reported.echo);
+        self.remove_gone_attempts(context, shard, &listed, reported.answered_serial);
     }
 
     fn accepts_reported_state(
@@ -87,7 +87,7 @@
         from: &str,
         reported: &ReportedState,
     ) -> bool {
-        let index = ShardIndex::new(reported.shard).place();
+        let index = ShardIndex::new(reported.shard).as_usize();
         let Some(assignment) = self.shards.get(index) else { return false };
         let owner = context.shards.owner(index);
         self.is_active
@@ -105,7 +105,7 @@
         reported: &ReportedState,
     ) -> FxHashSet<AttemptId> {
         let mut listed: FxHashSet<AttemptId> = FxHashSet::default();
-        let zone = context.shards[shard.place()].zone.clone();
+        let zone = context.shards[shard.as_usize()].zone.clone();
         let jobs: Vec<ReportedJobInfo> =
             reported.jobs.iter().map(|job| ReportedJobInfo::new(context, job)).collect();
         for reported_machine in &reported.machines {
@@ -119,7 +119,7 @@
             for task in &reported_machine.tasks {
                 let Some(job) = jobs.get(task.job as usize) else { continue };
                 listed.insert(AttemptId::new(task.attempt));
-                let is_fenced = reported_machine.fenced;
+                let is_fenced = reported_machine.knows_fencing_token;
                 let attempt = ReportedAttempt { shard, machine, job, task, is_fenced };
                 self.apply_reported_attempt(context, &attempt);
             }
@@ -133,19 +133,21 @@
         context: &NodeContext,
         shard: ShardIndex,
         listed: &FxHashSet<AttemptId>,
-        echo: u64,
+        answered_serial: u64,
     ) {
         let gone: Vec<AttemptId> = self
             .attempts
             .iter()
             .filter(|(_, attempt)| attempt.shard == shard)
-            .filter(|(id, attempt)| is_proven_gone(listed.contains(id), attempt.first_named_in, echo))
+            .filter(|(id, attempt)| {
+                is_proven_gone(listed.contains(id), attempt.first_named_in, answered_serial)
+            })
             .map(|(id, _)| id)
             .collect();
         for id in gone {
             if let Some(attempt) = self.attempts.remove(id) {
                 let Attempt { job, task, first_named_in, .. } = attempt;
-                let decision = Decision::Gone { first_named_in, echo };
+                let decision = Decision::Gone { first_named_in, answered_serial };
                 self.log_decision(context, AttemptDecision { attempt: id, job, task, shard, decision });
                 self.requeue(job, task);
             }
@@ -215,7 +217,7 @@
             first_named_in: None,
         };
         self.attempts.insert(AttemptId::new(task.attempt), attempt);
-        self.shards[shard.place()].dirty = true;
+        self.shards[shard.as_usize()].dirty = true;
         self.log_decision(context, reported.decision_entry(Decision::Adopted { is_wanted }));
     }
 
--- a/src/core/leader/scheduling_cycle.rs
+++ b/src/core/leader/scheduling_cycle.rs
@@ -223,7 +223,7 @@
             let mut usable_machines = vec![0; self.shards.len()];
             for ((class, shard), machines) in &machine_counts {
                 if is_class_usable[*class] {
-                    usable_machines[shard.place()] += machines;
+                    usable_machines[shard.as_usize()] += machines;
                 }
             }
             for (shard, share) in divide(tasks, &usable_machines).into_iter().enumerate() {
--- a/src/core/leader/shards.rs
+++ b/src/core/leader/shards.rs
@@ -85,11 +85,11 @@
     /// Assigns shards to live nodes if they have no owner, if their owner is lost, or if it is not
     /// their home node.
     pub(super) fn assign_shards(&mut self, context: &mut NodeContext) {
-        for shard in (0..self.shards.len()).map(ShardIndex::at) {
-            let owner = context.shards.owner(shard.place()).cloned();
+        for shard in (0..self.shards.len()).map(ShardIndex::from_usize) {
+            let owner = context.shards.owner(shard.as_usize()).cloned();
             let fencing_token = owner.as_ref().map(|owner| owner.fencing_token);
             self.update_fencing_token(shard, fencing_token);
-            if !self.shards[shard.place()].write.is_ready(context.clock.now()) {
+            if !self.shards[shard.as_usize()].write.is_ready(context.clock.now()) {
                 continue;
             }
             let Some(node) = self.choose_reassignment(context, shard, owner.as_ref()) else { continue };
@@ -108,7 +108,7 @@
     /// Updates the fencing token of a shard. An owner with a new token knows only the contents of
     /// the records, so the whole state is exchanged again.
     fn update_fencing_token(&mut self, index: ShardIndex, fencing_token: Option<FencingToken>) {
-        let shard = &mut self.shards[index.place()];
+        let shard = &mut self.shards[index.as_usize()];
         if shard.fencing_token == fencing_token {
             return;
         }
@@ -133,7 +133,7 @@
             return self.choose_owner(context, shard, None);
         };
         if self.is_node_alive(context, &owner.node, Some(owner.incarnation)) {
-            let home = context.shards[shard.place()].home.as_ref()?;
+            let home = context.shards[shard.as_usize()].home.as_ref()?;
             let may_move = *home != owner.node && self.is_stable(context, home);
             return may_move.then(|| home.clone());
         }
@@ -155,7 +155,7 @@
         fencing_token: Option<FencingToken>,
         assignment: &ShardRecord,
     ) {
-        let name = &context.shards[shard.place()].name;
+        let name = &context.shards[shard.as_usize()].name;
         tracing::debug!(shard = name, node = assignment.node, "assigning shard");
         let key = shard_key(name);
         let value = Encoded::new(assignment);
@@ -164,7 +164,7 @@
             compares: vec![self.compare_term(), Compare { key: key.clone(), version }],
             mutations: vec![Mutation::Put { key, value, lease: None }],
         };
-        self.shards[shard.place()].write.start();
+        self.shards[shard.as_usize()].write.start();
         context.send_store_request(
             StoreCallOwner::Leader(LeaderCall::AssignShard { shard }),
             StoreRequest::CompareAndSwap(request),
@@ -175,7 +175,7 @@
     /// itself.
     pub(super) fn on_shard_assigned(&mut self, context: &mut NodeContext, shard: ShardIndex) {
         let pause = context.jitter(ASSIGNMENT_GAP_MS);
-        if let Some(shard) = self.shards.get_mut(shard.place()) {
+        if let Some(shard) = self.shards.get_mut(shard.as_usize()) {
             shard.write.finish_and_wait(context.clock.now() + pause);
         }
     }
@@ -215,7 +215,7 @@
         shard: ShardIndex,
         excluded: Option<&str>,
     ) -> Option<String> {
-        let shard = &context.shards[shard.place()];
+        let shard = &context.shards[shard.as_usize()];
         let peers = context.platform.peers.iter().map(|p| (p.node.as_str(), p.zone.as_str()));
         let this_node = (context.node.as_str(), context.platform.zone.as_str());
         peers
--- a/src/core/leader/zones.rs
+++ b/src/core/leader/zones.rs
@@ -38,7 +38,7 @@
         // whose term has just begun may not know the instance of an attempt.
         let placed = leader.attempts.values().filter(|a| a.job == job && a.state != ReportedPhase::Done);
         for attempt in placed {
-            if let Some(shard) = context.shards.get(attempt.shard.place()) {
+            if let Some(shard) = context.shards.get(attempt.shard.as_usize()) {
                 zones.count_task(&shard.zone);
             }
         }
--- a/src/core/messages.rs
+++ b/src/core/messages.rs
@@ -5,7 +5,7 @@
     Catalog, CreateInstancesRequest, CreatedInstances, MachinePage, TerminateInstancesRequest,
 };
 use crate::wire::peer::Frame;
-use crate::wire::store::{CompareAndSwap, KeyValue, Page, WatchAnswer};
+use crate::wire::store::{CompareAndSwap, KeyValue, Page, WatchResponse};
 use crate::wire::workers::{DirectCommands, WorkerHeartbeat};
 use woadlever_cells::message::CellMessage;
 
@@ -177,7 +177,7 @@
     /// The lease does not exist any more.
     LeaseNotFound,
     /// Changes since the requested revision.
-    Watch(WatchAnswer),
+    Watch(WatchResponse),
     /// The requested revision is no longer available, so all records have to be read again.
     Compacted,
     /// The request was certainly not executed: it was rejected with 429 or 503, or never sent.
--- a/src/core/shard_owner/binding.rs
+++ b/src/core/shard_owner/binding.rs
@@ -68,7 +68,7 @@
         candidates: &mut [CandidateMachine],
     ) -> bool {
         let Some(spec) = startable_spec(context, admitted.job) else { return false };
-        let Some(shard) = &mut self.shards[shard.place()] else { return false };
+        let Some(shard) = &mut self.shards[shard.as_usize()] else { return false };
         let best = best_candidate(context, &self.machines, &spec, candidates);
         let Some(candidate) = best.map(|position| &mut candidates[position]) else { return false };
         candidate.free_capacity.sub(&spec.demand());
--- a/src/core/shard_owner/desired_state.rs
+++ b/src/core/shard_owner/desired_state.rs
@@ -120,7 +120,7 @@
     /// Applies the parked desired state of a shard once its jobs are known or it has been parked
     /// for [`MAX_PARKED_MS`].
     pub(super) fn retry_parked_desired_state(&mut self, context: &mut NodeContext, index: ShardIndex) {
-        let Some(shard) = &mut self.shards[index.place()] else { return };
+        let Some(shard) = &mut self.shards[index.as_usize()] else { return };
         let now = context.clock.now();
         let is_due = |parked: &mut ParkedDesiredState| {
             now > parked.since + MAX_PARKED_MS || knows_jobs(context, &parked.message)
@@ -134,14 +134,14 @@
 
     fn apply_desired_state(&mut self, context: &mut NodeContext, message: DesiredState) {
         let index = ShardIndex::new(message.shard);
-        let Some(shard) = &mut self.shards[index.place()] else { return };
+        let Some(shard) = &mut self.shards[index.as_usize()] else { return };
         let fencing_token = FencingToken::new(message.fencing_token);
         if shard.fencing_token != fencing_token {
             return;
         }
         let desired = DesiredAttempts::from_message(context, &message);
         apply_shard_state(context, shard, &message, &desired);
-        for name in &message.gone {
+        for name in &message.terminated {
             self.forget_machine(context, name, index);
         }
         for entry in &message.decommission {
@@ -184,7 +184,7 @@
     ) -> FxHashSet<AttemptId> {
         let directives = MachineDirectives::from_message(message);
         let mut known: FxHashSet<AttemptId> = FxHashSet::default();
-        let Some(shard) = &mut self.shards[index.place()] else { return known };
+        let Some(shard) = &mut self.shards[index.as_usize()] else { return known };
         for machine in machines_of_mut(&mut self.machines, index) {
             directives.apply(machine);
             known.extend(machine.attempts.iter().map(|attempt| attempt.id));
@@ -197,12 +197,12 @@
     fn bind_all(&mut self, context: &NodeContext, index: ShardIndex, admitted: &[AdmittedTask]) {
         let mut candidates = self.candidate_machines(context, index);
         for task in admitted {
-            let shard = self.shards[index.place()].as_ref();
+            let shard = self.shards[index.as_usize()].as_ref();
             let may_bind = shard.is_some_and(|shard| !shard.rejected_attempts.contains(&task.attempt));
             if !may_bind || self.bind(context, index, task, &mut candidates) {
                 continue;
             }
-            if let Some(shard) = &mut self.shards[index.place()] {
+            if let Some(shard) = &mut self.shards[index.as_usize()] {
                 shard.rejected_attempts.insert(task.attempt);
             }
         }
@@ -220,7 +220,7 @@
         if let Some(parked) = &machine.parked_heartbeat {
             context.respond_unavailable(parked.request_id, unavailable::TERMINATED);
         }
-        if let Some(shard) = &mut self.shards[index.place()] {
+        if let Some(shard) = &mut self.shards[index.as_usize()] {
             let now = context.clock.now();
             shard.reject_gone_attempts(machine.attempts.iter().map(GoneAttempt::from), now);
             shard.records.mark_outdated(machine.state_record, now);
--- a/src/core/shard_owner/lapsed_admissions.rs
+++ b/src/core/shard_owner/lapsed_admissions.rs
@@ -14,22 +14,22 @@
         let Some(term) = context.leadership.term() else { return };
         let mut dropped = vec![0_usize; self.shards.len()];
         for machine in self.machines.values_mut() {
-            let place = machine.shard.place();
-            let Some(shard) = &mut self.shards[place] else { continue };
+            let position = machine.shard.as_usize();
+            let Some(shard) = &mut self.shards[position] else { continue };
             let lapsed = machine.attempts.extract_if(.., |attempt| attempt.has_lapsed(term));
             let records: Vec<_> = lapsed.map(|attempt| attempt.record).collect();
-            dropped[place] += records.len();
+            dropped[position] += records.len();
             shard.records.mark_outdated(records, context.clock.now());
         }
         for shard in self.shards.iter_mut().flatten() {
-            let dropped = dropped[shard.index.place()];
+            let dropped = dropped[shard.index.as_usize()];
             if dropped == 0 {
                 continue;
             }
             shard.has_unreported_changes = true;
             tracing::info!(
                 term = term.number(),
-                shard = context.shards[shard.index.place()].name,
+                shard = context.shards[shard.index.as_usize()].name,
                 fencing_token = shard.fencing_token.number(),
                 attempts = dropped,
                 "dropped unrecorded admissions of a former leader"
--- a/src/core/shard_owner/loading.rs
+++ b/src/core/shard_owner/loading.rs
@@ -26,7 +26,7 @@
         fencing_token: FencingToken,
         response: StoreResponse,
     ) {
-        let owned = self.shards[index.place()].as_mut();
+        let owned = self.shards[index.as_usize()].as_mut();
         let Some(shard) = owned.filter(|shard| shard.fencing_token == fencing_token) else { return };
         let StoreResponse::Page(page) = response else {
             shard.load = LoadState::Due { at: context.clock.now() + context.jitter(LOAD_RETRY_MS) };
@@ -44,7 +44,7 @@
     }
 
     fn finish_load(&mut self, context: &NodeContext, index: ShardIndex, revision: u64) {
-        let Some(shard) = self.shards[index.place()].as_mut() else { return };
+        let Some(shard) = self.shards[index.as_usize()].as_mut() else { return };
         let recorded: usize =
             machines_of(&self.machines, index).map(Machine::unreconciled_attempts).sum();
         shard.load = LoadState::Done;
@@ -61,7 +61,7 @@
             tracing::error!(key = item.key, "unreadable placement record");
             return;
         };
-        let Some(shard) = &mut self.shards[index.place()] else { return };
+        let Some(shard) = &mut self.shards[index.as_usize()] else { return };
         shard.records.insert_loaded(record, OwnedRecord::loaded(context, item.version, bytes));
         for row in &content.machines {
             let name = row.name();
@@ -95,14 +95,14 @@
     let row = loaded.row;
     let RecordedMachine(_, type_row, ..) = row;
     machine.type_name = loaded.content.types.get(*type_row as usize).cloned().unwrap_or_default();
-    machine.zone = context.shards[machine.shard.place()].zone.clone();
-    machine.is_spot = row.is(RecordedMachine::SPOT);
-    machine.terminating_recorded |= row.is(RecordedMachine::TERMINATING);
+    machine.zone = context.shards[machine.shard.as_usize()].zone.clone();
+    machine.is_spot = row.has_any_flag(RecordedMachine::SPOT);
+    machine.terminating_recorded |= row.has_any_flag(RecordedMachine::TERMINATING);
     machine.is_decommissioning |= machine.terminating_recorded;
-    let shows_state = row.is(RecordedMachine::CORDONED | RecordedMachine::TERMINATING);
+    let shows_state = row.has_any_flag(RecordedMachine::CORDONED | RecordedMachine::TERMINATING);
     if shows_state || machine.state_record.is_none() {
         machine.state_record = Some(loaded.record);
-        machine.cordoned_recorded = row.is(RecordedMachine::CORDONED);
+        machine.cordoned_recorded = row.has_any_flag(RecordedMachine::CORDONED);
         machine.is_cordoned |= machine.cordoned_recorded;
     }
 }
--- a/src/core/shard_owner/mod.rs
+++ b/src/core/shard_owner/mod.rs
@@ -115,9 +115,9 @@
     /// Performs all work that is due.
     pub(super) fn poll(&mut self, context: &mut NodeContext) {
         self.apply_shard_records(context);
-        for place in 0..self.shards.len() {
-            self.start_due_load(context, ShardIndex::at(place));
-            self.retry_parked_desired_state(context, ShardIndex::at(place));
+        for position in 0..self.shards.len() {
+            self.start_due_load(context, ShardIndex::from_usize(position));
+            self.retry_parked_desired_state(context, ShardIndex::from_usize(position));
         }
         self.stop_cancelled(context);
         let now = context.clock.now();
@@ -145,19 +145,19 @@
 
     /// Acquires and releases shards according to the watched shard records.
     fn apply_shard_records(&mut self, context: &mut NodeContext) {
-        for place in 0..self.shards.len() {
-            let shard = ShardIndex::at(place);
-            let owner = context.shards.owner(place);
+        for position in 0..self.shards.len() {
+            let shard = ShardIndex::from_usize(position);
+            let owner = context.shards.owner(position);
             let own_token = owner
                 .filter(|owner| context.is_self(&owner.record.node, owner.record.incarnation))
                 .map(|owner| owner.fencing_token);
-            let known_token = self.shards[place].as_ref().map(|shard| shard.fencing_token);
+            let known_token = self.shards[position].as_ref().map(|shard| shard.fencing_token);
             if own_token == known_token {
                 continue;
             }
             self.drop_machines(context, shard);
-            let name = &context.shards[place].name;
-            self.shards[place] = own_token.map(|fencing_token| {
+            let name = &context.shards[position].name;
+            self.shards[position] = own_token.map(|fencing_token| {
                 tracing::info!(
                     shard = name,
                     fencing_token = fencing_token.number(),
@@ -186,7 +186,7 @@
 
     /// Starts reading the placement records of a shard if the read is due.
     fn start_due_load(&mut self, context: &mut NodeContext, index: ShardIndex) {
-        let Some(shard) = &mut self.shards[index.place()] else { return };
+        let Some(shard) = &mut self.shards[index.as_usize()] else { return };
         if matches!(shard.load, LoadState::Due { at } if context.clock.now() >= at) {
             shard.load = LoadState::Reading;
             let fencing_token = shard.fencing_token;
@@ -212,12 +212,12 @@
                 self.on_record_page(context, shard, fencing_token, response);
             }
             ShardOwnerCall::Write(write) => {
-                if let Some(shard) = &mut self.shards[write.shard.place()] {
+                if let Some(shard) = &mut self.shards[write.shard.as_usize()] {
                     placement_records::on_write_result(context, shard, machines, write, response);
                 }
             }
             ShardOwnerCall::Reread { shard, record, fencing_token } => {
-                let owned = self.shards[shard.place()].as_mut();
+                let owned = self.shards[shard.as_usize()].as_mut();
                 if let Some(shard) = owned.filter(|shard| shard.fencing_token == fencing_token) {
                     placement_records::on_reread_result(context, shard, machines, record, response);
                 }
@@ -233,7 +233,7 @@
     fencing_token: FencingToken,
     after: Option<String>,
 ) {
-    let prefix = record_prefix(&context.shards[shard.place()].name);
+    let prefix = record_prefix(&context.shards[shard.as_usize()].name);
     context.send_store_request(
         StoreCallOwner::ShardOwner(ShardOwnerCall::Load { shard, fencing_token }),
         StoreRequest::List { prefix, since: after, most: RECORDS_PER_PAGE },
--- a/src/core/shard_owner/owned_shard.rs
+++ b/src/core/shard_owner/owned_shard.rs
@@ -27,7 +27,7 @@
     /// Term of the leader that sent it.
     pub(super) term: Term,
     /// Serial number that increases with each message of the term; state messages to the leader
-    /// echo it.
+    /// answer it.
     pub(super) serial: u64,
 }
 
--- a/src/core/shard_owner/parked_heartbeats.rs
+++ b/src/core/shard_owner/parked_heartbeats.rs
@@ -39,7 +39,7 @@
     pub(super) fn answer_parked(&mut self, context: &mut NodeContext, index: MachineIndex) {
         let Some(machine) = self.machines.get_mut(index) else { return };
         let Some(parked) = machine.parked_heartbeat.take() else { return };
-        let owned = self.shards[machine.shard.place()].as_ref();
+        let owned = self.shards[machine.shard.as_usize()].as_ref();
         let owned = owned.filter(|shard| shard.fencing_token == machine.fencing_token);
         let Some(shard) = owned.filter(|_| context.has_control_lease()) else {
             return context.respond_unavailable(parked.request_id, unavailable::NO_CONTROL_LEASE);
--- a/src/core/shard_owner/placement_records/allocation.rs
+++ b/src/core/shard_owner/placement_records/allocation.rs
@@ -61,7 +61,7 @@
     }
 
     fn add(&mut self, record: RecordIndex, bytes: usize) {
-        if let Some(occupied) = self.bytes.get_mut(record.place()) {
+        if let Some(occupied) = self.bytes.get_mut(record.as_usize()) {
             *occupied += bytes;
         }
     }
@@ -82,7 +82,7 @@
         return;
     }
     let occupancy = Occupancy::of_shard(context, machines, shard.index, shard.records.len());
-    let occupied = |record: &RecordIndex| occupancy.bytes[record.place()];
+    let occupied = |record: &RecordIndex| occupancy.bytes[record.as_usize()];
     let emptiest = shard
         .records
         .indices()
--- a/src/core/shard_owner/placement_records/record.rs
+++ b/src/core/shard_owner/placement_records/record.rs
@@ -32,13 +32,13 @@
     }
 
     /// Position of the record in a list of all records of the shard.
-    pub(crate) const fn place(self) -> usize {
+    pub(crate) const fn as_usize(self) -> usize {
         self.0 as usize
     }
 
     /// The record at a position in a list of all records of the shard.
-    pub(crate) const fn at(place: usize) -> RecordIndex {
-        RecordIndex(place as u32)
+    pub(crate) const fn from_usize(position: usize) -> RecordIndex {
+        RecordIndex(position as u32)
     }
 }
 
--- a/src/core/shard_owner/placement_records/reread.rs
+++ b/src/core/shard_owner/placement_records/reread.rs
@@ -20,7 +20,7 @@
 pub(super) fn send_reread(context: &mut NodeContext, shard: &mut OwnedShard, record: RecordIndex) {
     shard.records[record].on_reread_sent();
     let call = ShardOwnerCall::Reread { shard: shard.index, record, fencing_token: shard.fencing_token };
-    let key = record_key(&context.shards[shard.index.place()].name, record);
+    let key = record_key(&context.shards[shard.index.as_usize()].name, record);
     context.send_store_request(StoreCallOwner::ShardOwner(call), StoreRequest::Get(key));
 }
 
@@ -77,7 +77,7 @@
 /// Updates the recorded state of a machine from its row in the stored record. Returns the oversized
 /// record that held the row before, if that may drop the row now.
 fn apply_stored_state(machine: &mut Machine, row: Option<&RecordedMachine>) -> Option<RecordIndex> {
-    let shows = |flags: u8| row.is_some_and(|row| row.is(flags));
+    let shows = |flags: u8| row.is_some_and(|row| row.has_any_flag(flags));
     machine.cordoned_recorded = shows(RecordedMachine::CORDONED);
     machine.terminating_recorded |= shows(RecordedMachine::TERMINATING);
     let may_drop_former =
--- a/src/core/shard_owner/placement_records/schedule.rs
+++ b/src/core/shard_owner/placement_records/schedule.rs
@@ -161,7 +161,7 @@
 ) -> PendingChanges {
     let mut pending = PendingChanges::default();
     for machine in machines.values_mut() {
-        let Some(shard) = shards[machine.shard.place()].as_mut() else { continue };
+        let Some(shard) = shards[machine.shard.as_usize()].as_mut() else { continue };
         if shard.is_loaded() && shard.fencing_token == machine.fencing_token {
             pending.add_machine(context, shard, machine, term);
         }
--- a/src/core/shard_owner/placement_records/shard_records.rs
+++ b/src/core/shard_owner/placement_records/shard_records.rs
@@ -23,12 +23,12 @@
 impl ShardRecords {
     /// The record with this number, if there is one.
     pub(super) fn get(&self, index: RecordIndex) -> Option<&OwnedRecord> {
-        self.records.get(index.place())
+        self.records.get(index.as_usize())
     }
 
     /// The record with this number, mutably, if there is one.
     pub(super) fn get_mut(&mut self, index: RecordIndex) -> Option<&mut OwnedRecord> {
-        self.records.get_mut(index.place())
+        self.records.get_mut(index.as_usize())
     }
 
     /// Number of records.
@@ -38,13 +38,13 @@
 
     /// The numbers of all records.
     pub(super) fn indices(&self) -> impl Iterator<Item = RecordIndex> + use<> {
-        (0..self.records.len()).map(RecordIndex::at)
+        (0..self.records.len()).map(RecordIndex::from_usize)
     }
 
     /// Inserts a record that has been read, and adds records that don't exist yet for missing lower
     /// numbers.
     pub(crate) fn insert_loaded(&mut self, index: RecordIndex, record: OwnedRecord) {
-        while self.records.len() <= index.place() {
+        while self.records.len() <= index.as_usize() {
             self.records.push(OwnedRecord::new());
         }
         self[index] = record;
@@ -53,7 +53,7 @@
     /// Adds a record that does not exist in the store yet.
     pub(super) fn add(&mut self) -> RecordIndex {
         self.records.push(OwnedRecord::new());
-        RecordIndex::at(self.records.len() - 1)
+        RecordIndex::from_usize(self.records.len() - 1)
     }
 
     /// Returns the preferred record if it meets the condition, otherwise the first record that does,
@@ -65,7 +65,7 @@
     ) -> RecordIndex {
         let preferred = preferred.filter(|index| self.get(*index).is_some_and(&condition));
         preferred
-            .or_else(|| self.records.iter().position(&condition).map(RecordIndex::at))
+            .or_else(|| self.records.iter().position(&condition).map(RecordIndex::from_usize))
             .unwrap_or_else(|| self.add())
     }
 
@@ -103,12 +103,12 @@
     type Output = OwnedRecord;
 
     fn index(&self, index: RecordIndex) -> &OwnedRecord {
-        &self.records[index.place()]
+        &self.records[index.as_usize()]
     }
 }
 
 impl IndexMut<RecordIndex> for ShardRecords {
     fn index_mut(&mut self, index: RecordIndex) -> &mut OwnedRecord {
-        &mut self.records[index.place()]
+        &mut self.records[index.as_usize()]
     }
 }
--- a/src/core/shard_owner/placement_records/write.rs
+++ b/src/core/shard_owner/placement_records/write.rs
@@ -68,7 +68,7 @@
     let reserved_bytes = value.len() + RECORD_SLACK_BYTES + waiting;
     let jobs = draft.job_rows.into_keys().collect();
     shard.records[record].on_write_sent(reserved_bytes, jobs);
-    let key = record_key(&context.shards[shard.index.place()].name, record);
+    let key = record_key(&context.shards[shard.index.as_usize()].name, record);
     let request = CompareAndSwap {
         compares: draft.compares,
         mutations: vec![Mutation::Put { key, value, lease: None }],
@@ -86,7 +86,7 @@
     record: RecordIndex,
     term: Term,
 ) -> RecordDraft {
-    let shard_name = &context.shards[shard.index.place()].name;
+    let shard_name = &context.shards[shard.index.as_usize()].name;
     let version = shard.records[record].version();
     let compares = vec![
         Compare { key: LEADER.into(), version: term.number() },
@@ -160,7 +160,7 @@
         StoreResponse::Conflict(keys) => {
             mark_new_attempts_unrecorded(machines, &write);
             let retry_at = now + context.jitter(CONFLICT_RETRY_MS);
-            let key = record_key(&context.shards[write.shard.place()].name, write.record);
+            let key = record_key(&context.shards[write.shard.as_usize()].name, write.record);
             if keys.contains(&key) {
                 record.on_outcome_unknown(now, retry_at);
             } else {
@@ -170,7 +170,7 @@
         StoreResponse::Malformed => {
             // The record is longer than the store accepts, although it is within the configured
             // limit. It must not be written again unchanged.
-            let key = record_key(&context.shards[write.shard.place()].name, write.record);
+            let key = record_key(&context.shards[write.shard.as_usize()].name, write.record);
             tracing::error!(
                 key,
                 "store rejected placement record; moving its contents to other records"
--- a/src/core/shard_owner/reconciliation.rs
+++ b/src/core/shard_owner/reconciliation.rs
@@ -21,7 +21,7 @@
     pub(super) fn check_leases(&mut self, context: &NodeContext) {
         let timing = context.timing();
         for machine in self.machines.values_mut() {
-            let Some(shard) = &mut self.shards[machine.shard.place()] else { continue };
+            let Some(shard) = &mut self.shards[machine.shard.as_usize()] else { continue };
             // A machine with a parked heartbeat is not silent. Otherwise the first heartbeat of a
             // new machine, while parked, would be treated as the end of a lease that never began,
             // and its tasks would be admitted again while the machine received them.
@@ -71,7 +71,7 @@
     tracing::info!(
         target: "woadlever::recovery",
         format = LOG_FORMAT,
-        shard = context.shards[shard.index.place()].name,
+        shard = context.shards[shard.index.as_usize()].name,
         fencing_token = shard.fencing_token.number(),
         phase = recovery.phase().name(),
         age_ms = recovery.age_ms(context.clock.now()),
--- a/src/core/shard_owner/reported_state.rs
+++ b/src/core/shard_owner/reported_state.rs
@@ -19,7 +19,8 @@
 const MIN_REPORT_INTERVAL_MS: Ms = 60;
 /// Interval between state messages of a shard while nothing changes.
 const IDLE_REPORT_INTERVAL_MS: Ms = 1_000;
-/// Value of `echo` in a state message sent before any desired state of the term was applied.
+/// Value of `answered_serial` in a state message sent before any desired state of the term was
+/// applied.
 const NO_DESIRED_STATE: u64 = 0;
 /// Value of `silent_ms` for a machine that has never sent a heartbeat.
 const NEVER_HEARD_MS: u64 = u64::MAX;
@@ -65,7 +66,7 @@
             term: term.number(),
             shard: shard.index.number(),
             fencing_token: shard.fencing_token.number(),
-            echo: shard.newest_serial(term).unwrap_or(NO_DESIRED_STATE),
+            answered_serial: shard.newest_serial(term).unwrap_or(NO_DESIRED_STATE),
             types: Vec::new(),
             jobs: Vec::new(),
             machines: Vec::new(),
@@ -99,7 +100,7 @@
             silent_ms: last_heartbeat.map_or(NEVER_HEARD_MS, |at| now - at),
             preemption_notice: machine.has_preemption_notice,
             terminating: machine.terminating_recorded,
-            fenced: machine.liveness.is_fenced(),
+            knows_fencing_token: machine.liveness.is_fenced(),
             unreachable: machine.liveness.is_unreachable(),
             peak: machine.peak_load,
             overloaded: machine.is_overloaded,
--- a/src/core/shard_owner/worker_heartbeats.rs
+++ b/src/core/shard_owner/worker_heartbeats.rs
@@ -74,7 +74,7 @@
         if !context.is_synced {
             return Err(Refusal::Unavailable(unavailable::NOT_SYNCED));
         }
-        let Some(owned) = &self.shards[shard.place()] else { return Err(Refusal::NotOwner(shard)) };
+        let Some(owned) = &self.shards[shard.as_usize()] else { return Err(Refusal::NotOwner(shard)) };
         if !context.has_control_lease() {
             return Err(Refusal::Unavailable(unavailable::NO_CONTROL_LEASE));
         }
@@ -114,7 +114,7 @@
         ownership: Ownership,
     ) -> Vec<Command> {
         let mut commands = Vec::new();
-        let Some(shard) = &mut self.shards[ownership.shard.place()] else { return commands };
+        let Some(shard) = &mut self.shards[ownership.shard.as_usize()] else { return commands };
         let Some(machine) = self.machines.get_mut(index) else { return commands };
         shard.has_unreported_changes = true;
         if ownership.is_loaded {
@@ -175,7 +175,7 @@
 
 /// Sends the worker to the node that owns its shard.
 fn redirect(context: &mut NodeContext, request_id: u64, shard: ShardIndex) {
-    let owner = context.shards.owner(shard.place()).map(|owner| owner.record.node.clone());
+    let owner = context.shards.owner(shard.as_usize()).map(|owner| owner.record.node.clone());
     match owner {
         Some(node) if node != context.node => {
             context.respond_json(request_id, 421, &Redirect { report_to: Some(node) });
--- a/src/io/frames/link.rs
+++ b/src/io/frames/link.rs
@@ -1,7 +1,7 @@
 //! The sending side: one connection to one receiver, reopened after it is lost.
 
 use super::Payload;
-use crate::wire::peer::MAX_FRAME;
+use crate::wire::peer::MAX_FRAME_BYTES;
 use std::net::SocketAddr;
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -88,7 +88,7 @@
         }
         let Some(stream) = &mut self.stream else { return };
         let body = message.encode();
-        if body.len() > MAX_FRAME {
+        if body.len() > MAX_FRAME_BYTES {
             tracing::error!(bytes = body.len(), "frame too long to send");
             return;
         }
--- a/src/io/frames/listener.rs
+++ b/src/io/frames/listener.rs
@@ -2,7 +2,7 @@
 
 use super::Payload;
 use crate::io::owned_task::OwnedTask;
-use crate::wire::peer::MAX_FRAME;
+use crate::wire::peer::MAX_FRAME_BYTES;
 use std::collections::VecDeque;
 use std::time::Duration;
 use thiserror::Error;
@@ -84,7 +84,7 @@
 async fn read_frame(stream: &mut TcpStream) -> Result<Vec<u8>, ReceiveError> {
     let length = timeout(IDLE_TIMEOUT, stream.read_u32()).await;
     let length = length.map_err(|_| ReceiveError::IdleTimeout)?? as usize;
-    if length > MAX_FRAME {
+    if length > MAX_FRAME_BYTES {
         tracing::error!(len = length, "peer frame too long; closing the connection");
         return Err(ReceiveError::OversizedFrame);
     }
--- a/src/model/index.rs
+++ b/src/model/index.rs
@@ -20,13 +20,13 @@
             }
 
             /// Returns the position in a list of all entities of this kind.
-            pub const fn place(self) -> usize {
+            pub const fn as_usize(self) -> usize {
                 self.0 as usize
             }
 
             /// Returns the index for a position in a list of all entities of this kind.
-            pub const fn at(place: usize) -> $name {
-                $name(place as u32)
+            pub const fn from_usize(position: usize) -> $name {
+                $name(position as u32)
             }
         }
 
--- a/src/model/shard.rs
+++ b/src/model/shard.rs
@@ -54,5 +54,5 @@
     let tail = &digits[digits.len().saturating_sub(NAME_DIGITS)..];
     let number: u32 = tail.parse().unwrap_or(0);
     let contains_machine = |shard: &Shard| shard.zone == zone && number % shard.parts == shard.part;
-    shards.iter().position(contains_machine).map(ShardIndex::at)
+    shards.iter().position(contains_machine).map(ShardIndex::from_usize)
 }
--- a/src/wire/peer.rs
+++ b/src/wire/peer.rs
@@ -11,7 +11,7 @@
 use bitcode::{Decode, Encode};
 
 /// Maximum length of a frame in bytes. A longer frame closes the connection.
-pub const MAX_FRAME: usize = 4 << 20;
+pub const MAX_FRAME_BYTES: usize = 4 << 20;
 
 /// A message from one node to another.
 #[derive(Debug, Clone, Encode, Decode, PartialEq)]
@@ -99,7 +99,7 @@
     /// Machines to be drained and then terminated.
     pub decommission: Vec<Decommission>,
     /// Names of machines whose termination the cloud has confirmed.
-    pub gone: Vec<String>,
+    pub terminated: Vec<String>,
     /// Names of machines that temporarily get no new tasks.
     pub quarantined: Vec<String>,
 }
@@ -149,7 +149,7 @@
     /// Fencing token of the sender.
     pub fencing_token: u64,
     /// Serial of the newest [`DesiredState`] that this message accounts for, or 0 if there is none.
-    pub echo: u64,
+    pub answered_serial: u64,
     /// Machine types. Machines refer to them by index, because thousands of tasks share a few
     /// jobs and machine types.
     pub types: Vec<String>,
@@ -190,7 +190,7 @@
     /// Whether its termination has been recorded in the store.
     pub terminating: bool,
     /// Whether a heartbeat has confirmed that its worker knows the owner's fencing token.
-    pub fenced: bool,
+    pub knows_fencing_token: bool,
     /// Whether its heartbeats arrive although nothing that is sent to it does.
     pub unreachable: bool,
     /// Projected peak utilization as a share of its capacity.
--- a/src/wire/store/mod.rs
+++ b/src/wire/store/mod.rs
@@ -14,5 +14,5 @@
 pub use placement_record::{PlacementRecord, RecordedAttempt, RecordedJob, RecordedMachine};
 pub use protocol::{
     Compare, CompareAndSwap, CompareAndSwapCommitted, CompareAndSwapConflict, Event, KeyValue,
-    LeaseOpened, Mutation, OpenLease, Page, WatchAnswer,
+    LeaseOpened, Mutation, OpenLease, Page, WatchResponse,
 };
--- a/src/wire/store/placement_record.rs
+++ b/src/wire/store/placement_record.rs
@@ -94,7 +94,7 @@
     }
 
     /// Whether any of `flags` is set.
-    pub fn is(&self, flags: u8) -> bool {
+    pub fn has_any_flag(&self, flags: u8) -> bool {
         self.2 & flags != 0
     }
 
--- a/src/wire/store/protocol.rs
+++ b/src/wire/store/protocol.rs
@@ -111,7 +111,7 @@
 
 /// Response to a watch: the changes since a revision.
 #[derive(Debug, Clone, Deserialize)]
-pub struct WatchAnswer {
+pub struct WatchResponse {
     /// Revision up to which changes are listed.
     #[serde(rename = "ledger")]
     pub revision: u64,
--- a/tests/large_cells.rs
+++ b/tests/large_cells.rs
@@ -62,7 +62,7 @@
     for world in &cells.worlds {
         assert_eq!((world.store.refused, world.cloud.refused), (0, 0), "calls beyond the limits");
     }
-    let limit = woadlever::wire::peer::MAX_FRAME / 4;
+    let limit = woadlever::wire::peer::MAX_FRAME_BYTES / 4;
     assert!(cells.longest_message < limit, "a message of {} bytes", cells.longest_message);
     cells.assert_rules_kept();
 }
--- a/tests/large_fleet.rs
+++ b/tests/large_fleet.rs
@@ -79,7 +79,7 @@
     );
     assert_eq!((world.store.refused, world.cloud.refused), (0, 0), "calls beyond the limits");
 
-    let limit = woadlever::wire::peer::MAX_FRAME / 4;
+    let limit = woadlever::wire::peer::MAX_FRAME_BYTES / 4;
     assert!(world.network.longest_frame < limit, "a frame of {} bytes", world.network.longest_frame);
     world.assert_rules_kept();
 }
--- a/tests/scenarios/scale.rs
+++ b/tests/scenarios/scale.rs
@@ -36,7 +36,7 @@
     assert!(world.each_task_started_once(), "a task was started again although its lease had not ended");
     assert_eq!((world.store.refused, world.cloud.refused), (0, 0));
     assert!(
-        world.network.longest_frame < woadlever::wire::peer::MAX_FRAME / 4,
+        world.network.longest_frame < woadlever::wire::peer::MAX_FRAME_BYTES / 4,
         "{} bytes",
         world.network.longest_frame
     );
--- a/tests/support/controllers.rs
+++ b/tests/support/controllers.rs
@@ -119,7 +119,7 @@
         let shards = woadlever::model::shards_of(&platform.cluster.zones, &nodes);
         let worker = &self.workers[worker];
         let shard = woadlever::model::shard_of(&shards, &worker.zone, &worker.name).unwrap();
-        let record = &self.store.records[&format!("w/block/{}", shards[shard.place()].name)].value;
+        let record = &self.store.records[&format!("w/block/{}", shards[shard.as_usize()].name)].value;
         record["node"].as_str().unwrap()[1..].parse().unwrap()
     }
 }
--- a/tests/support/events.rs
+++ b/tests/support/events.rs
@@ -11,7 +11,7 @@
     CloudRequest, CloudResponse, HttpRequest, Input, Output, StoreRequest, StoreResponse,
 };
 use woadlever::wire::peer::Frame;
-use woadlever::wire::store::{CompareAndSwap, WatchAnswer};
+use woadlever::wire::store::{CompareAndSwap, WatchResponse};
 use woadlever::wire::workers::{DirectCommands, WorkerHeartbeat};
 
 /// One-way latency between a controller and the store.
@@ -298,7 +298,7 @@
         for watch in std::mem::take(&mut self.store.watches) {
             let found = self.store.watch(&watch.prefix, watch.since);
             let nothing = (now >= watch.until).then(|| {
-                StoreResponse::Watch(WatchAnswer { revision: self.store.revision, events: vec![] })
+                StoreResponse::Watch(WatchResponse { revision: self.store.revision, events: vec![] })
             });
             let call = watch.call;
             let is_refused = self.store.refuses.contains(&call.node);
--- a/tests/support/store.rs
+++ b/tests/support/store.rs
@@ -9,7 +9,7 @@
 use woadlever::core::{StoreRequest, StoreResponse};
 use woadlever::wire::encoded::Encoded;
 use woadlever::wire::store::{
-    CompareAndSwap, Event as ChangeEvent, KeyValue, Mutation, Page, WatchAnswer,
+    CompareAndSwap, Event as ChangeEvent, KeyValue, Mutation, Page, WatchResponse,
 };
 
 /// Maximum size of one compare-and-swap.
@@ -352,7 +352,7 @@
         let first = self.log.partition_point(|event| event.version <= since);
         let events: Vec<ChangeEvent> = self.log[first..].iter().filter(is_watched).cloned().collect();
         (!events.is_empty())
-            .then_some(StoreResponse::Watch(WatchAnswer { revision: self.revision, events }))
+            .then_some(StoreResponse::Watch(WatchResponse { revision: self.revision, events }))
     }
 }
 
--- a/tests/units/messages.rs
+++ b/tests/units/messages.rs
@@ -6,7 +6,7 @@
 use woadlever::wire::peer::{Frame, PeerHeartbeat, PeerMessage};
 use woadlever::wire::store::{
     Compare, CompareAndSwap, CompareAndSwapCommitted, CompareAndSwapConflict, KeyValue, LeaseOpened,
-    Mutation, Page, WatchAnswer,
+    Mutation, Page, WatchResponse,
 };
 use woadlever::wire::workers::{TaskState, WorkerHeartbeat};
 use woadlever_cells::message::{CellMessage, ForwardedState, HostedState};
@@ -58,7 +58,7 @@
 
     let watch =
         r#"{"ledger":433,"log":[{"write":"c/9","data":3,"stamp":433},{"drop":"c/d","stamp":432}]}"#;
-    let watch: WatchAnswer = serde_json::from_str(watch).unwrap();
+    let watch: WatchResponse = serde_json::from_str(watch).unwrap();
     assert_eq!((watch.revision, watch.events[0].version, watch.events[1].version), (433, 433, 432));
     assert_eq!(watch.events[0].put.as_deref(), Some("c/9"));
     assert_eq!(watch.events[1].delete.as_deref(), Some("c/d"));
--- a/tests/units/settings.rs
+++ b/tests/units/settings.rs
@@ -57,14 +57,14 @@
     let with = |next: &str| PLATFORM.replace("[cluster.cloud]", &format!("{next}\n[cluster.cloud]"));
     let limits = Platform::parse("f", PLATFORM).unwrap().cluster.state;
     assert_eq!(
-        (limits.value_kb, limits.txn_ops, limits.write_rps, limits.today_kb),
+        (limits.value_kb, limits.txn_ops, limits.write_rps, limits.current_value_kb),
         (8.0, 12, 20.0, 8.0)
     );
 
     let next = "[cluster.state.next]\nwrite_rps = 15.0\nvalue_kb = 2.0\ntxn_ops = 4";
     let limits = Platform::parse("f", &with(next)).unwrap().cluster.state;
     assert_eq!(
-        (limits.value_kb, limits.txn_ops, limits.write_rps, limits.today_kb),
+        (limits.value_kb, limits.txn_ops, limits.write_rps, limits.current_value_kb),
         (2.0, 4, 15.0, 8.0)
     );
     assert_eq!(limits.rps, 150.0, "a limit that is not announced has changed");
