--- a/src/config/operator.rs
+++ b/src/config/operator.rs
@@ -15,7 +15,7 @@
     /// Length of a forecast window, in seconds.
     pub window_s: f64,
     /// Number of windows in one season of the forecast.
-    pub season: usize,
+    pub season_windows: usize,
     /// Weight of the newest window in the smoothed average.
     pub smoothing: f64,
     /// Share of capacity above which a projected step counts as overloaded.
@@ -25,7 +25,7 @@
     /// Projected utilization, as a share of capacity, below which machines are drained.
     pub drain_level: f64,
     /// Number of one-second steps of the projection.
-    pub horizon: usize,
+    pub horizon_steps: usize,
     /// Extra time that a task which outruns its estimate is assumed to need, as a share of the
     /// estimate.
     pub extension: f64,
@@ -36,7 +36,7 @@
     /// Silence after which the leader considers a node lost, in seconds.
     pub node_silence_s: f64,
     /// Number of spot instances kept in addition to the forecast, in mean deviations from it.
-    pub headroom: f64,
+    pub spot_headroom: f64,
     /// Wait after which a job may preempt other jobs, in seconds.
     pub preempt_after_s: f64,
     /// Wait without a started task after which the first tasks of a job take precedence over all
@@ -52,17 +52,17 @@
     fn default() -> Self {
         Operator {
             window_s: 10.0,
-            season: 90,
+            season_windows: 90,
             smoothing: 0.4,
             overload_level: 0.95,
             overload_steps: 0.10,
             drain_level: 0.30,
-            horizon: 100,
+            horizon_steps: 100,
             extension: 0.2,
             max_control_lease_s: 30.0,
             leader_ttl_s: 5.0,
             node_silence_s: 3.0,
-            headroom: 1.5,
+            spot_headroom: 1.5,
             preempt_after_s: 180.0,
             starve_after_s: 120.0,
             overload: OverloadSettings::default(),
@@ -104,12 +104,12 @@
         let number = |least: f64, most: f64| number_within(value, least, most);
         match (section, key) {
             ("forecast", "window_s") => self.window_s = number(1.0, SECONDS_PER_DAY)?,
-            ("forecast", "season_windows") => self.season = number(1.0, 10000.0)? as usize,
+            ("forecast", "season_windows") => self.season_windows = number(1.0, 10000.0)? as usize,
             ("forecast", "smoothing") => self.smoothing = number(0.0, 1.0)?,
-            ("forecast", "spot_headroom") => self.headroom = number(0.0, 100.0)?,
+            ("forecast", "spot_headroom") => self.spot_headroom = number(0.0, 100.0)?,
             ("admission", "preempt_after_s") => self.preempt_after_s = number(0.0, SECONDS_PER_DAY)?,
             ("admission", "starve_after_s") => self.starve_after_s = number(0.0, SECONDS_PER_DAY)?,
-            ("projection", "horizon_s") => self.horizon = number(1.0, 10000.0)? as usize,
+            ("projection", "horizon_s") => self.horizon_steps = number(1.0, 10000.0)? as usize,
             ("projection", "extension") => self.extension = number(0.01, 10.0)?,
             ("projection", "overload_level") => self.overload_level = number(0.0, 1.0)?,
             ("projection", "overload_steps") => self.overload_steps = number(0.0, 1.0)?,
--- a/src/core/common/projection.rs
+++ b/src/core/common/projection.rs
@@ -70,7 +70,7 @@
     let peak = used.dominant_share(capacity);
     let mut ends = ends.into_iter().peekable();
     let mut overloaded_steps = 0usize;
-    for step in 0..operator.horizon as u64 {
+    for step in 0..operator.horizon_steps as u64 {
         while let Some(end) = ends.next_if(|end| end.step <= step) {
             used.sub(&end.demand);
         }
@@ -78,6 +78,6 @@
         load.add(waiting);
         overloaded_steps += usize::from(load.dominant_share(capacity) > operator.overload_level);
     }
-    let tolerated = operator.overload_steps * operator.horizon as f64;
+    let tolerated = operator.overload_steps * operator.horizon_steps as f64;
     Projection { peak, overloaded: overloaded_steps as f64 > tolerated }
 }
--- a/src/core/common/watch_cache.rs
+++ b/src/core/common/watch_cache.rs
@@ -152,8 +152,8 @@
     context.send_store_request(StoreCallOwner::WatchCache(WatchCacheCall::Watch { since }), request);
 }
 
-fn list(context: &mut NodeContext, read: FullRead, since: Option<String>) {
-    let request = StoreRequest::List { prefix: WATCHED_PREFIX.into(), since, most: PAGE_SIZE };
+fn list(context: &mut NodeContext, read: FullRead, after: Option<String>) {
+    let request = StoreRequest::List { prefix: WATCHED_PREFIX.into(), after, limit: PAGE_SIZE };
     context.send_store_request(StoreCallOwner::WatchCache(WatchCacheCall::Page(read)), request);
 }
 
--- a/src/core/leader/cells/capacity.rs
+++ b/src/core/leader/cells/capacity.rs
@@ -18,7 +18,7 @@
 
 /// Converts an amount of resources to the form used in messages between cells.
 fn amount(resources: &Resources) -> Amount {
-    Amount { cpus: resources.cpus, gpus: resources.gpus, memory_gb: resources.mem }
+    Amount { cpus: resources.cpus, gpus: resources.gpus, memory_gb: resources.memory_gb }
 }
 
 /// Returns the resource demand and placement constraints of a job, in the form used between cells.
--- a/src/core/leader/fleet/cloud_calls/instance_list.rs
+++ b/src/core/leader/fleet/cloud_calls/instance_list.rs
@@ -38,7 +38,7 @@
             return None;
         }
         self.next_page.set(now + ANSWER_TIMEOUT_MS);
-        let request = CloudRequest::List { since: self.last_name.clone() };
+        let request = CloudRequest::List { after: self.last_name.clone() };
         Some(DueCall { request, purpose: CallPurpose::InstanceList })
     }
 
--- a/src/core/leader/fleet/forecast_window.rs
+++ b/src/core/leader/fleet/forecast_window.rs
@@ -53,11 +53,11 @@
     }
 
     /// Starts a window, and adds the averages of the previous one to the history.
-    pub(super) fn begin(&mut self, now: Ms, season: usize) {
+    pub(super) fn begin(&mut self, now: Ms, season_windows: usize) {
         self.started_at = Some(now);
         let sampled = std::mem::take(&mut self.bookings).into_iter();
         let averages = sampled.map(|(label, samples)| (label, samples.average())).collect();
-        self.history.record(&averages, season);
+        self.history.record(&averages, season_windows);
     }
 
     /// History of the bookings in earlier windows.
--- a/src/core/leader/fleet/window_rule.rs
+++ b/src/core/leader/fleet/window_rule.rs
@@ -28,7 +28,7 @@
     /// higher. Cordoned instances are restored first, and the rest is requested. Surplus instances
     /// are cordoned.
     pub(super) fn start_window(&mut self, context: &mut NodeContext, plan: ScaleOutPlan) {
-        self.fleet.window.begin(context.clock.now(), context.operator.season);
+        self.fleet.window.begin(context.clock.now(), context.operator.season_windows);
         let mut scaling = WindowScaling {
             plan,
             bookings: self.bookings(context),
@@ -181,15 +181,15 @@
 impl Fleet {
     /// Target number of instances of a kind, given the present demand for them.
     fn target(&self, context: &NodeContext, kind: InstanceKind, demand: f64) -> u32 {
-        let (season, smoothing) = (context.operator.season, context.operator.smoothing);
+        let (season_windows, smoothing) = (context.operator.season_windows, context.operator.smoothing);
         let label = kind.label(context);
         let history = self.window.history();
-        let mut forecast = history.expect(&label, season, smoothing);
+        let mut forecast = history.expect(&label, season_windows, smoothing);
         // Spot instances cover deviations of the demand from its forecast.
         if kind.is_spot
             && let Some(forecast) = &mut forecast
         {
-            *forecast += context.operator.headroom * history.deviation(&label, smoothing);
+            *forecast += context.operator.spot_headroom * history.deviation(&label, smoothing);
         }
         // A forecast of a small fraction of an instance is no reason to request one, so the forecast
         // is rounded to the nearest integer. Any fraction of present demand is, so that is rounded
--- a/src/core/leader/forecast.rs
+++ b/src/core/leader/forecast.rs
@@ -33,14 +33,14 @@
 }
 
 impl History {
-    /// Adds the window that has just ended, with the machines booked in it. `season` is the
+    /// Adds the window that has just ended, with the machines booked in it. `season_windows` is the
     /// number of windows in a season.
-    pub fn record(&mut self, booked: &BTreeMap<String, f64>, season: usize) {
+    pub fn record(&mut self, booked: &BTreeMap<String, f64>, season_windows: usize) {
         for kind in booked.keys() {
             let earlier_windows = self.longest();
             self.bookings.entry(kind.clone()).or_insert_with(|| vec![0.0; earlier_windows]);
         }
-        let max_windows = (season * KEPT_SEASONS).clamp(MIN_WINDOWS, MAX_KEPT_WINDOWS);
+        let max_windows = (season_windows * KEPT_SEASONS).clamp(MIN_WINDOWS, MAX_KEPT_WINDOWS);
         for (kind, windows) in &mut self.bookings {
             let machines = booked.get(kind).copied().unwrap_or(0.0);
             windows.push(round_to_hundredths(machines));
@@ -80,16 +80,16 @@
     /// Returns the number of machines expected to be booked in the next window, or `None` if the
     /// history is too short. The seasonal average is used only once the history covers two
     /// seasons: with less, any rise and fall within the last minutes would look like a season.
-    pub fn expect(&self, kind: &str, season: usize, smoothing: f64) -> Option<f64> {
+    pub fn expect(&self, kind: &str, season_windows: usize, smoothing: f64) -> Option<f64> {
         let windows = self.bookings.get(kind)?;
         if windows.len() < MIN_WINDOWS {
             return None;
         }
         let level = smoothed_level(windows, smoothing);
-        if windows.len() < 2 * season {
+        if windows.len() < 2 * season_windows {
             return Some(level);
         }
-        Some(match seasonal_average(windows, season, smoothing) {
+        Some(match seasonal_average(windows, season_windows, smoothing) {
             Some(seasonal) => SEASON_SHARE * (level + seasonal),
             None => level,
         })
@@ -111,16 +111,16 @@
 
 /// Returns the weighted average of the windows that correspond to the next window in earlier
 /// seasons, starting with the latest season.
-fn seasonal_average(windows: &[f64], season: usize, smoothing: f64) -> Option<f64> {
+fn seasonal_average(windows: &[f64], season_windows: usize, smoothing: f64) -> Option<f64> {
     let mut average = None;
-    let mut next_index = windows.len().checked_sub(season);
+    let mut next_index = windows.len().checked_sub(season_windows);
     while let Some(index) = next_index {
         let machines = windows[index];
         average = Some(match average {
             None => machines,
             Some(newer) => newer + (1.0 - smoothing) * SEASON_WEIGHT * (machines - newer),
         });
-        next_index = index.checked_sub(season);
+        next_index = index.checked_sub(season_windows);
     }
     average
 }
--- a/src/core/leader/order.rs
+++ b/src/core/leader/order.rs
@@ -46,7 +46,7 @@
             let slack_s = shorter(own_slack_s, inherited_slack_s);
             let key = JobOrder {
                 priority: Reverse(live.priority),
-                late: slack_s.is_none(),
+                all_objectives_missed: slack_s.is_none(),
                 slack_ms: (slack_s.unwrap_or(-live.age_s(wall_ms)) * 1000.0) as i64,
             };
             order.push((key, *job));
--- a/src/core/leader/quota.rs
+++ b/src/core/leader/quota.rs
@@ -24,7 +24,10 @@
 /// Returns how many more tasks of this demand the team's quota allows, given the resources that
 /// the team uses. A quota of 0 allows none. Memory has no quota.
 pub(super) fn quota_tasks(team: &Team, used: &Resources, demand: &Resources) -> u32 {
-    let remaining =
-        Resources { cpus: team.cpus_max - used.cpus, gpus: team.gpus_max - used.gpus, mem: f64::MAX };
+    let remaining = Resources {
+        cpus: team.cpus_max - used.cpus,
+        gpus: team.gpus_max - used.gpus,
+        memory_gb: f64::MAX,
+    };
     demand.count_fitting(&remaining)
 }
--- a/src/core/leader/quota_watch.rs
+++ b/src/core/leader/quota_watch.rs
@@ -166,7 +166,7 @@
         .jobs
         .iter()
         .map(|job| {
-            let demand = Resources { cpus: job.cpus, gpus: job.gpus, mem: job.memory_gb };
+            let demand = Resources { cpus: job.cpus, gpus: job.gpus, memory_gb: job.memory_gb };
             (team_of(&job.team), demand)
         })
         .collect();
--- a/src/core/leader/rebuild.rs
+++ b/src/core/leader/rebuild.rs
@@ -236,11 +236,8 @@
 /// Sends a read of the records of a kind. For paged kinds, `after` is the key after which the page
 /// begins.
 fn read_records(context: &mut NodeContext, kind: RecordKind, after: Option<String>) {
-    let list = |prefix: &str| StoreRequest::List {
-        prefix: prefix.to_string(),
-        since: after,
-        most: PAGE_RECORDS,
-    };
+    let list =
+        |prefix: &str| StoreRequest::List { prefix: prefix.to_string(), after, limit: PAGE_RECORDS };
     let request = match kind {
         RecordKind::Placements => list(PLACEMENT_PREFIX),
         RecordKind::Progress => list("progress/"),
@@ -257,7 +254,7 @@
     job: &RecordedJob,
     task: u32,
 ) -> Attempt {
-    let RecordedJob(id, team, cpus, gpus, mem) = job;
+    let RecordedJob(id, team, cpus, gpus, memory_gb) = job;
     let teams = &context.platform.cluster.teams;
     let team = teams.iter().position(|known| known.name == *team);
     Attempt {
@@ -271,7 +268,7 @@
         evidence: Evidence::Record,
         is_wanted: true,
         state: ReportedPhase::Bound,
-        demand: Resources { cpus: *cpus, gpus: *gpus, mem: *mem },
+        demand: Resources { cpus: *cpus, gpus: *gpus, memory_gb: *memory_gb },
         team,
         ran_ms: 0,
         first_named_in: None,
--- a/src/core/leader/reconciliation.rs
+++ b/src/core/leader/reconciliation.rs
@@ -29,7 +29,8 @@
     fn new(context: &mut NodeContext, reported: &ReportedJob) -> ReportedJobInfo {
         let teams = &context.platform.cluster.teams;
         let team = teams.iter().position(|team| team.name == reported.team);
-        let demand = Resources { cpus: reported.cpus, gpus: reported.gpus, mem: reported.memory_gb };
+        let demand =
+            Resources { cpus: reported.cpus, gpus: reported.gpus, memory_gb: reported.memory_gb };
         ReportedJobInfo { job: context.job_index_or_lookup(&reported.job), team, demand }
     }
 }
--- a/src/core/messages.rs
+++ b/src/core/messages.rs
@@ -130,9 +130,9 @@
         /// Key prefix of the records.
         prefix: String,
         /// Key after which the page begins.
-        since: Option<String>,
+        after: Option<String>,
         /// Maximum number of records on the page.
-        most: u32,
+        limit: u32,
     },
     /// Apply mutations atomically, conditional on versions of keys (compare-and-swap).
     CompareAndSwap(CompareAndSwap),
@@ -196,7 +196,7 @@
     /// Read a page of the list of machines.
     List {
         /// Name after which the page begins.
-        since: Option<String>,
+        after: Option<String>,
     },
     /// Create instances to scale out.
     CreateInstances(CreateInstancesRequest),
--- a/src/core/shard_owner/mod.rs
+++ b/src/core/shard_owner/mod.rs
@@ -236,6 +236,6 @@
     let prefix = record_prefix(&context.shards[shard.as_usize()].name);
     context.send_store_request(
         StoreCallOwner::ShardOwner(ShardOwnerCall::Load { shard, fencing_token }),
-        StoreRequest::List { prefix, since: after, most: RECORDS_PER_PAGE },
+        StoreRequest::List { prefix, after, limit: RECORDS_PER_PAGE },
     );
 }
--- a/src/core/shard_owner/placement_records/draft.rs
+++ b/src/core/shard_owner/placement_records/draft.rs
@@ -154,7 +154,7 @@
         *self.job_rows.entry(attempt.job).or_insert_with(|| {
             let demand = &attempt.demand;
             let id = context.jobs.id(attempt.job).to_string();
-            jobs.push(RecordedJob(id, attempt.team.clone(), demand.cpus, demand.gpus, demand.mem));
+            jobs.push(RecordedJob(id, attempt.team.clone(), demand.cpus, demand.gpus, demand.memory_gb));
             jobs.len() as u32 - 1
         })
     }
--- a/src/core/shard_owner/placement_records/layout.rs
+++ b/src/core/shard_owner/placement_records/layout.rs
@@ -48,7 +48,7 @@
 pub(crate) fn job_row_bytes(name: &str, team: &str, demand: &Resources) -> usize {
     let decimal_bytes = |number: f64| number.to_string().len() + DECIMAL_OVERHEAD_BYTES;
     let demand_bytes =
-        decimal_bytes(demand.cpus) + decimal_bytes(demand.gpus) + decimal_bytes(demand.mem);
+        decimal_bytes(demand.cpus) + decimal_bytes(demand.gpus) + decimal_bytes(demand.memory_gb);
     name.len() + team.len() + demand_bytes + JOB_ROW_SEPARATOR_BYTES
 }
 
--- a/src/core/shard_owner/reconciliation.rs
+++ b/src/core/shard_owner/reconciliation.rs
@@ -184,7 +184,7 @@
         TaskState::Fetching => AttemptPhase::Fetching,
         TaskState::Running | TaskState::Other => AttemptPhase::Running,
         TaskState::Saving => AttemptPhase::Saving,
-        TaskState::Exited => match task.why.as_deref() {
+        TaskState::Exited => match task.end_reason.as_deref() {
             Some("done") => AttemptPhase::Done,
             Some("error") => AttemptPhase::Failed,
             Some("halted") => AttemptPhase::Stopped,
--- a/src/core/shard_owner/reported_state.rs
+++ b/src/core/shard_owner/reported_state.rs
@@ -126,7 +126,7 @@
                 team: attempt.team.clone(),
                 cpus: attempt.demand.cpus,
                 gpus: attempt.demand.gpus,
-                memory_gb: attempt.demand.mem,
+                memory_gb: attempt.demand.memory_gb,
             });
             jobs.len() as u32 - 1
         })
--- a/src/core/user_api/submission.rs
+++ b/src/core/user_api/submission.rs
@@ -14,7 +14,7 @@
 use crate::model::JobSpec;
 use crate::wire::encoded::Encoded;
 use crate::wire::store::{JobRecord, JobState};
-use crate::wire::users::{InvalidField, Submission, id_of, parse_job};
+use crate::wire::users::{InvalidField, Submission, id_of, parse_submission};
 use std::collections::HashMap;
 
 /// Number of bytes by which a record may grow when the time of acceptance is set.
@@ -52,7 +52,7 @@
     /// Handles a submission with this body. A job that was accepted before stays accepted, even if a
     /// later body differs or the limits have changed.
     pub(crate) fn submit(&mut self, context: &mut NodeContext, request_id: u64, body: &[u8]) {
-        let Submission { id, spec, awaits } = match parse_job(body) {
+        let Submission { id, spec, awaits } = match parse_submission(body) {
             Ok(submission) => submission,
             Err(invalid) => return self.refuse_invalid(context, request_id, body, &invalid),
         };
--- a/src/io/cloud.rs
+++ b/src/io/cloud.rs
@@ -19,9 +19,9 @@
     fn to_http(&self) -> HttpCall {
         let (method, path, body) = match self {
             CloudRequest::Catalog => (Method::GET, "/catalog".into(), None),
-            CloudRequest::List { since } => {
-                let since = since.as_ref().map(|name| format!("since={name}&")).unwrap_or_default();
-                (Method::GET, format!("/rentals?{since}most={PAGE_SIZE}"), None)
+            CloudRequest::List { after } => {
+                let after = after.as_ref().map(|name| format!("since={name}&")).unwrap_or_default();
+                (Method::GET, format!("/rentals?{after}most={PAGE_SIZE}"), None)
             }
             CloudRequest::CreateInstances(body) => {
                 (Method::POST, "/rentals".into(), serde_json::to_vec(body).ok())
--- a/src/io/store.rs
+++ b/src/io/store.rs
@@ -24,9 +24,9 @@
         let mut timeout = CALL_TIMEOUT;
         let (method, path, body) = match self {
             StoreRequest::Get(key) => (Method::GET, format!("/keys/{key}"), None),
-            StoreRequest::List { prefix, since, most } => {
-                let since = since.as_ref().map(|key| format!("&since={key}")).unwrap_or_default();
-                (Method::GET, format!("/keys?prefix={prefix}{since}&most={most}"), None)
+            StoreRequest::List { prefix, after, limit } => {
+                let after = after.as_ref().map(|key| format!("&since={key}")).unwrap_or_default();
+                (Method::GET, format!("/keys?prefix={prefix}{after}&most={limit}"), None)
             }
             StoreRequest::CompareAndSwap(body) => {
                 (Method::POST, "/multi".into(), serde_json::to_vec(body).ok())
--- a/src/model/job_order.rs
+++ b/src/model/job_order.rs
@@ -8,7 +8,7 @@
     /// Priority of the job; higher priorities come first.
     pub priority: std::cmp::Reverse<Priority>,
     /// Whether it is too late to start the job in time for any of its service-level objectives.
-    pub late: bool,
+    pub all_objectives_missed: bool,
     /// Time left, in milliseconds, to start the job in time for its next objective.
     pub slack_ms: i64,
 }
--- a/src/model/job_spec.rs
+++ b/src/model/job_spec.rs
@@ -85,6 +85,6 @@
 impl JobSpec {
     /// Returns the resource demand of one task, for bin packing.
     pub fn demand(&self) -> Resources {
-        Resources { cpus: self.cpus, gpus: self.gpus, mem: self.memory_gb }
+        Resources { cpus: self.cpus, gpus: self.gpus, memory_gb: self.memory_gb }
     }
 }
--- a/src/model/resources.rs
+++ b/src/model/resources.rs
@@ -8,7 +8,7 @@
     /// GPUs.
     pub gpus: f64,
     /// Memory in GB.
-    pub mem: f64,
+    pub memory_gb: f64,
 }
 
 /// Tolerance when a demand is compared with a capacity: sums of decimal fractions accumulate
@@ -20,21 +20,21 @@
     pub fn fits_within(&self, capacity: &Resources) -> bool {
         self.cpus <= capacity.cpus + EPSILON
             && self.gpus <= capacity.gpus + EPSILON
-            && self.mem <= capacity.mem + EPSILON
+            && self.memory_gb <= capacity.memory_gb + EPSILON
     }
 
     /// Adds another amount.
     pub fn add(&mut self, other: &Resources) {
         self.cpus += other.cpus;
         self.gpus += other.gpus;
-        self.mem += other.mem;
+        self.memory_gb += other.memory_gb;
     }
 
     /// Subtracts another amount.
     pub fn sub(&mut self, other: &Resources) {
         self.cpus -= other.cpus;
         self.gpus -= other.gpus;
-        self.mem -= other.mem;
+        self.memory_gb -= other.memory_gb;
     }
 
     /// Returns the larger of both amounts in each dimension.
@@ -42,14 +42,14 @@
         Resources {
             cpus: self.cpus.max(other.cpus),
             gpus: self.gpus.max(other.gpus),
-            mem: self.mem.max(other.mem),
+            memory_gb: self.memory_gb.max(other.memory_gb),
         }
     }
 
     /// Returns this amount multiplied by a number of tasks.
     pub fn times(&self, count: u32) -> Resources {
         let count = f64::from(count);
-        Resources { cpus: self.cpus * count, gpus: self.gpus * count, mem: self.mem * count }
+        Resources { cpus: self.cpus * count, gpus: self.gpus * count, memory_gb: self.memory_gb * count }
     }
 
     /// Returns the largest share of a capacity that this amount takes up in any dimension.
@@ -57,7 +57,7 @@
         let share = |amount: f64, available: f64| if available > 0.0 { amount / available } else { 0.0 };
         share(self.cpus, capacity.cpus)
             .max(share(self.gpus, capacity.gpus))
-            .max(share(self.mem, capacity.mem))
+            .max(share(self.memory_gb, capacity.memory_gb))
     }
 
     /// Returns how many tasks of this demand fit into a capacity.
@@ -67,6 +67,6 @@
         };
         fitting(self.cpus, capacity.cpus)
             .min(fitting(self.gpus, capacity.gpus))
-            .min(fitting(self.mem, capacity.mem)) as u32
+            .min(fitting(self.memory_gb, capacity.memory_gb)) as u32
     }
 }
--- a/src/wire/cloud.rs
+++ b/src/wire/cloud.rs
@@ -51,7 +51,7 @@
 impl From<MachineType> for model::MachineType {
     fn from(listed: MachineType) -> Self {
         model::MachineType {
-            capacity: Resources { cpus: listed.cpus, gpus: listed.gpus, mem: listed.memory_gb },
+            capacity: Resources { cpus: listed.cpus, gpus: listed.gpus, memory_gb: listed.memory_gb },
             name: listed.name,
             cache_gb: listed.cache_gb,
             fetch_gb_per_s: listed.fetch_gb_per_s.max(MIN_FETCH_GB_PER_S),
--- a/src/wire/store/placement_record.rs
+++ b/src/wire/store/placement_record.rs
@@ -34,7 +34,7 @@
 impl RecordedJob {
     /// Creates the row of a job.
     pub fn new(id: String, team: String, demand: &Resources) -> RecordedJob {
-        RecordedJob(id, team, demand.cpus, demand.gpus, demand.mem)
+        RecordedJob(id, team, demand.cpus, demand.gpus, demand.memory_gb)
     }
 
     /// Returns the id of the job.
@@ -49,7 +49,7 @@
 
     /// Returns the resource demand of one task.
     pub fn demand(&self) -> Resources {
-        Resources { cpus: self.2, gpus: self.3, mem: self.4 }
+        Resources { cpus: self.2, gpus: self.3, memory_gb: self.4 }
     }
 }
 
--- a/src/wire/users.rs
+++ b/src/wire/users.rs
@@ -161,7 +161,7 @@
 
 /// Parses a submission. A field may be omitted only if it may be null. The error names the first
 /// invalid field in the order in which this function reads them.
-pub fn parse_job(body: &[u8]) -> Result<Submission, InvalidField> {
+pub fn parse_submission(body: &[u8]) -> Result<Submission, InvalidField> {
     let object = parse_object(body)?;
     let fields = Fields(&object);
     let id = job_id(&fields)?;
@@ -178,7 +178,7 @@
         tasks,
         cpus: demand.cpus,
         gpus: demand.gpus,
-        memory_gb: demand.mem,
+        memory_gb: demand.memory_gb,
         types,
         zone: fields.optional_text("yard")?,
         one_zone: fields.boolean("one_zone")?,
@@ -283,7 +283,7 @@
     let demand = Resources {
         cpus: fields.amount(CPUS)?,
         gpus: fields.amount("cards")?,
-        mem: fields.amount("memory_gb")?,
+        memory_gb: fields.amount("memory_gb")?,
     };
     if demand.cpus <= 0.0 && demand.gpus <= 0.0 {
         return Err(FieldError::NotPositive.of(CPUS));
--- a/src/wire/workers.rs
+++ b/src/wire/workers.rs
@@ -51,7 +51,7 @@
     pub state: TaskState,
     /// Why the attempt ended.
     #[serde(rename = "cause", default)]
-    pub why: Option<String>,
+    pub end_reason: Option<String>,
 }
 
 /// State of an attempt in a worker's heartbeat.
--- a/tests/final_jobs/job_table.rs
+++ b/tests/final_jobs/job_table.rs
@@ -16,7 +16,7 @@
 /// Returns the record of an accepted job, with its description.
 fn live_record() -> JobRecord {
     let body = job(1, "t1", 2, 5.0).to_string();
-    let submission = woadlever::wire::users::parse_job(body.as_bytes()).expect("a submission");
+    let submission = woadlever::wire::users::parse_submission(body.as_bytes()).expect("a submission");
     JobRecord::live(submission.spec, &[])
 }
 
--- a/tests/support/cloud.rs
+++ b/tests/support/cloud.rs
@@ -64,7 +64,7 @@
         }
         match request {
             CloudRequest::Catalog => self.cloud.catalog(),
-            CloudRequest::List { since } => self.list_machines(&since.unwrap_or_default()),
+            CloudRequest::List { after } => self.list_machines(&after.unwrap_or_default()),
             CloudRequest::CreateInstances(request) => self.rent_machines(request),
             CloudRequest::TerminateInstances(request) => self.return_machines(request),
         }
--- a/tests/support/production.rs
+++ b/tests/support/production.rs
@@ -73,7 +73,7 @@
                 task: task.parse().unwrap(),
                 attempt: listed.attempt,
                 state: listed.state,
-                why: listed.why,
+                why: listed.end_reason,
                 at: self.now + number(left_ms),
             });
             self.oracle.starts.insert(format!("{job}/{task}"), 1);
--- a/tests/support/recorder.rs
+++ b/tests/support/recorder.rs
@@ -76,7 +76,7 @@
 fn encode_store_request(request: &StoreRequest) -> (&'static str, Vec<u8>) {
     match request {
         StoreRequest::Get(key) => ("get", key.clone().into_bytes()),
-        StoreRequest::List { prefix, since, most } => ("list", json(&(prefix, since, most))),
+        StoreRequest::List { prefix, after, limit } => ("list", json(&(prefix, after, limit))),
         StoreRequest::CompareAndSwap(transaction) => ("txn", json(transaction)),
         StoreRequest::OpenLease { ttl_ms } => ("lease-open", json(ttl_ms)),
         StoreRequest::RenewLease(lease) => ("lease-renew", json(lease)),
@@ -88,7 +88,7 @@
 fn encode_cloud_request(request: &CloudRequest) -> (&'static str, Vec<u8>) {
     match request {
         CloudRequest::Catalog => ("cloud-catalog", Vec::new()),
-        CloudRequest::List { since } => ("cloud-list", json(since)),
+        CloudRequest::List { after } => ("cloud-list", json(after)),
         CloudRequest::CreateInstances(rent) => ("cloud-rent", json(rent)),
         CloudRequest::TerminateInstances(machines) => ("cloud-return", json(machines)),
     }
--- a/tests/support/store.rs
+++ b/tests/support/store.rs
@@ -290,8 +290,8 @@
     pub(super) fn run(&mut self, now: u64, request: &StoreRequest) -> StoreResponse {
         match request {
             StoreRequest::Get(key) => self.get(key),
-            StoreRequest::List { prefix, since, most } => {
-                self.list(prefix, since.as_ref(), *most as usize)
+            StoreRequest::List { prefix, after, limit } => {
+                self.list(prefix, after.as_ref(), *limit as usize)
             }
             StoreRequest::CompareAndSwap(write) => self.compare_and_swap(write),
             StoreRequest::OpenLease { ttl_ms } => {
@@ -321,10 +321,10 @@
         }
     }
 
-    /// Returns a page of at most `most` records under the prefix, after the key `since`.
-    fn list(&self, prefix: &str, since: Option<&String>, most: usize) -> StoreResponse {
-        let page_size = self.page_size.unwrap_or(DEFAULT_PAGE_SIZE).min(most);
-        let from = match since {
+    /// Returns a page of at most `limit` records under the prefix, after the key `after`.
+    fn list(&self, prefix: &str, after: Option<&String>, limit: usize) -> StoreResponse {
+        let page_size = self.page_size.unwrap_or(DEFAULT_PAGE_SIZE).min(limit);
+        let from = match after {
             Some(key) => Bound::Excluded(key.clone()),
             None => Bound::Included(prefix.to_string()),
         };
--- a/tests/support/workers.rs
+++ b/tests/support/workers.rs
@@ -102,7 +102,7 @@
                     task: format!("{}/{}", known.job, known.task),
                     attempt: known.attempt,
                     state: known.state,
-                    why: known.why.clone(),
+                    end_reason: known.why.clone(),
                 })
                 .collect(),
         }
--- a/tests/units/forecast.rs
+++ b/tests/units/forecast.rs
@@ -7,7 +7,7 @@
 use woadlever::model::Resources;
 
 fn booking(ran_ms: u64, expected_ms: u64) -> Booking {
-    Booking { demand: Resources { cpus: 4.0, gpus: 0.0, mem: 1.0 }, ran_ms, expected_ms }
+    Booking { demand: Resources { cpus: 4.0, gpus: 0.0, memory_gb: 1.0 }, ran_ms, expected_ms }
 }
 
 #[test]
@@ -19,7 +19,7 @@
     assert!((remaining_s(&operator, &booking(10_500, 10_000)) - 1.5).abs() < 1e-9);
     assert!((remaining_s(&operator, &booking(12_500, 10_000)) - 1.5).abs() < 1e-9);
 
-    let capacity = Resources { cpus: 8.0, gpus: 0.0, mem: 64.0 };
+    let capacity = Resources { cpus: 8.0, gpus: 0.0, memory_gb: 64.0 };
     let none = Resources::default();
     let full = [booking(0, 9_000), booking(0, 9_000)];
     let projection = project(&operator, &capacity, &full, &none);
@@ -32,7 +32,7 @@
     let longer = [booking(0, 11_000), booking(0, 11_000)];
     assert!(project(&operator, &capacity, &longer, &none).overloaded);
 
-    let waiting = Resources { cpus: 4.0, gpus: 0.0, mem: 1.0 };
+    let waiting = Resources { cpus: 4.0, gpus: 0.0, memory_gb: 1.0 };
     assert!(project(&operator, &capacity, &[booking(0, 50_000)], &waiting).overloaded);
     assert!(!project(&operator, &capacity, &[], &waiting).overloaded);
 }
--- a/tests/units/records.rs
+++ b/tests/units/records.rs
@@ -3,7 +3,7 @@
 use serde_json::json;
 use woadlever::core::progress::ProgressSegment;
 use woadlever::wire::store::{JobRecord, JobState};
-use woadlever::wire::users::parse_job;
+use woadlever::wire::users::parse_submission;
 use woadlever_cells::origin::RecallReason;
 use woadlever_cells::record::{CellLease, Forwarding, Origin};
 
@@ -33,7 +33,7 @@
         "urgency": "normal", "pieces": 2, "cores": 1.0, "cards": 0.0, "memory_gb": 1.0,
         "one_zone": false, "scatter": false, "standby": true, "bundle": "i", "pull_gb": 0.0,
         "guess_s": 1.0, "bookmark_s": 0.0, "stow_s": 0.0});
-    let spec = parse_job(body.to_string().as_bytes()).unwrap().spec;
+    let spec = parse_submission(body.to_string().as_bytes()).unwrap().spec;
     let awaits = vec!["run-7".to_string()];
     let forwarding = Forwarding::begin("b", 4, None);
     let text = |record: &JobRecord| serde_json::to_value(record).unwrap();
