--- a/crates/recovery/src/worker.rs
+++ b/crates/recovery/src/worker.rs
@@ -216,12 +216,12 @@
     }
 
     /// Whether new tasks may be scheduled on the worker. A worker without a heartbeat in the last
-    /// `fresh_ms` gets none.
-    pub fn takes_work(&self, fresh_ms: Millis, now: Millis) -> bool {
+    /// `max_heartbeat_age_ms` gets none.
+    pub fn takes_work(&self, max_heartbeat_age_ms: Millis, now: Millis) -> bool {
         self.may_start()
             && !self.lease_ended
             && !self.may_be_late_copy
-            && self.last_heartbeat.is_some_and(|at| at + fresh_ms > now)
+            && self.last_heartbeat.is_some_and(|at| at + max_heartbeat_age_ms > now)
     }
 
     /// Returns the version of the newest accepted heartbeat.
--- a/src/core/common/context/mod.rs
+++ b/src/core/common/context/mod.rs
@@ -59,7 +59,7 @@
     /// Incarnation number of this process; later processes of the same node have larger numbers.
     pub incarnation: u64,
     /// Time without a heartbeat after which a machine gets no new tasks.
-    pub fresh_ms: Ms,
+    pub max_heartbeat_age_ms: Ms,
     /// Monotonic and wall-clock time of the input being handled.
     pub clock: Clock,
     /// The other nodes.
@@ -107,7 +107,8 @@
         NodeContext {
             node: platform.node.clone(),
             incarnation,
-            fresh_ms: (platform.cluster.workers.report_s * 1250.0) as Ms + FAILOVER_ALLOWANCE_MS,
+            max_heartbeat_age_ms: (platform.cluster.workers.report_s * 1250.0) as Ms
+                + FAILOVER_ALLOWANCE_MS,
             clock: Clock::new(now),
             peers: Peers::new(platform.node.clone(), peer_names, silence_ms, now),
             store: StoreCalls::new(&platform, now),
@@ -163,7 +164,7 @@
     /// Returns the interval between two state messages or scheduling cycles. It grows with the
     /// number of items in one, so that their cost stays a fixed part of the CPU limit whatever
     /// the size of the fleet.
-    pub fn load_adjusted_gap(&self, base: Ms, size: usize) -> Ms {
+    pub fn load_adjusted_interval(&self, base: Ms, size: usize) -> Ms {
         let cpu = self.platform.cluster.limits.cpu.clamp(MIN_CPU_CORES, 1.0);
         base + (size as f64 / (ITEMS_PER_MS * cpu)) as Ms
     }
--- a/src/core/common/feasibility.rs
+++ b/src/core/common/feasibility.rs
@@ -19,7 +19,7 @@
 }
 
 /// Checks whether the job could ever run; the error says why it could not.
-pub(crate) fn can_run(context: &NodeContext, spec: &JobSpec) -> Result<(), Infeasible> {
+pub(crate) fn check_feasibility(context: &NodeContext, spec: &JobSpec) -> Result<(), Infeasible> {
     let team = context.platform.cluster.teams.iter().find(|team| team.name == spec.team);
     let team = team.ok_or_else(|| Infeasible::UnknownTeam(spec.team.clone()))?;
     if spec.cpus > team.cpus_max || spec.gpus > team.gpus_max {
--- a/src/core/common/machine_types.rs
+++ b/src/core/common/machine_types.rs
@@ -7,7 +7,7 @@
 
 /// Interval between two updates of the set of scarce types.
 const SCARCITY_UPDATE_INTERVAL_MS: Ms = 1_000;
-/// Score added for a machine of a scarce type. It weighs more than the penalty for fetching an
+/// Cost added for a machine of a scarce type. It weighs more than the penalty for fetching an
 /// image and less than the penalty for using an on-demand machine.
 const SCARCITY_PENALTY: f64 = 5.0;
 
@@ -102,7 +102,7 @@
         self.scarce.contains(&index)
     }
 
-    /// Returns the score penalty for placing a task on a machine of this type. It makes jobs that
+    /// Returns the cost penalty for placing a task on a machine of this type. It makes jobs that
     /// can use several types avoid those that other jobs depend on, as far as possible.
     pub fn scarcity_penalty(&self, index: usize) -> f64 {
         if self.is_scarce(index) { SCARCITY_PENALTY } else { 0.0 }
--- a/src/core/common/placement.rs
+++ b/src/core/common/placement.rs
@@ -3,13 +3,13 @@
 
 use crate::model::{JobSpec, Resources};
 
-/// Score penalty for placing a task that may use spot machines on an on-demand machine.
+/// Cost penalty for placing a task that may use spot machines on an on-demand machine.
 const ON_DEMAND_PENALTY: f64 = 10.0;
-/// Score penalty if the machine has to fetch the task's image.
+/// Cost penalty if the machine has to fetch the task's image.
 const FETCH_PENALTY: f64 = 2.0;
 
 /// Whether a job's constraints allow a machine of this type, zone and spot status.
-pub fn allowed(spec: &JobSpec, type_name: &str, zone: &str, is_spot: bool) -> bool {
+pub fn is_machine_allowed(spec: &JobSpec, type_name: &str, zone: &str, is_spot: bool) -> bool {
     (spec.spot || !is_spot)
         && spec.types.as_ref().is_none_or(|types| types.iter().any(|allowed| allowed == type_name))
         && spec.zone.as_ref().is_none_or(|allowed| allowed == zone)
@@ -29,19 +29,19 @@
 }
 
 impl PlacementOption<'_> {
-    /// Returns the best-fit score of the machine; lower is better. It favors machines that have
+    /// Returns the best-fit cost of the machine; lower is better. It favors machines that have
     /// the task's image and little capacity left over, and reserves on-demand machines for the
     /// tasks that need them.
-    pub fn fit_score(&self, demand: &Resources) -> f64 {
+    pub fn fit_cost(&self, demand: &Resources) -> f64 {
         let mut left = *self.free;
         left.sub(demand);
-        let mut score = left.dominant_share(self.capacity);
+        let mut cost = left.dominant_share(self.capacity);
         if self.wastes_on_demand {
-            score += ON_DEMAND_PENALTY;
+            cost += ON_DEMAND_PENALTY;
         }
         if !self.has_image {
-            score += FETCH_PENALTY;
+            cost += FETCH_PENALTY;
         }
-        score
+        cost
     }
 }
--- a/src/core/common/store_calls.rs
+++ b/src/core/common/store_calls.rs
@@ -81,7 +81,7 @@
 
     /// Whether this number of mutations may be written now under the rate limit.
     pub fn can_write(&mut self, now: Ms, mutations: usize) -> bool {
-        self.mutations.has(now, mutations as f64)
+        self.mutations.has_tokens(now, mutations as f64)
     }
 
     /// Time since the store last answered.
--- a/src/core/common/token_bucket.rs
+++ b/src/core/common/token_bucket.rs
@@ -24,7 +24,7 @@
     }
 
     /// Whether `count` tokens, or a full burst if that is less, are available now.
-    pub fn has(&mut self, now: Ms, count: f64) -> bool {
+    pub fn has_tokens(&mut self, now: Ms, count: f64) -> bool {
         self.refill(now);
         self.tokens >= count.min(self.burst)
     }
--- a/src/core/leader/cells/acceptance.rs
+++ b/src/core/leader/cells/acceptance.rs
@@ -8,7 +8,7 @@
 use super::{Cells, RECORD_SLACK_BYTES};
 use crate::core::StoreResponse;
 use crate::core::common::context::NodeContext;
-use crate::core::common::feasibility::can_run;
+use crate::core::common::feasibility::check_feasibility;
 use crate::core::common::job_records::RecordSource;
 use crate::core::common::store_keys::job_key;
 use crate::core::leader::Leader;
@@ -156,7 +156,7 @@
     valid_id(id)
         && (1..=MAX_TASKS).contains(&u64::from(spec.tasks))
         && bytes <= context.platform.cluster.state.value_bytes()
-        && can_run(context, spec).is_ok()
+        && check_feasibility(context, spec).is_ok()
 }
 
 /// Returns the state of this cell's record of a job that another cell lists.
--- a/src/core/leader/cells/capacity.rs
+++ b/src/core/leader/cells/capacity.rs
@@ -39,8 +39,8 @@
     /// first.
     pub(super) fn refresh_capacity(&mut self, leader: &Leader, context: &NodeContext) {
         let instances = leader.fleet.machines.len();
-        let gap = context.load_adjusted_gap(REFRESH_INTERVAL_MS, instances);
-        self.timers.capacity.set(context.clock.now() + gap);
+        let interval = context.load_adjusted_interval(REFRESH_INTERVAL_MS, instances);
+        self.timers.capacity.set(context.clock.now() + interval);
         self.team_use = leader.team_use(context);
         self.capacity.clear();
         if !context.operator.cells.accept || context.machine_types.is_empty() {
--- a/src/core/leader/cells/mod.rs
+++ b/src/core/leader/cells/mod.rs
@@ -112,7 +112,7 @@
     fn poll(&mut self, leader: &mut Leader, context: &mut NodeContext) {
         let is_sharing = context.operator.cells.enabled;
         let interval = if is_sharing { POLL_INTERVAL_MS } else { IDLE_POLL_INTERVAL_MS };
-        let interval = context.load_adjusted_gap(interval, leader.jobs.len());
+        let interval = context.load_adjusted_interval(interval, leader.jobs.len());
         self.timers.poll.set(context.clock.now() + interval);
         self.advance_pending_forwards(leader, context);
         self.reconcile_forwarded_jobs(leader, context);
--- a/src/core/leader/cells/record_writes.rs
+++ b/src/core/leader/cells/record_writes.rs
@@ -114,7 +114,7 @@
     /// be sent now.
     pub(super) fn try_take_write_token(&mut self, context: &mut NodeContext) -> bool {
         let now = context.clock.now();
-        let can_send = context.can_write(1) && self.write_limit.has(now, 1.0);
+        let can_send = context.can_write(1) && self.write_limit.has_tokens(now, 1.0);
         if can_send {
             self.write_limit.take(now, 1.0);
         }
--- a/src/core/leader/desired_states.rs
+++ b/src/core/leader/desired_states.rs
@@ -13,9 +13,9 @@
 
 /// Minimum time between two desired states of a shard; it is longer for a shard with many
 /// attempts.
-const CHANGED_GAP_MS: Ms = 30;
+const CHANGED_INTERVAL_MS: Ms = 30;
 /// Time after which a desired state is sent again although nothing has changed.
-const UNCHANGED_GAP_MS: Ms = 500;
+const UNCHANGED_INTERVAL_MS: Ms = 500;
 /// How long a desired state lists an instance after the cloud has confirmed its termination.
 const GONE_KEPT_MS: Ms = 30_000;
 /// Expected run time of a task whose job the leader doesn't know, in seconds.
@@ -65,9 +65,9 @@
         let now = context.clock.now();
         let mut due: Vec<ShardIndex> = Vec::new();
         for (index, shard) in self.shards.iter_mut().enumerate() {
-            let gap = context.load_adjusted_gap(CHANGED_GAP_MS, shard.attempts_sent);
-            let gap = if shard.dirty { gap } else { UNCHANGED_GAP_MS.max(gap) };
-            let is_due = shard.sent_at.is_none_or(|sent_at| now >= sent_at + gap);
+            let interval = context.load_adjusted_interval(CHANGED_INTERVAL_MS, shard.attempts_sent);
+            let interval = if shard.dirty { interval } else { UNCHANGED_INTERVAL_MS.max(interval) };
+            let is_due = shard.sent_at.is_none_or(|sent_at| now >= sent_at + interval);
             if !is_due || context.shards.owner(index).is_none() {
                 continue;
             }
--- a/src/core/leader/fleet/cloud_calls/mod.rs
+++ b/src/core/leader/fleet/cloud_calls/mod.rs
@@ -75,7 +75,7 @@
     }
 
     fn may_send(&mut self, now: Ms) -> bool {
-        self.pause.is_due(now) && self.rate_limit.has(now, CALL_COST)
+        self.pause.is_due(now) && self.rate_limit.has_tokens(now, CALL_COST)
     }
 
     fn send(&mut self, context: &mut NodeContext, due: DueCall) {
--- a/src/core/leader/fleet/health_checks.rs
+++ b/src/core/leader/fleet/health_checks.rs
@@ -55,7 +55,7 @@
     control_lease_valid_since: Ms,
     worker_lease_ms: Ms,
     /// Maximum age of a heartbeat that shows that a machine is up.
-    fresh_ms: Ms,
+    max_heartbeat_age_ms: Ms,
 }
 
 impl HealthCheck {
@@ -65,7 +65,7 @@
             activated_at: leader.activated_at,
             control_lease_valid_since: context.control_lease.valid_since(),
             worker_lease_ms: (context.platform.cluster.workers.lease_s * 1000.0) as Ms,
-            fresh_ms: context.fresh_ms,
+            max_heartbeat_age_ms: context.max_heartbeat_age_ms,
         }
     }
 
@@ -75,7 +75,7 @@
         let was_heard = instance.last_heartbeat_at.is_some();
         if self.is_boot_overdue(instance, boot_s) {
             Some(DrainReason::NotBooted)
-        } else if instance.is_missing_from_lists() && silent_ms > self.fresh_ms {
+        } else if instance.is_missing_from_lists() && silent_ms > self.max_heartbeat_age_ms {
             // The list doesn't prove that the instance is gone; its confirmed termination will.
             Some(DrainReason::Vanished)
         } else if was_heard && silent_ms > self.worker_lease_ms + SILENCE_MARGIN_MS {
--- a/src/core/leader/fleet/instance.rs
+++ b/src/core/leader/fleet/instance.rs
@@ -149,7 +149,7 @@
             && self.unreachable_since.is_none()
             && !self.is_missing_from_lists()
             && !self.is_quarantined(now)
-            && self.last_heartbeat_at.is_some_and(|at| at + context.fresh_ms > now)
+            && self.last_heartbeat_at.is_some_and(|at| at + context.max_heartbeat_age_ms > now)
     }
 
     /// Whether it must get no new tasks for now, because tasks failed on it.
--- a/src/core/leader/fleet/mod.rs
+++ b/src/core/leader/fleet/mod.rs
@@ -252,8 +252,8 @@
             return;
         }
         let inspected = self.fleet.machines.len() + self.attempts.len();
-        let gap = context.load_adjusted_gap(POLL_INTERVAL_MS, inspected / INSPECTED_PER_ITEM);
-        self.fleet.timers.poll.set(now + gap);
+        let interval = context.load_adjusted_interval(POLL_INTERVAL_MS, inspected / INSPECTED_PER_ITEM);
+        self.fleet.timers.poll.set(now + interval);
         self.check_health(context);
         self.plans += 1;
         let plan = self.plan(context);
--- a/src/core/leader/fleet/window_rule.rs
+++ b/src/core/leader/fleet/window_rule.rs
@@ -70,7 +70,7 @@
         // Right after an outage the load of the machines is unknown: machines that seem idle may
         // only not have been heard from yet.
         let control_lease_since = context.control_lease.valid_since();
-        let is_well_informed = context.clock.now() > control_lease_since + context.fresh_ms;
+        let is_well_informed = context.clock.now() > control_lease_since + context.max_heartbeat_age_ms;
         if usable > target && waiting == 0 && is_well_informed {
             self.cordon_idle(context, kind, usable - target, &scaling.busy);
         }
--- a/src/core/leader/free_capacity.rs
+++ b/src/core/leader/free_capacity.rs
@@ -9,7 +9,7 @@
 use super::fleet::{InstanceOffer, InstancePhase};
 use super::zones::ZoneConstraints;
 use crate::core::common::context::NodeContext;
-use crate::core::common::placement::{PlacementOption, allowed};
+use crate::core::common::placement::{PlacementOption, is_machine_allowed};
 use crate::model::{InstanceIndex, JobSpec, Resources, ShardIndex};
 use rustc_hash::FxHashMap;
 
@@ -194,7 +194,7 @@
 /// class, and one task fits on an empty machine.
 pub(super) fn may_use(context: &NodeContext, spec: &JobSpec, class: &MachineClass) -> bool {
     let machine_type = context.machine_types.get(class.machine_type);
-    machine_type.is_some_and(|known| allowed(spec, &known.name, &class.zone, class.is_spot))
+    machine_type.is_some_and(|known| is_machine_allowed(spec, &known.name, &class.zone, class.is_spot))
         && spec.demand().fits_within(&class.total)
 }
 
@@ -206,7 +206,7 @@
 ) -> Vec<usize> {
     let demand = spec.demand();
     let fitting = free_capacity.machines_fitting(&demand, |class| may_use(context, spec, class));
-    let score = |index: usize| {
+    let cost = |index: usize| {
         let class = free_capacity.class_of(index);
         let option = PlacementOption {
             free: &free_capacity.machines[index].free,
@@ -214,9 +214,9 @@
             wastes_on_demand: spec.spot && !class.is_spot,
             has_image: true,
         };
-        option.fit_score(&demand) + context.machine_types.scarcity_penalty(class.machine_type)
+        option.fit_cost(&demand) + context.machine_types.scarcity_penalty(class.machine_type)
     };
-    let mut scored: Vec<(f64, usize)> = fitting.into_iter().map(|index| (score(index), index)).collect();
+    let mut scored: Vec<(f64, usize)> = fitting.into_iter().map(|index| (cost(index), index)).collect();
     scored.sort_by(|(left, _), (right, _)| left.total_cmp(right));
     scored.into_iter().map(|(_, index)| index).collect()
 }
--- a/src/core/leader/mod.rs
+++ b/src/core/leader/mod.rs
@@ -60,12 +60,12 @@
 use timer::Timer;
 
 /// Minimum time between two polls that process jobs, machines and attempts.
-const POLL_GAP_MS: Ms = 20;
+const POLL_INTERVAL_MS: Ms = 20;
 /// Minimum time between two scheduling cycles when something has changed.
-const CYCLE_GAP_MS: Ms = 50;
+const CYCLE_INTERVAL_MS: Ms = 50;
 /// Time between two scheduling cycles when nothing has changed.
-const IDLE_CYCLE_GAP_MS: Ms = 500;
-/// Number of attempts and machines that count as one item when the gap between two scheduling
+const IDLE_CYCLE_INTERVAL_MS: Ms = 500;
+/// Number of attempts and machines that count as one item when the interval between two scheduling
 /// cycles is adjusted to the load.
 const CYCLE_ITEMS_PER_LOAD_ITEM: usize = 8;
 /// Number of low bits of an attempt id that number the attempts of one term; the bits above them
@@ -222,8 +222,8 @@
     }
 
     /// Number of broken quotas that have been logged in this term.
-    pub(super) fn quota_alarms(&self) -> u64 {
-        self.quota_watch.alarms
+    pub(super) fn quota_violations(&self) -> u64 {
+        self.quota_watch.violations
     }
 
     /// Returns the condition of every write: this term is still the current one.
@@ -245,12 +245,12 @@
         if !self.poll_timer.is_due(context.clock.now()) {
             return;
         }
-        self.poll_timer.set(context.clock.now() + POLL_GAP_MS);
+        self.poll_timer.set(context.clock.now() + POLL_INTERVAL_MS);
         self.sync_changed_jobs(context);
         self.write_cancellations(context);
         self.poll_cells(context);
         self.poll_fleet(context);
-        if context.clock.now() >= self.last_cycle_at + self.cycle_gap(context) {
+        if context.clock.now() >= self.last_cycle_at + self.cycle_interval(context) {
             self.last_cycle_at = context.clock.now();
             self.cycle_due = false;
             self.run_cycle(context);
@@ -262,12 +262,12 @@
 
     /// Returns the time between two scheduling cycles. It grows with the number of attempts and
     /// machines, as the cost of a cycle does.
-    fn cycle_gap(&self, context: &NodeContext) -> Ms {
+    fn cycle_interval(&self, context: &NodeContext) -> Ms {
         if !self.cycle_due {
-            return IDLE_CYCLE_GAP_MS;
+            return IDLE_CYCLE_INTERVAL_MS;
         }
         let items = self.attempts.len() + self.fleet.machines.len();
-        context.load_adjusted_gap(CYCLE_GAP_MS, items / CYCLE_ITEMS_PER_LOAD_ITEM)
+        context.load_adjusted_interval(CYCLE_INTERVAL_MS, items / CYCLE_ITEMS_PER_LOAD_ITEM)
     }
 
     /// Handles the response to a store call.
--- a/src/core/leader/preemption.rs
+++ b/src/core/leader/preemption.rs
@@ -21,7 +21,7 @@
 /// Maximum number of waiting jobs for which one cycle tries to preempt tasks.
 const MAX_PREEMPTORS: usize = 16;
 /// Minimum time between two preemptions.
-const PREEMPTION_GAP_MS: Ms = 1_000;
+const PREEMPTION_INTERVAL_MS: Ms = 1_000;
 /// Assumed run time lost by a task that resumes from a checkpoint.
 const CHECKPOINTED_LOSS_MS: Ms = 1_000;
 /// Assumed time that a task without checkpoints loses by restarting, in addition to its run time
@@ -227,6 +227,6 @@
             state.budget -= 1;
             tracing::debug!(job = context.jobs.id(attempt.job), task = attempt.task, "task preempted");
         }
-        self.preemption_timer.set(context.clock.now() + PREEMPTION_GAP_MS);
+        self.preemption_timer.set(context.clock.now() + PREEMPTION_INTERVAL_MS);
     }
 }
--- a/src/core/leader/quota_watch.rs
+++ b/src/core/leader/quota_watch.rs
@@ -16,7 +16,7 @@
 use std::collections::BTreeMap;
 
 /// Time between two log lines with the usage of the teams near their limits.
-const SUMMARY_GAP_MS: Ms = 10_000;
+const SUMMARY_INTERVAL_MS: Ms = 10_000;
 /// Share of its limit from which a team is considered near the limit.
 const NEAR_LIMIT_SHARE: f64 = 0.9;
 /// Tolerance for rounding errors in sums of decimal amounts.
@@ -34,7 +34,7 @@
     refused: Vec<u32>,
     summary_timer: Timer,
     /// Number of broken rules that have been logged in this term.
-    pub alarms: u64,
+    pub violations: u64,
 }
 
 impl QuotaWatch {
@@ -66,8 +66,8 @@
             let is_over_limit = exceeds_limit(&counted[index], team)
                 && exceeds_limit(&self.confirmed_usage(index), team);
             if self.quota_watch.set_broken(index, is_below_reported || is_over_limit) {
-                self.quota_watch.alarms += 1;
-                self.log_alarm(context, index, &counted[index], &reported[index]);
+                self.quota_watch.violations += 1;
+                self.log_violation(context, index, &counted[index], &reported[index]);
             }
         }
         self.log_summary(context, counted, &reported);
@@ -102,7 +102,7 @@
         self.attempts.iter().filter(move |(_, attempt)| is_counted(attempt))
     }
 
-    fn log_alarm(
+    fn log_violation(
         &mut self,
         context: &NodeContext,
         team_index: usize,
@@ -138,7 +138,7 @@
         if !self.quota_watch.summary_timer.is_due(now) {
             return;
         }
-        self.quota_watch.summary_timer.set(now + SUMMARY_GAP_MS);
+        self.quota_watch.summary_timer.set(now + SUMMARY_INTERVAL_MS);
         let refused = std::mem::take(&mut self.quota_watch.refused);
         let mut teams: BTreeMap<&str, String> = BTreeMap::new();
         for (index, team) in context.platform.cluster.teams.iter().enumerate() {
--- a/src/core/leader/scale_out_planner.rs
+++ b/src/core/leader/scale_out_planner.rs
@@ -11,7 +11,7 @@
 use super::scheduling_cycle::WaitingJob;
 use super::zones::ZoneConstraints;
 use crate::core::common::context::NodeContext;
-use crate::core::common::placement::allowed;
+use crate::core::common::placement::is_machine_allowed;
 use crate::model::{JobSpec, Resources};
 use rustc_hash::{FxHashMap, FxHashSet};
 
@@ -135,7 +135,7 @@
 /// Whether a task of a job can run on an empty machine of an offer.
 fn can_run(context: &NodeContext, spec: &JobSpec, offer: &OfferKey) -> bool {
     context.machine_types.get(offer.machine_type).is_some_and(|machine_type| {
-        allowed(spec, &machine_type.name, offer.zone, offer.is_spot)
+        is_machine_allowed(spec, &machine_type.name, offer.zone, offer.is_spot)
             && spec.demand().fits_within(&machine_type.capacity)
     })
 }
@@ -251,7 +251,7 @@
         for (index, open) in self.offers.iter().enumerate() {
             let InstanceOffer { machine_type, zone, is_spot } = &open.offer;
             let tasks_per_machine = demand.count_fitting(&open.capacity);
-            let is_allowed = allowed(spec, &types[*machine_type].name, zone, *is_spot);
+            let is_allowed = is_machine_allowed(spec, &types[*machine_type].name, zone, *is_spot);
             if tasks_per_machine == 0 || !is_allowed {
                 continue;
             }
--- a/src/core/leader/shards.rs
+++ b/src/core/leader/shards.rs
@@ -27,7 +27,7 @@
 /// towards a node no longer indicates a fault of that node.
 const LEADER_STORE_SILENCE_MS: Ms = 1_500;
 /// Delay after a write of a shard's assignment before the next one.
-const ASSIGNMENT_GAP_MS: Ms = 300;
+const ASSIGNMENT_INTERVAL_MS: Ms = 300;
 
 /// An instance whose termination the cloud has confirmed.
 #[derive(Debug)]
@@ -174,7 +174,7 @@
     /// Handles the answer to a write of a shard's record. The outcome is taken from the record
     /// itself.
     pub(super) fn on_shard_assigned(&mut self, context: &mut NodeContext, shard: ShardIndex) {
-        let pause = context.jitter(ASSIGNMENT_GAP_MS);
+        let pause = context.jitter(ASSIGNMENT_INTERVAL_MS);
         if let Some(shard) = self.shards.get_mut(shard.as_usize()) {
             shard.write.finish_and_wait(context.clock.now() + pause);
         }
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -56,7 +56,7 @@
     /// Number of scale-out plans that the leader has made in its term; 0 on other nodes.
     pub plans: u64,
     /// Number of quota violations that the leader has found in its term; 0 on other nodes.
-    pub quota_alarms: u64,
+    pub quota_violations: u64,
 }
 
 /// All roles of one node.
@@ -126,7 +126,7 @@
             fleet_machines: leader.map_or(0, |leader| leader.fleet.machines.len()),
             store_calls: self.context.store.pending_count(),
             plans: leader.map_or(0, |leader| leader.plans),
-            quota_alarms: leader.map_or(0, Leader::quota_alarms),
+            quota_violations: leader.map_or(0, Leader::quota_violations),
         }
     }
 
--- a/src/core/shard_owner/binding.rs
+++ b/src/core/shard_owner/binding.rs
@@ -12,7 +12,7 @@
 use std::sync::Arc;
 use woadlever_recovery::attempt::AttemptPhase;
 
-/// Score penalty of a machine that has no parked heartbeat.
+/// Cost penalty of a machine that has no parked heartbeat.
 const NO_PARKED_HEARTBEAT_PENALTY: f64 = 0.5;
 /// Minimum size of an image cache, in GB. It applies to machine types without a cache size in the
 /// catalog, which keep only images up to this size in total.
@@ -91,7 +91,7 @@
 }
 
 /// Returns the position of the best-fit candidate: of those that can run a task of the job, the
-/// one with the lowest score, or the first of these if several have it.
+/// one with the lowest cost, or the first of these if several have it.
 fn best_candidate(
     context: &NodeContext,
     machines: &Machines,
@@ -105,35 +105,35 @@
             continue;
         }
         let Some(machine) = machines.get(candidate.index) else { continue };
-        if !placement::allowed(spec, &machine.type_name, &machine.zone, machine.is_spot) {
+        if !placement::is_machine_allowed(spec, &machine.type_name, &machine.zone, machine.is_spot) {
             continue;
         }
-        let score = score(context, spec, machine, candidate);
-        if best.is_none_or(|(lowest, _)| score < lowest) {
-            best = Some((score, position));
+        let cost = cost(context, spec, machine, candidate);
+        if best.is_none_or(|(lowest, _)| cost < lowest) {
+            best = Some((cost, position));
         }
     }
     best.map(|(_, position)| position)
 }
 
-/// Scores a machine for a task of the job; a lower score is better. Machines that have the image
-/// cached and would be left with little free capacity are preferred, and so are spot instances
-/// where the job allows them.
-fn score(context: &NodeContext, spec: &JobSpec, machine: &Machine, candidate: &CandidateMachine) -> f64 {
+/// Returns the cost of a machine for a task of the job; lower is better. Machines that have the
+/// image cached and would be left with little free capacity are preferred, and so are spot
+/// instances where the job allows them.
+fn cost(context: &NodeContext, spec: &JobSpec, machine: &Machine, candidate: &CandidateMachine) -> f64 {
     let option = placement::PlacementOption {
         free: &candidate.free_capacity,
         capacity: &context.machine_types[candidate.machine_type].capacity,
         wastes_on_demand: spec.spot && !machine.is_spot,
         has_image: spec.image_gb <= 0.0 || machine.images.iter().any(|image| image.name == spec.image),
     };
-    let mut score = option.fit_score(&spec.demand());
-    score += context.machine_types.scarcity_penalty(candidate.machine_type);
+    let mut cost = option.fit_cost(&spec.demand());
+    cost += context.machine_types.scarcity_penalty(candidate.machine_type);
     // A machine with a parked heartbeat receives the start command now rather than in the
     // response to its next heartbeat.
     if machine.parked_heartbeat.is_none() {
-        score += NO_PARKED_HEARTBEAT_PENALTY;
+        cost += NO_PARKED_HEARTBEAT_PENALTY;
     }
-    score
+    cost
 }
 
 /// Creates the attempt at an admitted task, to be listed in placement record `record`.
--- a/src/core/shard_owner/load_projection.rs
+++ b/src/core/shard_owner/load_projection.rs
@@ -35,8 +35,12 @@
 
     /// Whether the machine could run a task of the job if it were empty.
     fn suits(&self, spec: &JobSpec) -> bool {
-        placement::allowed(spec, &self.machine.type_name, &self.machine.zone, self.machine.is_spot)
-            && spec.demand().fits_within(&self.machine_type.capacity)
+        placement::is_machine_allowed(
+            spec,
+            &self.machine.type_name,
+            &self.machine.zone,
+            self.machine.is_spot,
+        ) && spec.demand().fits_within(&self.machine_type.capacity)
     }
 }
 
--- a/src/core/shard_owner/machine.rs
+++ b/src/core/shard_owner/machine.rs
@@ -123,7 +123,7 @@
             && !self.is_quarantined
             && !self.is_decommissioning
             && !self.terminating_recorded
-            && self.liveness.takes_work(context.fresh_ms, context.clock.now())
+            && self.liveness.takes_work(context.max_heartbeat_age_ms, context.clock.now())
     }
 
     /// Number of attempts from a former shard owner that no heartbeat has confirmed or disproved.
--- a/src/core/shard_owner/mod.rs
+++ b/src/core/shard_owner/mod.rs
@@ -129,7 +129,8 @@
         }
         if now >= self.next_projection_at {
             let items = self.machines.len() / MACHINES_PER_PROJECTION_ITEM;
-            self.next_projection_at = now + context.load_adjusted_gap(PROJECTION_INTERVAL_MS, items);
+            self.next_projection_at =
+                now + context.load_adjusted_interval(PROJECTION_INTERVAL_MS, items);
             self.project_load(context);
         }
         // These steps scan all machines, so they must not run after every input: a node receives
--- a/src/core/shard_owner/reported_state.rs
+++ b/src/core/shard_owner/reported_state.rs
@@ -46,7 +46,7 @@
 
 fn is_report_due(context: &NodeContext, shard: &OwnedShard) -> bool {
     let Some(reported_at) = shard.reported_at else { return true };
-    let min_interval = context.load_adjusted_gap(MIN_REPORT_INTERVAL_MS, shard.reported_items);
+    let min_interval = context.load_adjusted_interval(MIN_REPORT_INTERVAL_MS, shard.reported_items);
     let interval = if shard.has_unreported_changes {
         min_interval
     } else {
--- a/src/core/user_api/submission.rs
+++ b/src/core/user_api/submission.rs
@@ -9,7 +9,7 @@
 };
 use crate::core::StoreResponse;
 use crate::core::common::context::NodeContext;
-use crate::core::common::feasibility::can_run;
+use crate::core::common::feasibility::check_feasibility;
 use crate::core::common::store_keys::job_key;
 use crate::model::JobSpec;
 use crate::wire::encoded::Encoded;
@@ -204,7 +204,8 @@
     if dependencies.iter().any(|dependency| dependency == id) {
         return Err(Refusal::new(422, "awaits the job itself", Some("awaits")));
     }
-    can_run(context, spec).map_err(|infeasible| Refusal::new(422, infeasible.to_string(), None))?;
+    check_feasibility(context, spec)
+        .map_err(|infeasible| Refusal::new(422, infeasible.to_string(), None))?;
     Ok(dependencies)
 }
 
--- a/tests/support/oracle.rs
+++ b/tests/support/oracle.rs
@@ -45,8 +45,8 @@
     pub broken: Vec<String>,
     /// Number of starts that were checked against the quota of their team.
     pub checked_starts: u64,
-    /// Number of quota alarms that each node had raised at the last tick.
-    quota_alarms: HashMap<usize, u64>,
+    /// Number of quota violations that each node had found at the last tick.
+    quota_violations: HashMap<usize, u64>,
     /// Jobs recorded as done whose tasks have been checked.
     checked_done_jobs: HashSet<String>,
     /// Usage by team name.
@@ -248,20 +248,20 @@
     pub(super) fn check(&mut self) {
         self.check_cancelled_jobs_are_gone();
         self.check_done_jobs_were_started();
-        self.check_quota_alarms();
+        self.check_quota_violations();
         let unadmitted = self.store.recorded_attempts.take_unadmitted();
         let broken = unadmitted.into_iter().map(|found| format!("{} {found}", self.now));
         self.oracle.broken.extend(broken);
     }
 
-    /// Checks that no leader has raised a quota alarm: its own usage counts must agree with the
+    /// Checks that no leader has found a quota violation: its own usage counts must agree with the
     /// reports of the shard owners and with the limits.
-    fn check_quota_alarms(&mut self) {
+    fn check_quota_violations(&mut self) {
         for node in 0..self.node_count {
-            let alarms = self.core(node).map_or(0, |core| core.statistics().quota_alarms);
-            let known = self.oracle.quota_alarms.insert(node, alarms).unwrap_or(0);
-            if alarms > known {
-                self.oracle.broken.push(format!("{} quota alarm at n{node}: {alarms}", self.now));
+            let violations = self.core(node).map_or(0, |core| core.statistics().quota_violations);
+            let known = self.oracle.quota_violations.insert(node, violations).unwrap_or(0);
+            if violations > known {
+                self.oracle.broken.push(format!("{} quota alarm at n{node}: {violations}", self.now));
             }
         }
     }
--- a/tests/support/workers.rs
+++ b/tests/support/workers.rs
@@ -167,12 +167,12 @@
         self.in_flight.is_none() && (now >= self.next_at || has_news) && !self.cut
     }
 
-    fn note_sent(&mut self, id: u64, now: u64, gap: u64) {
+    fn note_sent(&mut self, id: u64, now: u64, interval: u64) {
         self.changed = false;
         self.sequence += 1;
         self.in_flight = Some(SentHeartbeat { id, sent_at: now });
         self.heartbeat_at = now;
-        self.next_at = now + gap;
+        self.next_at = now + interval;
     }
 
     /// Executes a command from the answer to a heartbeat. The image of a new task is fetched after
@@ -295,13 +295,13 @@
         let started = worker.advance_tasks(now, self.run_ms);
         worker.time_out_heartbeat(now, self.node_count);
         if worker.is_heartbeat_due(now) {
-            let gap = if self.size.has_frequent_heartbeats() {
+            let interval = if self.size.has_frequent_heartbeats() {
                 2_250 + jitter
             } else {
                 6_000 + jitter * 8 / 3
             };
             let id = self.sequence + 1;
-            worker.note_sent(id, now, gap);
+            worker.note_sent(id, now, interval);
             let (node, heartbeat) = (worker.node, Box::new(worker.heartbeat()));
             if !worker.mute && !self.network.is_cut(node, WORKERS) {
                 self.push(2, Event::WorkerHeartbeat { worker: index, id, node, heartbeat });
