--- a/crates/cells/src/lease.rs
+++ b/crates/cells/src/lease.rs
@@ -57,7 +57,7 @@
 
     /// Whether a lease that ends at the wall-clock time `until_ms` may have ended when the local
     /// wall clock, which may be behind by its error, reads `wall_ms`.
-    pub fn has_ended(&self, until_ms: Millis, wall_ms: Millis) -> bool {
+    pub fn lease_may_have_ended(&self, until_ms: Millis, wall_ms: Millis) -> bool {
         wall_ms + self.clock_error_ms >= until_ms
     }
 
--- a/crates/cells/tests/decisions.rs
+++ b/crates/cells/tests/decisions.rs
@@ -248,7 +248,7 @@
         let Some(until) = timing.lease_until_ms(renewed_wall, timing.stop_within_ms()) else { return Ok(()) };
         // The first moment, in true time, at which the lease has ended by the host's clock.
         let ended_true = until as i64 - error - host_offset;
-        prop_assert!(timing.has_ended(until, (ended_true + host_offset) as u64));
+        prop_assert!(timing.lease_may_have_ended(until, (ended_true + host_offset) as u64));
         let gone_true = ended_true.max(renewed_true) + timing.stop_within_ms() as i64;
         prop_assert!(gone_true <= renewed_true + cancel_ms as i64);
         prop_assert!(timing.lease_duration_ms(timing.stop_within_ms()).unwrap() >= MIN_LEASE_MS);
--- a/crates/cells/tests/model/host.rs
+++ b/crates/cells/tests/model/host.rs
@@ -125,7 +125,8 @@
     }
 
     fn start_task(&mut self, now: Millis) {
-        let may_run = !TIMING.has_ended(self.lease.until_ms, now) && now >= self.workers_cut_until;
+        let may_run =
+            !TIMING.lease_may_have_ended(self.lease.until_ms, now) && now >= self.workers_cut_until;
         if may_run && self.task.is_none() {
             self.task = Some(Task::start(now));
         }
@@ -143,7 +144,7 @@
             return;
         }
         let is_live = self.record.as_ref().is_some_and(|record| record.state == State::Live);
-        if !is_live || TIMING.has_ended(self.lease.until_ms, now) {
+        if !is_live || TIMING.lease_may_have_ended(self.lease.until_ms, now) {
             self.task = None;
             return;
         }
@@ -201,9 +202,9 @@
     fn decide_on(&mut self, index: usize, offer: &Offer, job: OfferedJob) -> Option<Status> {
         let OfferedJob { epoch, is_recalled } = job;
         let listing = if is_recalled { Listing::Recalled } else { Listing::Active };
-        let has_ended = TIMING.has_ended(offer.lease_until_ms, self.now);
+        let lease_may_have_ended = TIMING.lease_may_have_ended(offer.lease_until_ms, self.now);
         let admission = match self.rng.random_range(0..4) {
-            _ if has_ended => Admission::Undecided,
+            _ if lease_may_have_ended => Admission::Undecided,
             0 => Admission::Refuse { retry_after_ms: 1_000 },
             _ => Admission::Accept,
         };
--- a/crates/recovery/src/worker.rs
+++ b/crates/recovery/src/worker.rs
@@ -177,26 +177,26 @@
     }
 
     /// Records that the newest heartbeat was answered with 200.
-    pub fn note_response(&mut self, now: Millis) {
+    pub fn on_response_sent(&mut self, now: Millis) {
         self.last_response = Some(now);
         self.answered = Some(self.newest);
     }
 
     /// Records that a message with direct commands was sent.
-    pub fn note_direct_command(&mut self) {
+    pub fn on_direct_command_sent(&mut self) {
         self.direct_commands += 1;
     }
 
     /// Records that a start command sent in a response never arrived, so the worker is
     /// unreachable.
-    pub fn note_unreachable(&mut self) {
+    pub fn mark_unreachable(&mut self) {
         self.is_unreachable = true;
     }
 
     /// Whether the worker's lease has certainly ended. Until the worker has shown our fencing
     /// token, a former owner may have answered it up to the end of that owner's control lease,
     /// which can't have been renewed after we became the owner, at `owned_since`.
-    pub fn lease_is_over(&self, owned_since: Millis, timing: &Timing, now: Millis) -> bool {
+    pub fn lease_has_certainly_ended(&self, owned_since: Millis, timing: &Timing, now: Millis) -> bool {
         // The worker may have learned our token from a direct command without having received
         // a response from us.
         let answered_by_us = self.is_fenced && self.last_response.is_some();
@@ -217,7 +217,7 @@
 
     /// Whether new tasks may be scheduled on the worker. A worker without a heartbeat in the last
     /// `max_heartbeat_age_ms` gets none.
-    pub fn takes_work(&self, max_heartbeat_age_ms: Millis, now: Millis) -> bool {
+    pub fn accepts_new_tasks(&self, max_heartbeat_age_ms: Millis, now: Millis) -> bool {
         self.may_start()
             && !self.lease_ended
             && !self.may_be_late_copy
@@ -235,7 +235,7 @@
     }
 
     /// Whether the worker's lease has ended and no heartbeat has been accepted since.
-    pub fn has_ended(&self) -> bool {
+    pub fn lease_has_ended(&self) -> bool {
         self.lease_ended
     }
 
--- a/crates/recovery/tests/verdicts.rs
+++ b/crates/recovery/tests/verdicts.rs
@@ -55,29 +55,29 @@
 #[test]
 fn after_its_lease_a_worker_may_restart_its_sequence_and_gets_work_only_with_our_token() {
     let mut worker = worker_with_token(TOKEN);
-    worker.note_response(1_000);
-    assert!(!worker.lease_is_over(0, &TIMING, 21_000));
-    assert!(worker.lease_is_over(0, &TIMING, 22_600));
+    worker.on_response_sent(1_000);
+    assert!(!worker.lease_has_certainly_ended(0, &TIMING, 21_000));
+    assert!(worker.lease_has_certainly_ended(0, &TIMING, 22_600));
     worker.end_lease();
     worker.accept(heartbeat(1, 1, 0), TOKEN, false, &TIMING, 30_000).unwrap();
-    assert!(!worker.takes_work(5_000, 30_000), "it may be a late copy");
+    assert!(!worker.accepts_new_tasks(5_000, 30_000), "it may be a late copy");
     assert_eq!(judge(&inherited(), false, &worker), Verdict::Pending);
-    worker.note_response(30_000);
+    worker.on_response_sent(30_000);
     worker.accept(heartbeat(1, 2, TOKEN), TOKEN, false, &TIMING, 31_000).unwrap();
-    assert!(worker.takes_work(5_000, 31_000));
+    assert!(worker.accepts_new_tasks(5_000, 31_000));
 }
 
 #[test]
 fn a_former_owner_may_have_answered_up_to_the_end_of_its_control_lease() {
     let worker = worker_with_token(9);
-    assert!(!worker.lease_is_over(1_000, &TIMING, 1_000 + 15_000 + 21_000));
-    assert!(worker.lease_is_over(1_000, &TIMING, 1_000 + 15_000 + 21_600));
+    assert!(!worker.lease_has_certainly_ended(1_000, &TIMING, 1_000 + 15_000 + 21_000));
+    assert!(worker.lease_has_certainly_ended(1_000, &TIMING, 1_000 + 15_000 + 21_600));
 }
 
 #[test]
 fn a_start_command_whose_attempt_a_later_heartbeat_does_not_list_never_arrived() {
     let mut worker = worker_with_token(TOKEN);
-    worker.note_response(1_000);
+    worker.on_response_sent(1_000);
     let sent = AttemptState {
         phase: AttemptPhase::Bound,
         is_wanted: true,
@@ -208,14 +208,14 @@
             if worker.accept(header, TOKEN, false, &TIMING, now).is_ok() {
                 token_shown |= fencing_token == TOKEN;
                 prop_assert!(worker.newest() > before);
-                worker.note_response(now);
+                worker.on_response_sent(now);
                 answered_at = now;
             } else {
                 prop_assert_eq!(worker.newest(), before);
             }
             let verdict = judge(&inherited(), false, &worker);
             prop_assert!(token_shown || verdict == Verdict::Pending);
-            let is_over = worker.lease_is_over(0, &TIMING, now);
+            let is_over = worker.lease_has_certainly_ended(0, &TIMING, now);
             prop_assert!(!is_over || now > answered_at + TIMING.lease_ms);
         }
     }
--- a/src/core/common/cell_leases.rs
+++ b/src/core/common/cell_leases.rs
@@ -49,6 +49,6 @@
     /// Whether jobs of the cell may run at this wall-clock time.
     pub fn is_valid(&self, cell: &str, wall_ms: u64) -> bool {
         let lease = self.by_cell.get(cell);
-        lease.is_some_and(|known| !self.timing.has_ended(known.lease.until_ms, wall_ms))
+        lease.is_some_and(|known| !self.timing.lease_may_have_ended(known.lease.until_ms, wall_ms))
     }
 }
--- a/src/core/common/peers.rs
+++ b/src/core/common/peers.rs
@@ -17,9 +17,9 @@
 #[derive(Debug, Clone)]
 pub struct PeerView {
     /// Time at which its last frame arrived.
-    pub heard_at: Ms,
+    pub last_frame_at: Ms,
     /// Time since when its frames have arrived without a break longer than the silence limit.
-    pub heard_since: Ms,
+    pub receiving_since: Ms,
     /// Incarnation of the process that sent the last frame.
     pub incarnation: u64,
     /// Time since the store last answered that node, as the node reported.
@@ -81,7 +81,7 @@
     /// Requests new connections to nodes that have been silent for too long.
     pub(crate) fn reconnect_silent(&mut self, now: Ms, outbox: &mut Outbox) {
         for (name, peer) in &mut self.views {
-            if peer.heard_at.max(peer.reconnected_at) + self.silence_ms < now {
+            if peer.last_frame_at.max(peer.reconnected_at) + self.silence_ms < now {
                 peer.reconnected_at = now;
                 outbox.push(Output::Reconnect { to: name.clone() });
             }
@@ -90,8 +90,9 @@
 
     /// Returns the names of nodes whose frames no longer arrive.
     pub(crate) fn silent(&self, now: Ms) -> Vec<String> {
-        let heard_at = |name: &str| self.views.get(name).map_or(self.started, |peer| peer.heard_at);
-        let is_silent = |name: &&String| heard_at(name) + self.silence_ms < now;
+        let last_frame_at =
+            |name: &str| self.views.get(name).map_or(self.started, |peer| peer.last_frame_at);
+        let is_silent = |name: &&String| last_frame_at(name) + self.silence_ms < now;
         self.names.iter().filter(is_silent).cloned().collect()
     }
 
@@ -102,8 +103,8 @@
             return false;
         }
         let peer = self.views.entry(frame.from.clone()).or_insert(PeerView {
-            heard_at: now,
-            heard_since: now,
+            last_frame_at: now,
+            receiving_since: now,
             incarnation: frame.incarnation,
             store_silence_ms: 0,
             receives_our_frames: true,
@@ -113,8 +114,8 @@
         if frame.incarnation < peer.incarnation {
             return false;
         }
-        if frame.incarnation > peer.incarnation || peer.heard_at + self.silence_ms < now {
-            peer.heard_since = now;
+        if frame.incarnation > peer.incarnation || peer.last_frame_at + self.silence_ms < now {
+            peer.receiving_since = now;
         }
         // Frames sent to its earlier process may be lost without an error: a machine that lost
         // power does not even reset the connection.
@@ -122,7 +123,7 @@
             outbox.push(Output::Reconnect { to: frame.from.clone() });
         }
         peer.incarnation = frame.incarnation;
-        peer.heard_at = now;
+        peer.last_frame_at = now;
         if let PeerMessage::Heartbeat(heartbeat) = &frame.message {
             peer.store_silence_ms = heartbeat.store_silence_ms;
             // A connection may be dead although writes to it succeed, for example one that the
@@ -140,7 +141,7 @@
     /// Whether at least one other node has recently reported that the store serves it.
     pub(crate) fn any_is_served(&self, now: Ms) -> bool {
         let is_served = |peer: &PeerView| {
-            peer.heard_at + MAX_REPORT_AGE_MS > now && peer.store_silence_ms < MAX_STORE_SILENCE_MS
+            peer.last_frame_at + MAX_REPORT_AGE_MS > now && peer.store_silence_ms < MAX_STORE_SILENCE_MS
         };
         self.views.values().any(is_served)
     }
--- a/src/core/leader/cells/acceptance.rs
+++ b/src/core/leader/cells/acceptance.rs
@@ -78,8 +78,9 @@
         spec: Option<&JobSpec>,
     ) -> Admission {
         let timing = context.cell_leases.timing();
-        let has_ended = timing.has_ended(origin.forwarded.lease_until_ms, context.clock.wall());
-        if has_ended || context.machine_types.is_empty() {
+        let lease_may_have_ended =
+            timing.lease_may_have_ended(origin.forwarded.lease_until_ms, context.clock.wall());
+        if lease_may_have_ended || context.machine_types.is_empty() {
             return Admission::Undecided;
         }
         let Some(spec) = spec.filter(|spec| can_be_hosted(context, &job.id, spec)) else {
--- a/src/core/leader/fleet/instance.rs
+++ b/src/core/leader/fleet/instance.rs
@@ -140,7 +140,7 @@
     }
 
     /// Whether new tasks may be bound to it now.
-    pub(crate) fn takes_tasks(&self, context: &NodeContext) -> bool {
+    pub(crate) fn accepts_new_tasks(&self, context: &NodeContext) -> bool {
         let now = context.clock.now();
         self.phase == InstancePhase::Ready
             && !self.cordoned
--- a/src/core/leader/fleet/window_rule.rs
+++ b/src/core/leader/fleet/window_rule.rs
@@ -145,7 +145,8 @@
         if level <= 0.0 || !self.fleet.waiting.is_empty() {
             return;
         }
-        let in_use = self.fleet.machines.iter().filter(|(_, instance)| instance.takes_tasks(context));
+        let in_use =
+            self.fleet.machines.iter().filter(|(_, instance)| instance.accepts_new_tasks(context));
         let mut peaks: Vec<(f64, InstanceIndex)> =
             in_use.map(|(index, instance)| (instance.projected_peak, index)).collect();
         if peaks.is_empty() || peaks.iter().any(|(peak, _)| *peak >= level) {
--- a/src/core/leader/free_capacity.rs
+++ b/src/core/leader/free_capacity.rs
@@ -228,7 +228,7 @@
         let mut free_capacity = FreeCapacity::default();
         for (index, instance) in self.fleet.machines.iter() {
             let Some(shard) = self.shards.get(instance.shard.as_usize()) else { continue };
-            if !shard.has_reported || !instance.takes_tasks(context) {
+            if !shard.has_reported || !instance.accepts_new_tasks(context) {
                 continue;
             }
             let Some(machine_type) = context.machine_types.get(instance.machine_type) else { continue };
--- a/src/core/leader/shards.rs
+++ b/src/core/leader/shards.rs
@@ -190,7 +190,7 @@
         context.peers.get(node).is_some_and(|peer| {
             let reaches_store = peer.store_silence_ms < OWNER_STORE_SILENCE_MS
                 || context.store_silence_ms() > LEADER_STORE_SILENCE_MS;
-            peer.heard_at + max_silence_ms > context.clock.now()
+            peer.last_frame_at + max_silence_ms > context.clock.now()
                 && peer.receives_our_frames
                 && incarnation.is_none_or(|expected| expected == peer.incarnation)
                 && reaches_store
@@ -204,7 +204,7 @@
         }
         let peer = context.peers.get(node);
         self.is_node_alive(context, node, None)
-            && peer.is_some_and(|peer| peer.heard_since + STABLE_AFTER_MS < context.clock.now())
+            && peer.is_some_and(|peer| peer.receiving_since + STABLE_AFTER_MS < context.clock.now())
     }
 
     /// Chooses the owner of a shard among the live nodes: its home node first, then nodes in the
--- a/src/core/shard_owner/binding.rs
+++ b/src/core/shard_owner/binding.rs
@@ -45,7 +45,8 @@
         context: &NodeContext,
         shard: ShardIndex,
     ) -> Vec<CandidateMachine> {
-        let is_candidate = |machine: &Machine| machine.shard == shard && machine.takes_tasks(context);
+        let is_candidate =
+            |machine: &Machine| machine.shard == shard && machine.accepts_new_tasks(context);
         let mut candidates = Vec::new();
         for (index, machine) in self.machines.iter().filter(|(_, machine)| is_candidate(machine)) {
             let Some(machine_type) = context.machine_types.index_of(&machine.type_name) else {
--- a/src/core/shard_owner/desired_state.rs
+++ b/src/core/shard_owner/desired_state.rs
@@ -279,7 +279,7 @@
 /// start command was never sent is on no machine, whatever its record says. An ended attempt on a
 /// machine whose lease has ended needs no forget command.
 fn drop_unwanted(context: &NodeContext, shard: &mut OwnedShard, machine: &mut Machine) {
-    let lease_ended = machine.liveness.has_ended();
+    let lease_ended = machine.liveness.lease_has_ended();
     let is_gone = |attempt: &mut Attempt| attempt::ends_when_unwanted(&attempt.state(), lease_ended);
     let gone = machine.attempts.extract_if(.., is_gone);
     shard.records.mark_outdated(gone.map(|attempt| attempt.record), context.clock.now());
--- a/src/core/shard_owner/direct_commands.rs
+++ b/src/core/shard_owner/direct_commands.rs
@@ -59,11 +59,11 @@
         .filter(|attempt| context.must_stop(attempt.job))
         .map(|attempt| stop_command(context, attempt))
         .collect();
-    if commands.is_empty() || machine.address.is_empty() || machine.liveness.has_ended() {
+    if commands.is_empty() || machine.address.is_empty() || machine.liveness.lease_has_ended() {
         return;
     }
     machine.last_direct_command_at = Some(context.clock.now());
-    machine.liveness.note_direct_command();
+    machine.liveness.on_direct_command_sent();
     let incarnation = machine.liveness.newest().incarnation;
     let fencing_token = machine.fencing_token;
     let commands = DirectCommands { fencing_token: fencing_token.number(), incarnation, commands };
--- a/src/core/shard_owner/load_projection.rs
+++ b/src/core/shard_owner/load_projection.rs
@@ -118,9 +118,10 @@
     shard: &OwnedShard,
     machines: &'a Machines,
 ) -> Vec<ProjectedMachine<'a>> {
-    let takes_tasks = |machine: &Machine| machine.shard == shard.index && machine.takes_tasks(context);
+    let accepts_new_tasks =
+        |machine: &Machine| machine.shard == shard.index && machine.accepts_new_tasks(context);
     let mut projected = Vec::new();
-    for (index, machine) in machines.iter().filter(|(_, machine)| takes_tasks(machine)) {
+    for (index, machine) in machines.iter().filter(|(_, machine)| accepts_new_tasks(machine)) {
         if let Some(machine_type) = context.machine_types.index_of(&machine.type_name) {
             let machine_type = &context.machine_types[machine_type];
             projected.push(ProjectedMachine { index, machine, machine_type, load: machine.used() });
--- a/src/core/shard_owner/machine.rs
+++ b/src/core/shard_owner/machine.rs
@@ -117,13 +117,13 @@
     }
 
     /// Whether new tasks may be bound to the machine.
-    pub(super) fn takes_tasks(&self, context: &NodeContext) -> bool {
+    pub(super) fn accepts_new_tasks(&self, context: &NodeContext) -> bool {
         !self.has_preemption_notice
             && !self.is_cordoned
             && !self.is_quarantined
             && !self.is_decommissioning
             && !self.terminating_recorded
-            && self.liveness.takes_work(context.max_heartbeat_age_ms, context.clock.now())
+            && self.liveness.accepts_new_tasks(context.max_heartbeat_age_ms, context.clock.now())
     }
 
     /// Number of attempts from a former shard owner that no heartbeat has confirmed or disproved.
@@ -139,7 +139,7 @@
     /// Whether its termination may be recorded, because no attempt can be on it any more.
     pub(super) fn can_decommission(&self) -> bool {
         let was_never_heard = self.liveness.last_heartbeat().is_none();
-        let is_empty = self.liveness.has_ended() || self.attempts.is_empty() || was_never_heard;
+        let is_empty = self.liveness.lease_has_ended() || self.attempts.is_empty() || was_never_heard;
         self.is_decommissioning && !self.terminating_recorded && is_empty
     }
 }
--- a/src/core/shard_owner/parked_heartbeats.rs
+++ b/src/core/shard_owner/parked_heartbeats.rs
@@ -49,7 +49,7 @@
             add_commands(context, machine, &mut commands);
         }
         log_answer(context, machine, commands.len());
-        machine.liveness.note_response(context.clock.now());
+        machine.liveness.on_response_sent(context.clock.now());
         let response = HeartbeatResponse { fencing_token: machine.fencing_token.number(), commands };
         context.respond_json(parked.request_id, 200, &response);
     }
@@ -93,7 +93,7 @@
 /// to report when they end, so its heartbeats are parked for a shorter time. The worker's request
 /// times out after 4 s.
 pub(super) fn park_ms(context: &NodeContext, machine: &Machine) -> Ms {
-    if !machine.takes_tasks(context) {
+    if !machine.accepts_new_tasks(context) {
         return 0;
     }
     let Some(machine_type) = context.machine_types.index_of(&machine.type_name) else { return 0 };
--- a/src/core/shard_owner/reconciliation.rs
+++ b/src/core/shard_owner/reconciliation.rs
@@ -25,11 +25,14 @@
             // A machine with a parked heartbeat is not silent. Otherwise the first heartbeat of a
             // new machine, while parked, would be treated as the end of a lease that never began,
             // and its tasks would be admitted again while the machine received them.
-            if machine.liveness.has_ended() || machine.parked_heartbeat.is_some() || !shard.is_loaded() {
+            if machine.liveness.lease_has_ended()
+                || machine.parked_heartbeat.is_some()
+                || !shard.is_loaded()
+            {
                 continue;
             }
             let owned_since = shard.recovery.owned_since();
-            if machine.liveness.lease_is_over(owned_since, &timing, context.clock.now()) {
+            if machine.liveness.lease_has_certainly_ended(owned_since, &timing, context.clock.now()) {
                 end_lease(context, shard, machine);
             }
         }
@@ -120,7 +123,7 @@
         attempt::judge(&attempt.state(), is_listed, &machine.liveness) == Verdict::Undelivered
     };
     if machine.attempts.iter().any(is_undelivered) {
-        machine.liveness.note_unreachable();
+        machine.liveness.mark_unreachable();
         tracing::info!(
             machine = machine.name,
             "worker does not receive responses; assigning no new tasks to it"
