--- a/crates/cells/src/host.rs
+++ b/crates/cells/src/host.rs
@@ -25,7 +25,7 @@
     Unknown,
     /// The record belongs to another job, or to an earlier epoch of this job that has not ended
     /// here, so the job can't be hosted.
-    Foreign,
+    Conflicting,
     /// The job was accepted and is not done.
     Live {
         /// Number of tasks that are done.
@@ -99,7 +99,7 @@
 pub fn decide(listing: Listing, record: HostRecord, admission: Admission) -> HostDecision {
     match (listing, record) {
         (_, HostRecord::Done) => HostDecision::report(HostedPhase::Done),
-        (_, HostRecord::Foreign) => HostDecision::report(HostedPhase::Released),
+        (_, HostRecord::Conflicting) => HostDecision::report(HostedPhase::Released),
         (_, HostRecord::Tombstone { has_attempts: true }) => HostDecision::step(HostStep::Wait),
         (_, HostRecord::Tombstone { has_attempts: false }) => {
             HostDecision::report(HostedPhase::Released)
--- a/crates/cells/src/neighbor.rs
+++ b/crates/cells/src/neighbor.rs
@@ -140,7 +140,7 @@
 
     /// Records that the cell refused a job, and delays the next offer with exponential backoff.
     /// Jobs that were offered together are refused together, which counts as one refusal.
-    pub fn note_refusal(&mut self, now: Millis, retry_after_ms: Millis) {
+    pub fn record_refusal(&mut self, now: Millis, retry_after_ms: Millis) {
         if now < self.offer_after {
             return;
         }
@@ -151,7 +151,7 @@
     }
 
     /// Records that the cell runs one of our jobs, which resets the backoff.
-    pub fn note_success(&mut self) {
+    pub fn record_success(&mut self) {
         self.refusals = 0;
     }
 }
--- a/crates/cells/src/record.rs
+++ b/crates/cells/src/record.rs
@@ -24,7 +24,7 @@
     /// Cells that can't run the job, that accepted it and did not run it, or that were silent.
     /// The job is not forwarded to them again.
     #[serde(rename = "t", default, skip_serializing_if = "Vec::is_empty")]
-    pub tried: Vec<String>,
+    pub excluded_cells: Vec<String>,
 }
 
 #[allow(clippy::trivially_copy_pass_by_ref, reason = "serde asks for a reference")]
@@ -36,9 +36,10 @@
     /// Returns a new forwarding of a job to `cell`. `epoch` is the version of the job's record
     /// that is being updated.
     pub fn begin(cell: &str, epoch: u64, previous: Option<&Forwarding>) -> Forwarding {
-        let tried = previous.map(|previous| previous.tried.clone()).unwrap_or_default();
+        let excluded_cells =
+            previous.map(|previous| previous.excluded_cells.clone()).unwrap_or_default();
         let (cell, phase) = (cell.to_string(), ForwardPhase::Active);
-        Forwarding { cell, epoch, phase, is_refused: false, tried }
+        Forwarding { cell, epoch, phase, is_refused: false, excluded_cells }
     }
 
     /// Returns this forwarding after its recall: the host cell must give the job back.
@@ -49,15 +50,15 @@
 
     /// Returns this forwarding after the job has come back to its origin cell.
     pub fn returned(&self) -> Forwarding {
-        let mut tried = self.tried.clone();
+        let mut excluded_cells = self.excluded_cells.clone();
         if !self.is_refused {
-            tried.push(self.cell.clone());
+            excluded_cells.push(self.cell.clone());
         }
-        Forwarding { phase: ForwardPhase::Returned, tried, ..self.clone() }
+        Forwarding { phase: ForwardPhase::Returned, excluded_cells, ..self.clone() }
     }
 
     /// Whether no cell other than the host cell may run the job.
-    pub fn is_away(&self) -> bool {
+    pub fn is_forwarded(&self) -> bool {
         self.phase != ForwardPhase::Returned
     }
 }
--- a/crates/cells/src/routing.rs
+++ b/crates/cells/src/routing.rs
@@ -64,7 +64,7 @@
     /// Sum of the free capacity of all machines that are up.
     pub free: Amount,
     /// Largest amount of each resource that is free on any one of them.
-    pub largest: Amount,
+    pub largest_free: Amount,
     /// Number of machines that may be requested from the cloud; 0 if it has refused some recently.
     pub requestable: u32,
 }
@@ -72,7 +72,7 @@
 impl ClassCapacity {
     /// Returns how many tasks fit into the free capacity of the machines that are up.
     fn tasks_in_free_capacity(&self, demand: &Amount) -> u32 {
-        if self.largest.count_fitting(demand) == 0 { 0 } else { self.free.count_fitting(demand) }
+        if self.largest_free.count_fitting(demand) == 0 { 0 } else { self.free.count_fitting(demand) }
     }
 
     /// Returns how many tasks fit on the machines that may be requested.
@@ -200,7 +200,7 @@
 ///
 /// `offers` lists the cells that may be offered a job now, with their remaining capacity. Cells
 /// with capacity for less than the share `min_share` of the tasks are left out.
-pub fn choose<'a>(
+pub fn choose_cell<'a>(
     job: &JobShape,
     offers: impl Iterator<Item = (&'a str, &'a [ClassCapacity])>,
     min_share: f64,
--- a/crates/cells/tests/decisions.rs
+++ b/crates/cells/tests/decisions.rs
@@ -15,14 +15,14 @@
 use woadlever_cells::neighbor::{Health, Neighbor};
 use woadlever_cells::origin::RecallReason;
 use woadlever_cells::record::{ForwardPhase, Forwarding};
-use woadlever_cells::routing::{Amount, CapacityScope, ClassCapacity, JobShape, choose};
+use woadlever_cells::routing::{Amount, CapacityScope, ClassCapacity, JobShape, choose_cell};
 
 const MACHINE: Amount = Amount { cpus: 16.0, gpus: 0.0, memory_gb: 64.0 };
 const DEMAND: Amount = Amount { cpus: 4.0, gpus: 0.0, memory_gb: 4.0 };
 
 fn class(zone: &str, is_spot: bool, free_cpus: f64, requestable: u32) -> ClassCapacity {
     let free = Amount { cpus: free_cpus, gpus: 0.0, memory_gb: free_cpus * 4.0 };
-    let largest = Amount { cpus: free_cpus.min(16.0), ..free };
+    let largest_free = Amount { cpus: free_cpus.min(16.0), ..free };
     let machine_type = "m16".to_string();
     ClassCapacity {
         machine_type,
@@ -30,7 +30,7 @@
         is_spot,
         machine: MACHINE,
         free,
-        largest,
+        largest_free,
         requestable,
     }
 }
@@ -53,12 +53,12 @@
     let elastic = [class("z", true, 0.0, 50)];
     let free = [class("z", true, 32.0, 0)];
     let offers = [("a", &full[..]), ("b", &elastic[..]), ("c", &free[..])];
-    assert_eq!(choose(&job(8), offers.into_iter(), 0.5), Some("c"));
-    assert_eq!(choose(&job(8), offers.into_iter().take(2), 0.5), Some("b"));
-    assert_eq!(choose(&job(8), offers.into_iter().take(1), 0.5), None);
+    assert_eq!(choose_cell(&job(8), offers.into_iter(), 0.5), Some("c"));
+    assert_eq!(choose_cell(&job(8), offers.into_iter().take(2), 0.5), Some("b"));
+    assert_eq!(choose_cell(&job(8), offers.into_iter().take(1), 0.5), None);
     let (some, more) = ([class("z", true, 0.0, 10)], [class("z", true, 0.0, 11)]);
     let equal = [("a", &some[..]), ("b", &more[..]), ("c", &some[..])];
-    assert_eq!(choose(&job(8), equal.into_iter(), 0.5), Some("b"));
+    assert_eq!(choose_cell(&job(8), equal.into_iter(), 0.5), Some("b"));
 }
 
 #[test]
@@ -123,7 +123,7 @@
     let mut now = 0;
     let mut backoffs = Vec::new();
     for _ in 0..8 {
-        neighbor.note_refusal(now, 1_000);
+        neighbor.record_refusal(now, 1_000);
         let refused_at = now;
         while !neighbor.may_be_offered(now, u64::MAX) {
             neighbor.receive(message(1, now, HostedPhase::Released), now);
@@ -134,15 +134,15 @@
     assert!(backoffs.windows(2).all(|pair| pair[0] <= pair[1]), "{backoffs:?}");
     assert!(backoffs[7] >= 60_000 && backoffs[7] <= 121_000, "{backoffs:?}");
     let refused_at = now;
-    neighbor.note_success();
+    neighbor.record_success();
     for _ in 0..8 {
-        neighbor.note_refusal(refused_at, 1_000);
+        neighbor.record_refusal(refused_at, 1_000);
     }
     assert!(!neighbor.may_be_offered(refused_at, u64::MAX));
     assert!(neighbor.may_be_offered(refused_at + 1_000, u64::MAX), "refused together, counted once");
     now += 1_000;
-    neighbor.note_success();
-    neighbor.note_refusal(now, 1_000);
+    neighbor.record_success();
+    neighbor.record_refusal(now, 1_000);
     assert!(neighbor.may_be_offered(now + 1_000, u64::MAX));
 }
 
@@ -152,7 +152,7 @@
     for listing in [Listing::Active, Listing::Recalled, Listing::Absent] {
         let done = decide(listing, HostRecord::Done, refuse);
         assert_eq!(done, decision(HostStep::Wait, Some(HostedPhase::Done)));
-        let foreign = decide(listing, HostRecord::Foreign, Admission::Accept);
+        let foreign = decide(listing, HostRecord::Conflicting, Admission::Accept);
         assert_eq!(foreign, decision(HostStep::Wait, Some(HostedPhase::Released)));
         let stopping = HostRecord::Tombstone { has_attempts: true };
         assert_eq!(
@@ -193,12 +193,16 @@
     let first = Forwarding::begin("b", 5, None);
     let returned = first.recalled(RecallReason::Idle).returned();
     let second = Forwarding::begin("c", 9, Some(&returned));
-    assert!(first.is_away() && !returned.is_away() && second.is_away());
+    assert!(first.is_forwarded() && !returned.is_forwarded() && second.is_forwarded());
     assert_eq!((second.phase, second.epoch), (ForwardPhase::Active, 9));
-    assert_eq!(second.tried, ["b"]);
-    assert_eq!(second.returned().tried, ["b", "c"]);
+    assert_eq!(second.excluded_cells, ["b"]);
+    assert_eq!(second.returned().excluded_cells, ["b", "c"]);
     let refused = second.recalled(RecallReason::Refused).returned();
-    assert_eq!(refused.tried, ["b"], "a cell that had no capacity may be offered the job again");
+    assert_eq!(
+        refused.excluded_cells,
+        ["b"],
+        "a cell that had no capacity may be offered the job again"
+    );
 }
 
 fn message(term: u64, revision: u64, phase: HostedPhase) -> CellMessage {
--- a/crates/cells/tests/model/host.rs
+++ b/crates/cells/tests/model/host.rs
@@ -85,7 +85,7 @@
             return HostRecord::Unknown;
         }
         if record.origin.epoch != epoch {
-            return HostRecord::Foreign;
+            return HostRecord::Conflicting;
         }
         match record.state {
             State::Live => HostRecord::Live { done: 0, running: u32::from(self.task.is_some()) },
--- a/crates/cells/tests/model/network.rs
+++ b/crates/cells/tests/model/network.rs
@@ -77,7 +77,8 @@
 
     fn offer_to(&self, host: usize) -> Offer {
         let record = &self.origin.record;
-        let forwarding = record.forwarding.as_ref().filter(|f| f.is_away() && f.cell == HOSTS[host]);
+        let forwarding =
+            record.forwarding.as_ref().filter(|f| f.is_forwarded() && f.cell == HOSTS[host]);
         let listed = forwarding.filter(|_| record.state == State::Live);
         let job = listed.map(|forwarding| OfferedJob {
             epoch: forwarding.epoch,
--- a/crates/cells/tests/model/origin.rs
+++ b/crates/cells/tests/model/origin.rs
@@ -96,7 +96,7 @@
             return;
         }
         let observed_since = self.origin.observe_record(self.now);
-        let forwarding = self.origin.record.forwarding.clone().filter(Forwarding::is_away);
+        let forwarding = self.origin.record.forwarding.clone().filter(Forwarding::is_forwarded);
         let Some(forwarding) = forwarding else {
             self.try_to_forward();
             return;
@@ -139,14 +139,14 @@
             return;
         }
         let previous = self.origin.record.forwarding.clone();
-        let tried = previous.as_ref().map(|f| f.tried.clone()).unwrap_or_default();
-        let is_untried = |host: &&str| !tried.iter().any(|tried| tried == host);
-        let untried: Vec<&str> = HOSTS.into_iter().filter(is_untried).collect();
-        if untried.is_empty() || self.chance(0.2) {
+        let excluded_cells = previous.as_ref().map(|f| f.excluded_cells.clone()).unwrap_or_default();
+        let is_not_excluded = |host: &&str| !excluded_cells.iter().any(|cell| cell == host);
+        let candidates: Vec<&str> = HOSTS.into_iter().filter(is_not_excluded).collect();
+        if candidates.is_empty() || self.chance(0.2) {
             self.origin.task = Some(Task::start(self.now));
             return;
         }
-        let host = untried[self.rng.random_range(0..untried.len())];
+        let host = candidates[self.rng.random_range(0..candidates.len())];
         let forwarding = Forwarding::begin(host, self.origin.record.version, previous.as_ref());
         self.origin.write(State::Live, Some(forwarding));
     }
--- a/crates/recovery/src/attempt.rs
+++ b/crates/recovery/src/attempt.rs
@@ -71,7 +71,7 @@
 
 /// Returns the verdict on an attempt after the worker's newest heartbeat. `is_listed` says
 /// whether that heartbeat lists the attempt.
-pub fn judge(attempt: &AttemptState, is_listed: bool, liveness: &WorkerLiveness) -> Verdict {
+pub fn verdict_on(attempt: &AttemptState, is_listed: bool, liveness: &WorkerLiveness) -> Verdict {
     if is_listed {
         return Verdict::Present;
     }
@@ -125,7 +125,7 @@
     /// Whether a heartbeat has listed the attempt at least once.
     pub was_listed: bool,
     /// Whether the machine accepts new attempts: it is not being terminated.
-    pub starts_allowed: bool,
+    pub machine_accepts_starts: bool,
 }
 
 /// Action that a worker is commanded to take on an attempt.
@@ -157,7 +157,7 @@
     if phase == AttemptPhase::Bound {
         let attempt_may_start = attempt.is_wanted && conditions.is_recorded;
         let job_may_start = job.is_live && !job.is_cancelled;
-        let worker_may_start = conditions.starts_allowed && liveness.may_start();
+        let worker_may_start = conditions.machine_accepts_starts && liveness.may_start();
         let may_start = attempt_may_start && job_may_start && worker_may_start;
         return may_start.then_some(WorkerAction::Start);
     }
--- a/crates/recovery/tests/verdicts.rs
+++ b/crates/recovery/tests/verdicts.rs
@@ -6,7 +6,7 @@
 use proptest::test_runner::{FileFailurePersistence, RngSeed};
 use woadlever_recovery::attempt::{
     ActionConditions, AttemptPhase, AttemptState, JobEligibility, Verdict, WorkerAction, allowed_action,
-    judge,
+    verdict_on,
 };
 use woadlever_recovery::disposition::{
     AttemptDisposition, ReportedAttemptStatus, TaskAttempt, TaskStatus, is_proven_gone, superseded,
@@ -36,9 +36,9 @@
 
 #[test]
 fn only_a_worker_that_knows_our_token_disproves_an_attempt_bound_by_a_former_owner() {
-    assert_eq!(judge(&inherited(), false, &worker_with_token(9)), Verdict::Pending);
-    assert_eq!(judge(&inherited(), false, &worker_with_token(TOKEN)), Verdict::Absent);
-    assert_eq!(judge(&inherited(), true, &worker_with_token(9)), Verdict::Present);
+    assert_eq!(verdict_on(&inherited(), false, &worker_with_token(9)), Verdict::Pending);
+    assert_eq!(verdict_on(&inherited(), false, &worker_with_token(TOKEN)), Verdict::Absent);
+    assert_eq!(verdict_on(&inherited(), true, &worker_with_token(9)), Verdict::Present);
 }
 
 #[test]
@@ -61,7 +61,7 @@
     worker.end_lease();
     worker.accept(heartbeat(1, 1, 0), TOKEN, false, &TIMING, 30_000).unwrap();
     assert!(!worker.accepts_new_tasks(5_000, 30_000), "it may be a late copy");
-    assert_eq!(judge(&inherited(), false, &worker), Verdict::Pending);
+    assert_eq!(verdict_on(&inherited(), false, &worker), Verdict::Pending);
     worker.on_response_sent(30_000);
     worker.accept(heartbeat(1, 2, TOKEN), TOKEN, false, &TIMING, 31_000).unwrap();
     assert!(worker.accepts_new_tasks(5_000, 31_000));
@@ -83,9 +83,9 @@
         is_wanted: true,
         start_sent: Some(HeartbeatVersion { incarnation: 1, sequence: 5 }),
     };
-    assert_eq!(judge(&sent, false, &worker), Verdict::Pending);
+    assert_eq!(verdict_on(&sent, false, &worker), Verdict::Pending);
     worker.accept(heartbeat(1, 6, TOKEN), TOKEN, false, &TIMING, 2_000).unwrap();
-    assert_eq!(judge(&sent, false, &worker), Verdict::Undelivered);
+    assert_eq!(verdict_on(&sent, false, &worker), Verdict::Undelivered);
 }
 
 #[test]
@@ -164,10 +164,12 @@
         flags in any::<[bool; 7]>(),
         fencing_token in 8_u64..=TOKEN,
     ) {
-        let [is_wanted, is_live, is_cancelled, can_checkpoint, is_recorded, was_listed, starts_allowed] = flags;
+        let [
+            is_wanted, is_live, is_cancelled, can_checkpoint, is_recorded, was_listed, machine_accepts_starts,
+        ] = flags;
         let state = AttemptState { phase, is_wanted, start_sent: None };
         let job = JobEligibility { is_live, is_cancelled, can_checkpoint };
-        let conditions = ActionConditions { is_recorded, was_listed, starts_allowed };
+        let conditions = ActionConditions { is_recorded, was_listed, machine_accepts_starts };
         let action = allowed_action(&state, &job, &worker_with_token(fencing_token), &conditions);
         if phase == AttemptPhase::Inherited {
             prop_assert_eq!(action, None);
@@ -175,7 +177,7 @@
         match action {
             Some(WorkerAction::Start) => {
                 prop_assert!(phase == AttemptPhase::Bound && is_wanted && is_recorded);
-                prop_assert!(is_live && !is_cancelled && starts_allowed);
+                prop_assert!(is_live && !is_cancelled && machine_accepts_starts);
             }
             Some(WorkerAction::Stop { with_checkpoint }) => {
                 prop_assert!(phase.is_alive() && (is_cancelled || !is_wanted));
@@ -213,7 +215,7 @@
             } else {
                 prop_assert_eq!(worker.newest(), before);
             }
-            let verdict = judge(&inherited(), false, &worker);
+            let verdict = verdict_on(&inherited(), false, &worker);
             prop_assert!(token_shown || verdict == Verdict::Pending);
             let is_over = worker.lease_has_certainly_ended(0, &TIMING, now);
             prop_assert!(!is_over || now > answered_at + TIMING.lease_ms);
--- a/src/core/common/context/jobs.rs
+++ b/src/core/common/context/jobs.rs
@@ -69,7 +69,8 @@
         if !self.machine_types.is_scarcity_due(self.clock.now()) {
             return;
         }
-        let waiting = self.jobs.values().filter(|job| job.state == JobState::Live && !job.is_away());
+        let waiting =
+            self.jobs.values().filter(|job| job.state == JobState::Live && !job.is_forwarded());
         let specs = waiting.filter_map(|job| job.spec.as_deref());
         self.machine_types.update_scarce(self.clock.now(), specs);
     }
--- a/src/core/common/job_table.rs
+++ b/src/core/common/job_table.rs
@@ -103,8 +103,8 @@
     }
 
     /// Whether only another cell may run the job.
-    pub fn is_away(&self) -> bool {
-        self.forwarding().is_some_and(Forwarding::is_away)
+    pub fn is_forwarded(&self) -> bool {
+        self.forwarding().is_some_and(Forwarding::is_forwarded)
     }
 
     /// Whether the job's record has been read.
--- a/src/core/leader/cells/acceptance.rs
+++ b/src/core/leader/cells/acceptance.rs
@@ -171,7 +171,7 @@
     let Some(index) = context.job_index(&job.id) else { return HostRecord::Unknown };
     let known = context.job(index);
     let Some(origin) = known.origin().filter(|origin| origin.cell == cell) else {
-        return HostRecord::Foreign;
+        return HostRecord::Conflicting;
     };
     let has_attempts = leader.attempts.has_job(index);
     let is_over = known.state == JobState::Cancelled && !has_attempts;
@@ -179,7 +179,7 @@
         return HostRecord::Unknown;
     }
     if origin.epoch != job.epoch {
-        return HostRecord::Foreign;
+        return HostRecord::Conflicting;
     }
     match known.state {
         JobState::Live => HostRecord::Live {
@@ -201,6 +201,6 @@
         HostRecord::Tombstone { .. } => {
             context.job(index).origin().map(|origin| origin.done.clone()).unwrap_or_default()
         }
-        HostRecord::Unknown | HostRecord::Foreign | HostRecord::Done => String::new(),
+        HostRecord::Unknown | HostRecord::Conflicting | HostRecord::Done => String::new(),
     }
 }
--- a/src/core/leader/cells/capacity.rs
+++ b/src/core/leader/cells/capacity.rs
@@ -41,7 +41,7 @@
         let instances = leader.fleet.machines.len();
         let interval = context.load_adjusted_interval(REFRESH_INTERVAL_MS, instances);
         self.timers.capacity.set(context.clock.now() + interval);
-        self.team_use = leader.team_use(context);
+        self.usage_by_team = leader.usage_by_team(context);
         self.capacity.clear();
         if !context.operator.cells.accept || context.machine_types.is_empty() {
             return;
@@ -59,7 +59,7 @@
     pub(super) fn has_capacity_for(&self, context: &NodeContext, spec: &JobSpec) -> bool {
         let teams = &context.platform.cluster.teams;
         let Some(team) = teams.iter().position(|team| team.name == spec.team) else { return false };
-        let Some(used) = self.team_use.get(team) else { return false };
+        let Some(used) = self.usage_by_team.get(team) else { return false };
         let is_within_quota = quota_tasks(&teams[team], used, &spec.demand()) > 0;
         is_within_quota && shape_of(spec).fits_within(&self.capacity, context.operator.cells.fit_share)
     }
@@ -94,10 +94,10 @@
         let Some(class) = class else { continue };
         let free = amount(&machine.free);
         class.free.add(&free);
-        class.largest = Amount {
-            cpus: class.largest.cpus.max(free.cpus),
-            gpus: class.largest.gpus.max(free.gpus),
-            memory_gb: class.largest.memory_gb.max(free.memory_gb),
+        class.largest_free = Amount {
+            cpus: class.largest_free.cpus.max(free.cpus),
+            gpus: class.largest_free.gpus.max(free.gpus),
+            memory_gb: class.largest_free.memory_gb.max(free.memory_gb),
         };
     }
 }
@@ -116,7 +116,7 @@
                     is_spot,
                     machine: amount(&known_type.capacity),
                     free: Amount::default(),
-                    largest: Amount::default(),
+                    largest_free: Amount::default(),
                     requestable: if is_refused { 0 } else { requestable },
                 });
             }
--- a/src/core/leader/cells/forwarded_jobs.rs
+++ b/src/core/leader/cells/forwarded_jobs.rs
@@ -52,19 +52,19 @@
     ) {
         let Some(index) = context.job_index(&reported.id) else { return };
         let forwarding = context.job(index).forwarding();
-        let is_ours = |f: &Forwarding| f.is_away() && f.cell == cell && f.epoch == reported.epoch;
+        let is_ours = |f: &Forwarding| f.is_forwarded() && f.cell == cell && f.epoch == reported.epoch;
         if !forwarding.is_some_and(is_ours) {
             return;
         }
         let Some(job) = leader.jobs.get_mut(&index) else { return };
-        job.take_done_elsewhere(&reported.done);
+        job.apply_remote_progress(&reported.done);
         let mut running_now = 0;
         match reported.phase {
             HostedPhase::Done => {
                 if job.done.len() < job.spec.tasks {
                     log_move(&reported.id, cell, reported.epoch, MoveEvent::Done);
                 }
-                job.take_all_done_elsewhere();
+                job.apply_remote_completion();
             }
             HostedPhase::Live { running, .. } => running_now = running,
             HostedPhase::Refused { .. } | HostedPhase::Released => {}
@@ -81,22 +81,23 @@
             observed.idle_since = context.clock.now();
         }
         if let Some(neighbor) = self.neighbors.get_mut(cell) {
-            neighbor.note_success();
+            neighbor.record_success();
         }
     }
 
     /// Reconciles each job that another cell hosts: waits for it, finishes it, recalls it or takes
     /// it back.
     pub(super) fn reconcile_forwarded_jobs(&mut self, leader: &mut Leader, context: &mut NodeContext) {
-        let away = leader.jobs.iter().filter(|(_, job)| job.is_away()).map(|(index, _)| *index);
-        for index in away.collect::<Vec<JobIndex>>() {
+        let forwarded =
+            leader.jobs.iter().filter(|(_, job)| job.is_forwarded()).map(|(index, _)| *index);
+        for index in forwarded.collect::<Vec<JobIndex>>() {
             let Some(forwarding) = context.job(index).forwarding().cloned() else { continue };
             let (forwarding, event) = match self.next_step(leader, context, index, &forwarding) {
                 OriginStep::Wait => continue,
                 OriginStep::Finish => {
                     // The scheduler writes the final state of a job once all its tasks are done.
                     if let Some(job) = leader.jobs.get_mut(&index) {
-                        job.take_all_done_elsewhere();
+                        job.apply_remote_completion();
                     }
                     continue;
                 }
@@ -170,7 +171,7 @@
         let Some(neighbor) = self.neighbors.get_mut(cell) else { return };
         let is_counted = std::mem::replace(&mut observed.is_refusal_counted, true);
         if !is_counted && retry_after_ms != NEVER_RETRY {
-            neighbor.note_refusal(context.clock.now(), retry_after_ms);
+            neighbor.record_refusal(context.clock.now(), retry_after_ms);
         }
     }
 }
--- a/src/core/leader/cells/messages.rs
+++ b/src/core/leader/cells/messages.rs
@@ -49,7 +49,7 @@
         let neighbor = &self.neighbors[cell];
         let mut specs_left = MAX_SPECS_PER_MESSAGE;
         let mut jobs = Vec::new();
-        for (index, job) in leader.jobs.iter().filter(|(_, job)| job.is_away()) {
+        for (index, job) in leader.jobs.iter().filter(|(_, job)| job.is_forwarded()) {
             let forwarding = context.job(*index).forwarding();
             let Some(forwarding) = forwarding.filter(|forwarding| forwarding.cell == cell) else {
                 continue;
--- a/src/core/leader/cells/mod.rs
+++ b/src/core/leader/cells/mod.rs
@@ -72,7 +72,7 @@
     /// Capacity by class that this cell reports to the others.
     capacity: Vec<ClassCapacity>,
     /// Resource use of each team at the last count of the capacity.
-    team_use: Vec<Resources>,
+    usage_by_team: Vec<Resources>,
 }
 
 /// Timers of the periodic work.
@@ -104,7 +104,7 @@
             lease_writes: HashMap::new(),
             hosted: HashMap::new(),
             capacity: Vec::new(),
-            team_use: Vec::new(),
+            usage_by_team: Vec::new(),
         }
     }
 
@@ -138,7 +138,7 @@
         let jobs = &leader.jobs;
         let is_live = |job: &JobIndex| jobs.contains_key(job);
         self.record_changes.retain(|job, state| *state == WriteState::InFlight || is_live(job));
-        self.observations.retain(|job, _| jobs.get(job).is_some_and(LiveJob::is_away));
+        self.observations.retain(|job, _| jobs.get(job).is_some_and(LiveJob::is_forwarded));
     }
 
     /// Handles the result of a call to the key-value store.
--- a/src/core/leader/cells/offers.rs
+++ b/src/core/leader/cells/offers.rs
@@ -57,7 +57,8 @@
     ) -> Option<String> {
         let settings = &context.operator.cells;
         let timing = context.cell_leases.timing();
-        let tried = context.job(index).forwarding().map(|f| f.tried.as_slice()).unwrap_or_default();
+        let excluded_cells =
+            context.job(index).forwarding().map(|f| f.excluded_cells.as_slice()).unwrap_or_default();
         let offers = self.neighbors.iter().filter_map(|(cell, neighbor)| {
             let hosted = neighbor.hosted()?;
             let stops_in_time = timing.lease_duration_ms(hosted.stop_within_ms).is_some();
@@ -66,16 +67,16 @@
             let may_be_offered = neighbor.may_be_offered(context.clock.now(), settings.silence_ms)
                 && stops_in_time
                 && is_below_limit
-                && !tried.contains(cell);
+                && !excluded_cells.contains(cell);
             may_be_offered.then_some((cell.as_str(), hosted.capacity.as_slice()))
         });
-        routing::choose(&shape_of(spec), offers, settings.fit_share).map(str::to_string)
+        routing::choose_cell(&shape_of(spec), offers, settings.fit_share).map(str::to_string)
     }
 }
 
 fn count_hosted_elsewhere(leader: &Leader, context: &NodeContext) -> HostedCounts {
     let mut counts = HostedCounts::new();
-    for (index, _) in leader.jobs.iter().filter(|(_, job)| job.is_away()) {
+    for (index, _) in leader.jobs.iter().filter(|(_, job)| job.is_forwarded()) {
         if let Some(forwarding) = context.job(*index).forwarding() {
             *counts.entry(forwarding.cell.clone()).or_default() += 1;
         }
--- a/src/core/leader/demand_samples.rs
+++ b/src/core/leader/demand_samples.rs
@@ -28,7 +28,7 @@
     }
 
     /// Adds a sample of the current demand: booked and planned machines.
-    pub(super) fn sample(&mut self, context: &NodeContext, plan: &ScaleOutPlan) {
+    pub(super) fn sample_demand(&mut self, context: &NodeContext, plan: &ScaleOutPlan) {
         for (label, machines) in self.bookings(context) {
             self.fleet.window.add_bookings(label, machines);
         }
--- a/src/core/leader/fleet/mod.rs
+++ b/src/core/leader/fleet/mod.rs
@@ -257,7 +257,7 @@
         self.check_health(context);
         self.plans += 1;
         let plan = self.plan(context);
-        self.sample(context, &plan);
+        self.sample_demand(context, &plan);
         if self.fleet.is_complete(now) {
             self.scale(context, plan);
         }
--- a/src/core/leader/fleet/window_rule.rs
+++ b/src/core/leader/fleet/window_rule.rs
@@ -185,7 +185,7 @@
         let (season_windows, smoothing) = (context.operator.season_windows, context.operator.smoothing);
         let label = kind.label(context);
         let history = self.window.history();
-        let mut forecast = history.expect(&label, season_windows, smoothing);
+        let mut forecast = history.forecast(&label, season_windows, smoothing);
         // Spot instances cover deviations of the demand from its forecast.
         if kind.is_spot
             && let Some(forecast) = &mut forecast
--- a/src/core/leader/forecast.rs
+++ b/src/core/leader/forecast.rs
@@ -80,7 +80,7 @@
     /// Returns the number of machines expected to be booked in the next window, or `None` if the
     /// history is too short. The seasonal average is used only once the history covers two
     /// seasons: with less, any rise and fall within the last minutes would look like a season.
-    pub fn expect(&self, kind: &str, season_windows: usize, smoothing: f64) -> Option<f64> {
+    pub fn forecast(&self, kind: &str, season_windows: usize, smoothing: f64) -> Option<f64> {
         let windows = self.bookings.get(kind)?;
         if windows.len() < MIN_WINDOWS {
             return None;
--- a/src/core/leader/live_jobs.rs
+++ b/src/core/leader/live_jobs.rs
@@ -108,7 +108,7 @@
     }
 
     /// Whether only another cell may run the job.
-    pub(super) fn is_away(&self) -> bool {
+    pub(super) fn is_forwarded(&self) -> bool {
         matches!(self.location, JobLocation::Away { .. })
     }
 
@@ -124,7 +124,7 @@
 
     /// Updates which cell runs the job from the job's record.
     pub(super) fn update_location(&mut self, job: &Job) {
-        self.location = match (job.is_away(), job.origin(), self.location) {
+        self.location = match (job.is_forwarded(), job.origin(), self.location) {
             (true, _, JobLocation::Away { running }) => JobLocation::Away { running },
             (true, _, _) => JobLocation::Away { running: 0 },
             (false, Some(_), JobLocation::Hosted { is_listed }) => JobLocation::Hosted { is_listed },
@@ -140,7 +140,7 @@
     }
 
     /// Marks the tasks as done that another cell has finished; `bits` are hexadecimal digits.
-    pub(super) fn take_done_elsewhere(&mut self, bits: &str) {
+    pub(super) fn apply_remote_progress(&mut self, bits: &str) {
         let mut done = TaskSet::with_capacity(self.spec.tasks);
         done.add_hex(0, bits);
         for task in (0..self.spec.tasks).filter(|task| done.contains(*task)) {
@@ -149,7 +149,7 @@
     }
 
     /// Marks all tasks as done after another cell has finished them.
-    pub(super) fn take_all_done_elsewhere(&mut self) {
+    pub(super) fn apply_remote_completion(&mut self) {
         for task in 0..self.spec.tasks {
             self.finish_task(task);
         }
--- a/src/core/leader/order.rs
+++ b/src/core/leader/order.rs
@@ -59,7 +59,7 @@
     /// order in which they became ready, jobs of other cells after those of this cell.
     fn jobs_within_guarantee(&self, context: &NodeContext) -> FxHashSet<JobIndex> {
         let teams = &context.platform.cluster.teams;
-        let local = self.jobs.iter().filter(|(_, live)| !live.is_away());
+        let local = self.jobs.iter().filter(|(_, live)| !live.is_forwarded());
         let mut by_age: Vec<(bool, u64, JobIndex)> =
             local.map(|(job, live)| (live.is_hosted(), live.ready_at_ms, *job)).collect();
         by_age.sort_unstable();
--- a/src/core/leader/quota.rs
+++ b/src/core/leader/quota.rs
@@ -10,7 +10,7 @@
 impl Leader {
     /// Returns the resources that each team's attempts take, or may take, on machines, by index of
     /// the team in the settings.
-    pub(super) fn team_use(&self, context: &NodeContext) -> Vec<Resources> {
+    pub(super) fn usage_by_team(&self, context: &NodeContext) -> Vec<Resources> {
         let mut used = vec![Resources::default(); context.platform.cluster.teams.len()];
         for attempt in self.attempts.values().filter(|attempt| attempt.occupies_capacity()) {
             if let Some(used_by_team) = attempt.team.and_then(|team| used.get_mut(team)) {
--- a/src/core/leader/rebuild.rs
+++ b/src/core/leader/rebuild.rs
@@ -221,7 +221,7 @@
     fn reconcile_recorded_attempts(&mut self) {
         self.attempts.drop_superseded();
         for attempt in self.attempts.values_mut() {
-            let live = self.jobs.get_mut(&attempt.job).filter(|live| !live.is_away());
+            let live = self.jobs.get_mut(&attempt.job).filter(|live| !live.is_forwarded());
             let is_done = live.as_ref().is_some_and(|live| live.done.contains(attempt.task));
             let task = TaskStatus { job_is_live: live.is_some(), is_done };
             let disposition = AttemptDisposition::of_recorded(task);
--- a/src/core/leader/reconciliation.rs
+++ b/src/core/leader/reconciliation.rs
@@ -189,7 +189,7 @@
             shard, machine, job: &ReportedJobInfo { job, team, demand }, task, ..
         } = *reported;
         let task_has_attempt = self.attempts.has_task(job, task.task);
-        let live = self.jobs.get_mut(&job).filter(|live| !live.is_away());
+        let live = self.jobs.get_mut(&job).filter(|live| !live.is_forwarded());
         let is_done = live.as_ref().is_some_and(|live| live.done.contains(task.task));
         let status = TaskStatus { job_is_live: live.is_some(), is_done };
         let seen = ReportedAttemptStatus {
--- a/src/core/leader/scale_out_planner.rs
+++ b/src/core/leader/scale_out_planner.rs
@@ -43,7 +43,7 @@
             return ScaleOutPlan::default();
         }
         let teams = &context.platform.cluster.teams;
-        let mut used_by_team = self.team_use(context);
+        let mut used_by_team = self.usage_by_team(context);
         let mut planner = Planner::new(context, self);
         for WaitingJob { job, tasks } in self.most_constrained_first(context) {
             let Some(live) = self.jobs.get(&job) else { continue };
--- a/src/core/leader/scheduling_cycle.rs
+++ b/src/core/leader/scheduling_cycle.rs
@@ -64,7 +64,7 @@
         let order = self.jobs_by_urgency(context);
         let mut cycle = CycleState {
             free_capacity: self.free_capacity(context),
-            used_by_team: self.team_use(context),
+            used_by_team: self.usage_by_team(context),
             admitted: 0,
         };
         self.check_quotas(context, &cycle.used_by_team);
--- a/src/core/shard_owner/reconciliation.rs
+++ b/src/core/shard_owner/reconciliation.rs
@@ -102,7 +102,7 @@
     detect_unreachable_worker(machine, &listed);
     let (liveness, name) = (&machine.liveness, machine.name.as_str());
     let is_gone = |attempt: &mut Attempt| {
-        let verdict = attempt::judge(&attempt.state(), listed.contains(&attempt.id), liveness);
+        let verdict = attempt::verdict_on(&attempt.state(), listed.contains(&attempt.id), liveness);
         if attempt.phase == AttemptPhase::Inherited {
             recovery.count_verdict(verdict);
         }
@@ -120,7 +120,7 @@
 fn detect_unreachable_worker(machine: &mut Machine, listed: &FxHashSet<AttemptId>) {
     let is_undelivered = |attempt: &Attempt| {
         let is_listed = listed.contains(&attempt.id);
-        attempt::judge(&attempt.state(), is_listed, &machine.liveness) == Verdict::Undelivered
+        attempt::verdict_on(&attempt.state(), is_listed, &machine.liveness) == Verdict::Undelivered
     };
     if machine.attempts.iter().any(is_undelivered) {
         machine.liveness.mark_unreachable();
--- a/src/core/shard_owner/worker_commands.rs
+++ b/src/core/shard_owner/worker_commands.rs
@@ -22,13 +22,13 @@
 
 /// Adds the command that the worker should execute now for each attempt that needs one.
 pub(super) fn add_commands(context: &NodeContext, machine: &mut Machine, commands: &mut Vec<Command>) {
-    let starts_allowed = !machine.terminating_recorded;
+    let machine_accepts_starts = !machine.terminating_recorded;
     for attempt in &mut machine.attempts {
         let spec = context.job(attempt.job).spec.as_deref();
         let conditions = ActionConditions {
             is_recorded: attempt.is_recorded(),
             was_listed: attempt.was_listed,
-            starts_allowed,
+            machine_accepts_starts,
         };
         let action = attempt::allowed_action(
             &attempt.state(),
--- a/src/wire/store/job_record.rs
+++ b/src/wire/store/job_record.rs
@@ -65,7 +65,7 @@
     /// Creates the record of a live job that is or was forwarded to another cell.
     pub fn forwarded(spec: JobSpec, dependencies: &[String], forwarding: Forwarding) -> JobRecord {
         let mut record = JobRecord::live(spec, dependencies);
-        if forwarding.is_away() {
+        if forwarding.is_forwarded() {
             record.forwarded_spec = record.spec.take().or(record.waiting_spec.take());
         }
         record.forwarding = Some(forwarding);
--- a/tests/support/cells.rs
+++ b/tests/support/cells.rs
@@ -156,8 +156,8 @@
     /// job is at the origin.
     pub fn forwarded_to(&self, origin: usize, id: &str) -> Option<String> {
         let record = self.record(origin, id)?;
-        let is_away = record["f"]["p"] == "a" || record["f"]["p"] == "r";
-        is_away.then(|| record["f"]["c"].as_str().unwrap_or_default().to_string())
+        let is_forwarded = record["f"]["p"] == "a" || record["f"]["p"] == "r";
+        is_forwarded.then(|| record["f"]["c"].as_str().unwrap_or_default().to_string())
     }
 
     /// Number of starts of a job's tasks in one cell.
--- a/tests/units/forecast.rs
+++ b/tests/units/forecast.rs
@@ -45,21 +45,21 @@
     let record = |history: &mut History, demand: f64| {
         history.record(&BTreeMap::from([("k".to_string(), demand)]), 10);
     };
-    assert_eq!(history.expect("k", 10, 0.4), None);
+    assert_eq!(history.forecast("k", 10, 0.4), None);
 
     for _ in 0..9 {
         record(&mut history, 8.0);
     }
-    assert!((history.expect("k", 10, 0.4).unwrap() - 8.0).abs() < 0.1);
+    assert!((history.forecast("k", 10, 0.4).unwrap() - 8.0).abs() < 0.1);
 
     for _ in 0..10 {
         record(&mut history, 0.0);
     }
-    assert!(history.expect("k", 10, 0.4).unwrap() < 0.2);
+    assert!(history.forecast("k", 10, 0.4).unwrap() < 0.2);
 
     record(&mut history, 0.0);
     assert!(
-        history.expect("k", 10, 0.4).unwrap() > 1.0,
+        history.forecast("k", 10, 0.4).unwrap() > 1.0,
         "the forecast ignores that the next window was busy two seasons ago"
     );
 
@@ -67,5 +67,5 @@
         record(&mut history, 1.0);
     }
     assert!(serde_json::to_string(&history).unwrap().len() < 2000);
-    assert_eq!(history.expect("other", 10, 0.4), None);
+    assert_eq!(history.forecast("other", 10, 0.4), None);
 }
