--- a/src/core/common/context/requests.rs
+++ b/src/core/common/context/requests.rs
@@ -67,7 +67,7 @@
 
     /// Sends a message to another cell.
     pub fn send_cell(&mut self, cell: &str, message: CellMessage) {
-        self.outbox.push(Output::SendCell { cell: cell.into(), message: Box::new(message) });
+        self.outbox.push(Output::SendCellMessage { cell: cell.into(), message: Box::new(message) });
     }
 
     /// Sends a message to a node, which may be this node itself.
@@ -76,7 +76,7 @@
         if to == self.node {
             self.outbox.push_local(frame);
         } else {
-            self.outbox.push(Output::Send { to: to.into(), frame });
+            self.outbox.push(Output::SendFrame { to: to.into(), frame });
         }
     }
 }
--- a/src/core/leader/attempts.rs
+++ b/src/core/leader/attempts.rs
@@ -49,7 +49,7 @@
     /// Whether the attempt should continue; otherwise the shard owner has to stop it.
     pub is_wanted: bool,
     /// The last phase that the shard owner has reported.
-    pub state: ReportedPhase,
+    pub phase: ReportedPhase,
     /// Resources that the task takes on its machine.
     pub demand: Resources,
     /// Index of the team in the settings; `None` if they don't list it.
@@ -64,7 +64,7 @@
 impl Attempt {
     /// Whether the attempt takes, or may take, capacity of its machine and quota of its team.
     pub(crate) fn occupies_capacity(&self) -> bool {
-        self.state.occupies_capacity()
+        self.phase.occupies_capacity()
     }
 
     /// Updates the evidence from a reported phase. `is_fenced` tells whether the machine's
@@ -193,7 +193,7 @@
             may_bind: true,
             evidence: Evidence::Admission,
             is_wanted: true,
-            state: ReportedPhase::Bound,
+            phase: ReportedPhase::Bound,
             demand: live.spec.demand(),
             team: Some(live.team),
             ran_ms: 0,
--- a/src/core/leader/cascading_cancellation.rs
+++ b/src/core/leader/cascading_cancellation.rs
@@ -15,7 +15,7 @@
 //! such a job writes the cancellation before it answers, so that no node reports the job as
 //! live afterwards.
 
-use super::write_state::WriteState;
+use super::write_pacing::WritePacing;
 use super::{Leader, LeaderCall};
 use crate::core::common::store_keys::job_key;
 use crate::core::common::{context::NodeContext, job_records::RecordSource};
@@ -32,7 +32,7 @@
 #[derive(Debug, Default)]
 pub(super) struct CascadingCancellations {
     pending: BTreeSet<JobIndex>,
-    write: WriteState,
+    write: WritePacing,
 }
 
 impl Leader {
@@ -80,7 +80,7 @@
             // A job that its user or a user API node has cancelled in the meantime fails the
             // whole batch until the watch reports the change; the next batch omits that job.
             let retry_at = context.clock.now() + context.retry_ms(RETRY_MS);
-            self.cancellations.write.finish_and_wait(retry_at);
+            self.cancellations.write.finish_and_retry_at(retry_at);
             return;
         };
         self.cancellations.write.finish();
--- a/src/core/leader/cells/hosted_jobs.rs
+++ b/src/core/leader/cells/hosted_jobs.rs
@@ -156,7 +156,7 @@
 
 fn count_running(leader: &Leader) -> RunningTasks {
     let mut running = RunningTasks::default();
-    for attempt in leader.attempts.values().filter(|a| a.state == ReportedPhase::Running) {
+    for attempt in leader.attempts.values().filter(|a| a.phase == ReportedPhase::Running) {
         *running.entry(attempt.job).or_default() += 1;
     }
     running
--- a/src/core/leader/desired_states.rs
+++ b/src/core/leader/desired_states.rs
@@ -53,7 +53,11 @@
                 waiting: waiting_tasks(context, &assignment.waiting),
                 cordoned: directives.cordoned,
                 decommission: directives.decommission,
-                terminated: assignment.gone.iter().map(|instance| instance.name.clone()).collect(),
+                terminated: assignment
+                    .terminated_instances
+                    .iter()
+                    .map(|instance| instance.name.clone())
+                    .collect(),
                 quarantined: directives.quarantined,
             };
             context.send(&owner.node, PeerMessage::DesiredState(state));
@@ -74,7 +78,7 @@
             shard.dirty = false;
             shard.sent_at = Some(now);
             shard.serial += 1;
-            shard.gone.retain(|instance| instance.confirmed_at + GONE_KEPT_MS > now);
+            shard.terminated_instances.retain(|instance| instance.confirmed_at + GONE_KEPT_MS > now);
             due.push(ShardIndex::from_usize(index));
         }
         due
--- a/src/core/leader/fleet/cloud_calls/termination.rs
+++ b/src/core/leader/fleet/cloud_calls/termination.rs
@@ -4,7 +4,7 @@
 use crate::core::common::context::{MAX_TERMINATIONS, NodeContext};
 use crate::core::leader::Leader;
 use crate::core::leader::fleet::{Fleet, InstancePhase};
-use crate::core::leader::shards::GoneInstance;
+use crate::core::leader::shards::TerminatedInstance;
 use crate::core::{CloudRequest, CloudResponse};
 use crate::model::{InstanceIndex, Ms};
 use crate::wire::cloud::TerminateInstancesRequest;
@@ -63,7 +63,9 @@
         self.fleet.terminated.insert(&instance.name);
         if let Some(assignment) = self.shards.get_mut(instance.shard.as_usize()) {
             let confirmed_at = context.clock.now();
-            assignment.gone.push(GoneInstance { name: instance.name, confirmed_at });
+            assignment
+                .terminated_instances
+                .push(TerminatedInstance { name: instance.name, confirmed_at });
             assignment.dirty = true;
         }
     }
--- a/src/core/leader/fleet/mod.rs
+++ b/src/core/leader/fleet/mod.rs
@@ -139,7 +139,7 @@
 
     /// Handles the end of the write of the catalog's record. If it failed, the catalog is read
     /// again.
-    pub(crate) fn catalog_saved(&mut self, now: Ms, is_saved: bool) {
+    pub(crate) fn on_catalog_write_finished(&mut self, now: Ms, is_saved: bool) {
         if !is_saved {
             self.cloud.catalog.on_save_failed(now);
         }
--- a/src/core/leader/live_jobs.rs
+++ b/src/core/leader/live_jobs.rs
@@ -4,7 +4,7 @@
 //! A live job holds no reference to attempts or machines and writes no records.
 
 use super::progress::{JobProgress, ProgressSegment};
-use super::write_state::WriteState;
+use super::write_pacing::WritePacing;
 use crate::core::common::job_table::Job;
 use crate::model::{InstanceIndex, JobSpec, Ms, Priority, TaskSet};
 use rustc_hash::FxHashSet;
@@ -68,7 +68,7 @@
     /// Priority of the job, or a higher one of a job that depends on it.
     pub priority: Priority,
     /// State of the write of the job's final record.
-    pub(super) final_write: WriteState,
+    pub(super) final_write: WritePacing,
     /// Which cell runs the job.
     pub location: JobLocation,
 }
@@ -90,7 +90,7 @@
             is_within_guarantee: false,
             ready_at_ms,
             priority: spec.priority,
-            final_write: WriteState::default(),
+            final_write: WritePacing::default(),
             location: JobLocation::Local,
             spec,
         }
--- a/src/core/leader/mod.rs
+++ b/src/core/leader/mod.rs
@@ -35,7 +35,7 @@
 mod shards;
 mod task_counts;
 mod timer;
-mod write_state;
+mod write_pacing;
 mod zones;
 
 use crate::core::StoreResponse;
@@ -83,7 +83,7 @@
         shard: ShardIndex,
     },
     /// Write the progress of jobs.
-    Record {
+    WriteProgress {
         /// The segments to write, for each job.
         writes: Vec<SegmentWrite>,
     },
@@ -177,7 +177,7 @@
     /// Progress records that are no longer needed.
     deletions: DeletionQueue,
     /// Whether the lower limits of the store are known to be in force.
-    has_lowered_limits: bool,
+    are_lower_limits_in_force: bool,
     /// Detects broken quotas and logs the usage of teams.
     quota_watch: QuotaWatch,
     /// The most recent decisions on attempts.
@@ -213,7 +213,7 @@
             task_count_timer: Timer::default(),
             unclaimed_progress: HashMap::new(),
             deletions: DeletionQueue::default(),
-            has_lowered_limits: false,
+            are_lower_limits_in_force: false,
             quota_watch: QuotaWatch::default(),
             decisions: DecisionLog::default(),
             cancellations: CascadingCancellations::default(),
@@ -280,7 +280,7 @@
         match call {
             LeaderCall::Load(kind) => self.on_load(context, kind, response),
             LeaderCall::AssignShard { shard } => self.on_shard_assigned(context, shard),
-            LeaderCall::Record { writes } => self.on_recorded(context, writes, response),
+            LeaderCall::WriteProgress { writes } => self.on_recorded(context, writes, response),
             LeaderCall::Reread { job, segment } => self.on_reread(context, job, segment, response),
             LeaderCall::WriteFinalState(write) => {
                 self.on_final_state_written(context, write, response);
@@ -292,9 +292,9 @@
             LeaderCall::Cells(call) => self.on_cell_result(context, call, response),
             LeaderCall::SaveFleet => self.fleet.on_window_record_written(),
             LeaderCall::SaveCatalog => {
-                self.has_lowered_limits |= matches!(response, StoreResponse::Malformed);
+                self.are_lower_limits_in_force |= matches!(response, StoreResponse::Malformed);
                 let is_saved = matches!(response, StoreResponse::Committed { .. });
-                self.fleet.catalog_saved(context.clock.now(), is_saved);
+                self.fleet.on_catalog_write_finished(context.clock.now(), is_saved);
             }
         }
     }
--- a/src/core/leader/persistence.rs
+++ b/src/core/leader/persistence.rs
@@ -41,7 +41,8 @@
     /// one record would be too long, because the previous version reads only the first record.
     pub(super) fn save_catalog(&mut self, context: &mut NodeContext, types: Vec<cloud::MachineType>) {
         let state = &context.platform.cluster.state;
-        let limit_kb = if self.has_lowered_limits { state.value_kb } else { state.current_value_kb };
+        let limit_kb =
+            if self.are_lower_limits_in_force { state.value_kb } else { state.current_value_kb };
         let max_mutations = state.txn_ops.min(MAX_CATALOG_MUTATIONS);
         let records = split_catalog(&types, (limit_kb * 1024.0) as usize);
         let mutations: Vec<Mutation> = records
--- a/src/core/leader/progress/completion.rs
+++ b/src/core/leader/progress/completion.rs
@@ -82,7 +82,7 @@
             let id = context.jobs.id(job).to_string();
             context.apply_job_record(&id, JobRecord::done(0, done_ms), revision, RecordSource::Single);
         } else if let Some(live) = self.jobs.get_mut(&job) {
-            live.final_write.finish_and_wait(context.clock.now() + context.retry_ms(RETRY_MS));
+            live.final_write.finish_and_retry_at(context.clock.now() + context.retry_ms(RETRY_MS));
         }
     }
 }
--- a/src/core/leader/progress/deletion.rs
+++ b/src/core/leader/progress/deletion.rs
@@ -2,7 +2,7 @@
 
 use super::recording::MIN_WRITE_INTERVAL_MS;
 use crate::core::common::context::NodeContext;
-use crate::core::leader::write_state::WriteState;
+use crate::core::leader::write_pacing::WritePacing;
 use crate::core::leader::{Leader, LeaderCall};
 use crate::core::{StoreCallOwner, StoreRequest, StoreResponse};
 use crate::model::Ms;
@@ -16,7 +16,7 @@
 #[derive(Debug, Default)]
 pub struct DeletionQueue {
     keys: VecDeque<String>,
-    write: WriteState,
+    write: WritePacing,
 }
 
 impl DeletionQueue {
@@ -59,7 +59,7 @@
         let queue = &mut self.deletions;
         if matches!(response, StoreResponse::NotExecuted | StoreResponse::OutcomeUnknown) {
             queue.keys.extend(keys);
-            queue.write.finish_and_wait(context.clock.now() + context.jitter(RETRY_MS));
+            queue.write.finish_and_retry_at(context.clock.now() + context.jitter(RETRY_MS));
         } else {
             queue.write.finish();
         }
--- a/src/core/leader/progress/recording.rs
+++ b/src/core/leader/progress/recording.rs
@@ -55,7 +55,7 @@
         let cost_ms = request.mutations.len() as f64 * 1000.0 / writes_per_s;
         self.record_timer.set(now + MIN_WRITE_INTERVAL_MS.max(cost_ms as Ms));
         context.send_store_request(
-            StoreCallOwner::Leader(LeaderCall::Record { writes }),
+            StoreCallOwner::Leader(LeaderCall::WriteProgress { writes }),
             StoreRequest::CompareAndSwap(request),
         );
     }
@@ -70,7 +70,7 @@
         let mut writes: Vec<SegmentWrite> = Vec::new();
         for job in self.jobs_to_record() {
             let Some(live) = self.jobs.get_mut(&job) else { continue };
-            let in_parts = must_write_parts(context, live.spec.tasks, self.has_lowered_limits);
+            let in_parts = must_write_parts(context, live.spec.tasks, self.are_lower_limits_in_force);
             let unrecorded = live.progress.unrecorded.iter();
             let mut segments: BTreeSet<ProgressSegment> =
                 unrecorded.map(|task| ProgressSegment::of(*task, in_parts)).collect();
@@ -140,7 +140,7 @@
         if matches!(response, StoreResponse::Malformed) {
             // Progress fits once it is written in parts. The longer delay avoids a retry at each
             // poll if the write was malformed for another reason.
-            self.has_lowered_limits = true;
+            self.are_lower_limits_in_force = true;
             self.record_timer.set(context.clock.now() + MALFORMED_RETRY_MS);
         }
     }
@@ -151,7 +151,7 @@
         let Some(live) = self.jobs.get(&job) else { return };
         for id in self.attempts.ids_of_job(job) {
             let Some(attempt) = self.attempts.get_mut(id) else { continue };
-            let is_done = attempt.state == ReportedPhase::Done;
+            let is_done = attempt.phase == ReportedPhase::Done;
             if attempt.is_wanted && is_done && live.progress.is_recorded(attempt.task) {
                 attempt.stop(&mut self.shards);
             }
@@ -162,11 +162,11 @@
 /// Whether the progress of a job with this number of tasks must be written in parts, because a
 /// whole segment exceeds the store's limit on the size of a value: the present limit, or the
 /// lower one once it is in force.
-fn must_write_parts(context: &NodeContext, tasks: u32, has_lowered_limits: bool) -> bool {
+fn must_write_parts(context: &NodeContext, tasks: u32, are_lower_limits_in_force: bool) -> bool {
     let text_len = ProgressSegment::whole_text_len(tasks);
     let state = &context.platform.cluster.state;
     let exceeds_present_limit = text_len as f64 > state.current_value_kb * 1024.0;
-    text_len > state.value_bytes() && (has_lowered_limits || exceeds_present_limit)
+    text_len > state.value_bytes() && (are_lower_limits_in_force || exceeds_present_limit)
 }
 
 /// Adds the given segments of a job's progress to a request.
--- a/src/core/leader/rebuild.rs
+++ b/src/core/leader/rebuild.rs
@@ -165,7 +165,7 @@
         let Some((id, segment)) = ProgressSegment::of_key(&item.key) else { return };
         let Ok(bits) = item.value.decode::<String>() else { return };
         // Records in parts are written only under the store's lower limits.
-        self.has_lowered_limits |= segment.is_part();
+        self.are_lower_limits_in_force |= segment.is_part();
         let loaded = LoadedSegment { segment, bits, version: item.version };
         self.unclaimed_progress.entry(id.to_string()).or_default().push(loaded);
     }
@@ -267,7 +267,7 @@
         may_bind: false,
         evidence: Evidence::Record,
         is_wanted: true,
-        state: ReportedPhase::Bound,
+        phase: ReportedPhase::Bound,
         demand: Resources { cpus: *cpus, gpus: *gpus, memory_gb: *memory_gb },
         team,
         ran_ms: 0,
--- a/src/core/leader/reconciliation.rs
+++ b/src/core/leader/reconciliation.rs
@@ -211,7 +211,7 @@
             may_bind: false,
             evidence: Evidence::Record,
             is_wanted,
-            state: task.state,
+            phase: task.state,
             demand,
             team,
             ran_ms: task.ran_ms,
@@ -233,8 +233,8 @@
         attempt.may_bind = false;
         attempt.ran_ms = task.ran_ms;
         attempt.update_evidence(task.state, is_fenced);
-        let has_changed = attempt.state != task.state;
-        attempt.state = task.state;
+        let has_changed = attempt.phase != task.state;
+        attempt.phase = task.state;
         has_changed
     }
 
--- a/src/core/leader/shards.rs
+++ b/src/core/leader/shards.rs
@@ -6,7 +6,7 @@
 //! assignment.
 
 use super::scheduling_cycle::WaitingJob;
-use super::write_state::WriteState;
+use super::write_pacing::WritePacing;
 use super::{Leader, LeaderCall};
 use crate::core::common::context::NodeContext;
 use crate::core::common::shard_map::KnownOwner;
@@ -31,7 +31,7 @@
 
 /// An instance whose termination the cloud has confirmed.
 #[derive(Debug)]
-pub(crate) struct GoneInstance {
+pub(crate) struct TerminatedInstance {
     /// Its name.
     pub name: String,
     /// When the cloud confirmed it.
@@ -56,11 +56,11 @@
     /// Usage of each team according to the last reported state, by index of the team.
     pub(super) reported_usage: Vec<Resources>,
     /// Instances whose termination the cloud has confirmed.
-    pub gone: Vec<GoneInstance>,
+    pub terminated_instances: Vec<TerminatedInstance>,
     /// Waiting tasks that the owner includes in its load projection.
     pub waiting: Vec<WaitingJob>,
-    /// State of the write of the shard's record.
-    pub(super) write: WriteState,
+    /// Pacing of the write of the shard's record.
+    pub(super) write: WritePacing,
 }
 
 impl ShardAssignment {
@@ -74,9 +74,9 @@
             fencing_token: None,
             has_reported: false,
             reported_usage: Vec::new(),
-            gone: Vec::new(),
+            terminated_instances: Vec::new(),
             waiting: Vec::new(),
-            write: WriteState::default(),
+            write: WritePacing::default(),
         }
     }
 }
@@ -176,7 +176,7 @@
     pub(super) fn on_shard_assigned(&mut self, context: &mut NodeContext, shard: ShardIndex) {
         let pause = context.jitter(ASSIGNMENT_INTERVAL_MS);
         if let Some(shard) = self.shards.get_mut(shard.as_usize()) {
-            shard.write.finish_and_wait(context.clock.now() + pause);
+            shard.write.finish_and_retry_at(context.clock.now() + pause);
         }
     }
 
--- a/src/core/leader/task_counts.rs
+++ b/src/core/leader/task_counts.rs
@@ -23,7 +23,7 @@
         }
         self.task_count_timer.set(now + COUNT_INTERVAL_MS);
         let mut running_here: FxHashMap<JobIndex, u32> = FxHashMap::default();
-        for attempt in self.attempts.values().filter(|a| a.state == ReportedPhase::Running) {
+        for attempt in self.attempts.values().filter(|a| a.phase == ReportedPhase::Running) {
             *running_here.entry(attempt.job).or_default() += 1;
         }
         let counts = self.jobs.iter().map(|(index, live)| {
--- a/src/core/leader/write_state.rs
+++ b/src/core/leader/write_pacing.rs
@@ -1,16 +1,16 @@
-//! State of a write to the store that is retried until it succeeds.
+//! Pacing of a write to the store that is retried until it succeeds.
 
 use super::timer::Timer;
 use crate::model::Ms;
 
 /// Limits one kind of write to a single write in flight, with a delay after a failed one.
 #[derive(Debug, Clone, Copy, Default)]
-pub(super) struct WriteState {
+pub(super) struct WritePacing {
     is_in_flight: bool,
     retry: Timer,
 }
 
-impl WriteState {
+impl WritePacing {
     /// Whether a write may start now: none is in flight, and the delay has passed.
     pub(super) fn is_ready(&self, now: Ms) -> bool {
         !self.is_in_flight && self.retry.is_due(now)
@@ -27,7 +27,7 @@
     }
 
     /// Marks the write as answered, and delays the next one until `retry_at`.
-    pub(super) fn finish_and_wait(&mut self, retry_at: Ms) {
+    pub(super) fn finish_and_retry_at(&mut self, retry_at: Ms) {
         self.is_in_flight = false;
         self.retry.set(retry_at);
     }
--- a/src/core/leader/zones.rs
+++ b/src/core/leader/zones.rs
@@ -36,7 +36,7 @@
         }
         // The zone is taken from the shard, which is always known and lies in one zone: a leader
         // whose term has just begun may not know the instance of an attempt.
-        let placed = leader.attempts.values().filter(|a| a.job == job && a.state != ReportedPhase::Done);
+        let placed = leader.attempts.values().filter(|a| a.job == job && a.phase != ReportedPhase::Done);
         for attempt in placed {
             if let Some(shard) = context.shards.get(attempt.shard.as_usize()) {
                 zones.count_task(&shard.zone);
--- a/src/core/messages.rs
+++ b/src/core/messages.rs
@@ -81,7 +81,7 @@
         request: CloudRequest,
     },
     /// Send a frame to another node.
-    Send {
+    SendFrame {
         /// Name of the node.
         to: String,
         /// The frame.
@@ -96,7 +96,7 @@
         commands: DirectCommands,
     },
     /// Send a message to all controllers of another cell.
-    SendCell {
+    SendCellMessage {
         /// Name of the cell.
         cell: String,
         /// The message.
--- a/src/core/user_api/cancellation.rs
+++ b/src/core/user_api/cancellation.rs
@@ -2,7 +2,7 @@
 
 use super::reads::Waiter;
 use super::responses::{is_hosted, refuse_unknown, respond_state};
-use super::status::note_cancelled;
+use super::status::apply_cancellation;
 use super::{UserApi, UserApiCall, WRITE_UNAVAILABLE, write_job};
 use crate::core::StoreResponse;
 use crate::core::common::context::NodeContext;
@@ -62,7 +62,7 @@
         self.waiting -= 1;
         match response {
             StoreResponse::Committed { revision } => {
-                note_cancelled(context, &id, *revision);
+                apply_cancellation(context, &id, *revision);
                 respond_state(context, request_id, 200, &id, JobState::Cancelled);
             }
             StoreResponse::Conflict(_) | StoreResponse::OutcomeUnknown => {
--- a/src/core/user_api/mod.rs
+++ b/src/core/user_api/mod.rs
@@ -66,7 +66,7 @@
         attempts: u32,
     },
     /// Writes the cancellation of a job that follows from the cancellation of a dependency.
-    Cascade {
+    WriteCascadingCancellation {
         /// Id of the job.
         id: String,
     },
@@ -108,7 +108,7 @@
             UserApiCall::Cancel { request_id, id, attempts } => {
                 self.on_cancelled(context, request_id, id, attempts, &response);
             }
-            UserApiCall::Cascade { id } => self.on_cascaded(context, &id, &response),
+            UserApiCall::WriteCascadingCancellation { id } => self.on_cascaded(context, &id, &response),
         }
     }
 
--- a/src/core/user_api/status.rs
+++ b/src/core/user_api/status.rs
@@ -50,7 +50,7 @@
         let waiters = self.cascades.entry(id.to_string()).or_default();
         waiters.push(request_id);
         if waiters.len() == 1 {
-            let call = UserApiCall::Cascade { id: id.to_string() };
+            let call = UserApiCall::WriteCascadingCancellation { id: id.to_string() };
             write_job(context, call, job_key(id), version, &JobRecord::cancelled(tasks));
         }
     }
@@ -60,7 +60,7 @@
         let waiters = self.cascades.remove(id).unwrap_or_default();
         self.waiting = self.waiting.saturating_sub(waiters.len());
         if let StoreResponse::Committed { revision } = response {
-            note_cancelled(context, id, *revision);
+            apply_cancellation(context, id, *revision);
         }
         for request_id in waiters {
             match response {
@@ -78,7 +78,7 @@
 
 /// Applies a cancellation that this node has written, and queues it for announcement to the other
 /// nodes.
-pub(super) fn note_cancelled(context: &mut NodeContext, id: &str, revision: u64) {
+pub(super) fn apply_cancellation(context: &mut NodeContext, id: &str, revision: u64) {
     context.apply_job_record(id, JobRecord::cancelled(0), revision, RecordSource::Single);
     context.cancellations_to_announce.push(id.to_string());
 }
--- a/src/io/outputs.rs
+++ b/src/io/outputs.rs
@@ -72,8 +72,8 @@
                 let client = self.cloud.clone();
                 self.call(client, request, move |response| Input::Cloud { call, response });
             }
-            Output::Send { to, frame } => self.peers.send(&to, frame),
-            Output::SendCell { cell, message } => self.cells.send(&cell, &message),
+            Output::SendFrame { to, frame } => self.peers.send(&to, frame),
+            Output::SendCellMessage { cell, message } => self.cells.send(&cell, &message),
             Output::Reconnect { to } => self.peers.reconnect(&to),
             Output::DirectCommands { addr, commands } => self.send_direct(&addr, &commands),
             Output::Answer { .. } => {}
--- a/tests/support/events.rs
+++ b/tests/support/events.rs
@@ -120,7 +120,7 @@
                 let call = Call { node, incarnation, number: call };
                 self.push(CLOUD_LATENCY_MS, Event::CloudRequest { call, request });
             }
-            Output::Send { to, frame } => self.send_frame(node, to[1..].parse().unwrap(), frame),
+            Output::SendFrame { to, frame } => self.send_frame(node, to[1..].parse().unwrap(), frame),
             Output::DirectCommands { addr, commands } => {
                 let found = self.workers.iter().position(|worker| worker.name == addr);
                 if let Some(worker) = found.filter(|_| !self.network.is_cut(node, WORKERS)) {
@@ -130,7 +130,9 @@
                     );
                 }
             }
-            Output::SendCell { cell, message } => self.network.cell_messages.push((cell, *message)),
+            Output::SendCellMessage { cell, message } => {
+                self.network.cell_messages.push((cell, *message))
+            }
             Output::Reconnect { to } => self.network.reconnects.push((node, to)),
         }
     }
--- a/tests/support/recorder.rs
+++ b/tests/support/recorder.rs
@@ -63,9 +63,9 @@
         }
         Output::Store { request, .. } => encode_store_request(request),
         Output::Cloud { request, .. } => encode_cloud_request(request),
-        Output::Send { to, frame } => ("frame", with_recipient(to, bitcode::encode(frame))),
+        Output::SendFrame { to, frame } => ("frame", with_recipient(to, bitcode::encode(frame))),
         Output::DirectCommands { addr, commands } => ("direct", with_recipient(addr, json(commands))),
-        Output::SendCell { cell, message } => {
+        Output::SendCellMessage { cell, message } => {
             ("cell", with_recipient(cell, bitcode::encode(message.as_ref())))
         }
         Output::Reconnect { to } => ("reconnect", to.clone().into_bytes()),
