--- a/src/core/leader/attempts.rs
+++ b/src/core/leader/attempts.rs
@@ -41,7 +41,7 @@
     pub shard: ShardIndex,
     /// The instance that the shard owner has reported or, before its first report, the one that
     /// this leader has chosen.
-    pub machine: Option<InstanceIndex>,
+    pub instance: Option<InstanceIndex>,
     /// Whether the shard owner may still choose another instance.
     pub may_bind: bool,
     /// Evidence that the attempt is on a machine, or will be.
@@ -189,7 +189,7 @@
             job,
             task,
             shard: location.shard,
-            machine: Some(location.instance),
+            instance: Some(location.instance),
             may_bind: true,
             evidence: Evidence::Admission,
             is_wanted: true,
--- a/src/core/leader/cells/capacity.rs
+++ b/src/core/leader/cells/capacity.rs
@@ -38,7 +38,7 @@
     /// Recounts the capacity. Jobs that wait in this cell take precedence: their demand is reserved
     /// first.
     pub(super) fn refresh_capacity(&mut self, leader: &Leader, context: &NodeContext) {
-        let instances = leader.fleet.machines.len();
+        let instances = leader.fleet.instances.len();
         let interval = context.load_adjusted_interval(REFRESH_INTERVAL_MS, instances);
         self.timers.capacity.set(context.clock.now() + interval);
         self.usage_by_team = leader.usage_by_team(context);
--- a/src/core/leader/demand_samples.rs
+++ b/src/core/leader/demand_samples.rs
@@ -16,7 +16,7 @@
     pub(super) fn bookings(&self, context: &NodeContext) -> BTreeMap<String, f64> {
         let mut booked: BTreeMap<InstanceKind, Resources> = BTreeMap::new();
         for attempt in self.attempts.values().filter(|attempt| attempt.occupies_capacity()) {
-            if let Some(instance) = attempt.machine.and_then(|index| self.fleet.machines.get(index)) {
+            if let Some(instance) = attempt.instance.and_then(|index| self.fleet.instances.get(index)) {
                 booked.entry(instance.kind()).or_default().add(&attempt.demand);
             }
         }
--- a/src/core/leader/fleet/cloud_calls/instance_list.rs
+++ b/src/core/leader/fleet/cloud_calls/instance_list.rs
@@ -70,7 +70,7 @@
             return;
         }
         let seen = self.cloud.list.complete(now);
-        for (index, instance) in self.machines.iter_mut() {
+        for (index, instance) in self.instances.iter_mut() {
             instance.on_list_complete(seen.contains(&index));
         }
     }
@@ -79,7 +79,7 @@
         let ListedMachine { name, machine_type, zone, spot, .. } = listed;
         let index = self.find_or_add(context, name, machine_type, zone, *spot);
         self.cloud.list.seen.insert(index);
-        if let Some(instance) = self.machines.get_mut(index) {
+        if let Some(instance) = self.instances.get_mut(index) {
             instance.on_listed(listed, context.clock.now());
         }
     }
--- a/src/core/leader/fleet/cloud_calls/scale_out.rs
+++ b/src/core/leader/fleet/cloud_calls/scale_out.rs
@@ -86,7 +86,7 @@
         let mut created = Vec::new();
         for name in names {
             let index = self.find_or_add(context, name, type_name, &offer.zone, offer.is_spot);
-            if let Some(instance) = self.machines.get_mut(index) {
+            if let Some(instance) = self.instances.get_mut(index) {
                 instance.on_created(request.requested_at);
                 created.push(index);
             }
@@ -99,7 +99,7 @@
     fn assign_to_overloaded(&mut self, number: u64, created: Vec<InstanceIndex>) {
         let requested = Some(OverloadScaleOut::Requested(number));
         let mut created = created.into_iter();
-        for instance in self.machines.values_mut() {
+        for instance in self.instances.values_mut() {
             if instance.overload_scale_out == requested {
                 instance.overload_scale_out = created.next().map(OverloadScaleOut::Created);
             }
--- a/src/core/leader/fleet/cloud_calls/termination.rs
+++ b/src/core/leader/fleet/cloud_calls/termination.rs
@@ -22,7 +22,7 @@
         self.cloud.termination.set(now + SCAN_INTERVAL_MS);
         let mut indices = Vec::new();
         let mut machines = Vec::new();
-        let instances = self.machines.iter_mut();
+        let instances = self.instances.iter_mut();
         let drained = instances.filter(|(_, instance)| instance.phase == InstancePhase::Drained);
         for (index, instance) in drained.take(MAX_TERMINATIONS) {
             instance.phase = InstancePhase::Terminating;
@@ -50,7 +50,7 @@
         for index in indices {
             if is_confirmed {
                 self.remove_instance(context, index);
-            } else if let Some(instance) = self.fleet.machines.get_mut(index) {
+            } else if let Some(instance) = self.fleet.instances.get_mut(index) {
                 instance.phase = InstancePhase::Drained;
             }
         }
@@ -59,7 +59,7 @@
     /// Removes a terminated instance from the fleet, and marks its shard so that the shard owner
     /// is informed.
     fn remove_instance(&mut self, context: &NodeContext, index: InstanceIndex) {
-        let Some(instance) = self.fleet.machines.remove(index) else { return };
+        let Some(instance) = self.fleet.instances.remove(index) else { return };
         self.fleet.terminated.insert(&instance.name);
         if let Some(assignment) = self.shards.get_mut(instance.shard.as_usize()) {
             let confirmed_at = context.clock.now();
--- a/src/core/leader/fleet/directives.rs
+++ b/src/core/leader/fleet/directives.rs
@@ -20,7 +20,7 @@
     /// Returns the directives for all shards, in the order of the shards.
     pub(crate) fn directives(&self, context: &NodeContext) -> Vec<MachineDirectives> {
         let mut directives = vec![MachineDirectives::default(); context.shards.len()];
-        for instance in self.machines.values() {
+        for instance in self.instances.values() {
             let Some(for_shard) = directives.get_mut(instance.shard.as_usize()) else { continue };
             if instance.cordoned {
                 for_shard.cordoned.push(instance.name.clone());
--- a/src/core/leader/fleet/health_checks.rs
+++ b/src/core/leader/fleet/health_checks.rs
@@ -124,8 +124,8 @@
     fn drain_unhealthy(&mut self, context: &NodeContext) {
         let check = HealthCheck::new(self, context);
         let busy: FxHashSet<InstanceIndex> =
-            self.attempts.values().filter_map(|attempt| attempt.machine).collect();
-        for (index, instance) in self.fleet.machines.iter_mut() {
+            self.attempts.values().filter_map(|attempt| attempt.instance).collect();
+        for (index, instance) in self.fleet.instances.iter_mut() {
             if instance.phase >= InstancePhase::Draining {
                 continue;
             }
@@ -144,7 +144,7 @@
     fn preempt_on_notice(&mut self) {
         let on_machines = self.attempts.values_mut();
         for attempt in on_machines.filter(|a| a.is_wanted && a.occupies_capacity() && !a.may_bind) {
-            let instance = attempt.machine.and_then(|machine| self.fleet.machines.get(machine));
+            let instance = attempt.instance.and_then(|index| self.fleet.instances.get(index));
             let has_notice = instance.is_some_and(|instance| instance.preemption_notice);
             let job = self.jobs.get(&attempt.job);
             if has_notice && job.is_some_and(|job| job.spec.checkpoint_s > 0.0) {
--- a/src/core/leader/fleet/mod.rs
+++ b/src/core/leader/fleet/mod.rs
@@ -84,7 +84,7 @@
 /// The leader's view of the fleet, and its outstanding requests to the cloud.
 pub(crate) struct Fleet {
     /// The known instances.
-    pub machines: NamedTable<InstanceIndex, Instance>,
+    pub instances: NamedTable<InstanceIndex, Instance>,
     /// Names of terminated instances, so that stale lists and heartbeats don't add them again.
     terminated: RecentNames,
     /// Jobs with tasks that found no capacity in the last scheduling cycle.
@@ -106,7 +106,7 @@
     /// Creates a fleet with no known instances.
     pub(crate) fn new(context: &NodeContext) -> Fleet {
         Fleet {
-            machines: NamedTable::default(),
+            instances: NamedTable::default(),
             terminated: RecentNames::new(context.terminated_names_kept()),
             waiting: Vec::new(),
             scale_out: ScaleOutRequests::default(),
@@ -156,7 +156,7 @@
         is_spot: bool,
     ) -> InstanceIndex {
         // The instance is nearly always known, because each reported state names every machine.
-        if let Some(index) = self.machines.index_of(name) {
+        if let Some(index) = self.instances.index_of(name) {
             return index;
         }
         if self.terminated.contains(name) {
@@ -168,7 +168,7 @@
         let offer = InstanceOffer { machine_type, zone: zone.into(), is_spot };
         let now = context.clock.now();
         let new = || Instance::new(name, offer, shard, now);
-        let (index, _) = self.machines.get_or_insert_with(name, new);
+        let (index, _) = self.instances.get_or_insert_with(name, new);
         index
     }
 
@@ -182,7 +182,7 @@
         zone: &str,
     ) -> InstanceIndex {
         let index = self.find_or_add(context, &reported.machine, type_name, zone, reported.spot);
-        if let Some(instance) = self.machines.get_mut(index) {
+        if let Some(instance) = self.instances.get_mut(index) {
             instance.on_reported(reported, context.clock.now());
         }
         index
@@ -191,7 +191,7 @@
     /// Handles the success of a task on a machine, which shows that earlier failures there were
     /// not due to the machine.
     pub(crate) fn on_task_succeeded(&mut self, machine: InstanceIndex) {
-        if let Some(instance) = self.machines.get_mut(machine) {
+        if let Some(instance) = self.instances.get_mut(machine) {
             instance.on_task_succeeded();
         }
     }
@@ -199,7 +199,7 @@
     /// Handles the failure of a task on a machine, unless its job itself is considered at fault:
     /// the machine is quarantined, for longer if tasks of several jobs have failed on it in a row.
     pub(crate) fn on_task_failed(&mut self, now: Ms, machine: InstanceIndex, job: JobIndex) {
-        if let Some(instance) = self.machines.get_mut(machine) {
+        if let Some(instance) = self.instances.get_mut(machine) {
             instance.on_task_failed(job, now);
         }
     }
@@ -223,7 +223,7 @@
     /// overloaded machine would take minutes to meet it.
     fn is_surge(&self, plan: &ScaleOutPlan) -> bool {
         let missing = plan.machines() as usize;
-        missing > MAX_NON_SURGE_INSTANCES && missing * SURGE_DIVISOR > self.machines.len()
+        missing > MAX_NON_SURGE_INSTANCES && missing * SURGE_DIVISOR > self.instances.len()
     }
 
     /// Returns the offer of a kind with the fewest instances, among those not refused now.
@@ -251,7 +251,7 @@
         if context.machine_types.is_empty() || !self.fleet.timers.poll.is_due(now) {
             return;
         }
-        let inspected = self.fleet.machines.len() + self.attempts.len();
+        let inspected = self.fleet.instances.len() + self.attempts.len();
         let interval = context.load_adjusted_interval(POLL_INTERVAL_MS, inspected / INSPECTED_PER_ITEM);
         self.fleet.timers.poll.set(now + interval);
         self.check_health(context);
--- a/src/core/leader/fleet/overload_scale_out.rs
+++ b/src/core/leader/fleet/overload_scale_out.rs
@@ -23,13 +23,13 @@
             // A cordoned instance is preferred to a new one.
             let spare = spares.get_mut(&offer.kind()).and_then(Vec::pop);
             if let Some(spare) = spare {
-                if let Some(instance) = self.fleet.machines.get_mut(spare) {
+                if let Some(instance) = self.fleet.instances.get_mut(spare) {
                     instance.cordoned = false;
                 }
                 continue;
             }
             let number = self.fleet.scale_out.add(offer, context.clock.now());
-            if let Some(instance) = self.fleet.machines.get_mut(index) {
+            if let Some(instance) = self.fleet.instances.get_mut(index) {
                 instance.overload_scale_out = Some(OverloadScaleOut::Requested(number));
             }
         }
@@ -41,13 +41,13 @@
             self.fleet.scale_out.iter().map(|request| request.number).collect();
         let booting: FxHashSet<InstanceIndex> = self
             .fleet
-            .machines
+            .instances
             .iter()
             .filter(|(_, instance)| instance.phase == InstancePhase::Booting)
             .map(|(index, _)| index)
             .collect();
         let mut overloaded = Vec::new();
-        for (index, instance) in self.fleet.machines.iter_mut() {
+        for (index, instance) in self.fleet.instances.iter_mut() {
             let is_under_way = match instance.overload_scale_out {
                 Some(OverloadScaleOut::Requested(number)) => requested.contains(&number),
                 Some(OverloadScaleOut::Created(machine)) => booting.contains(&machine),
@@ -66,7 +66,7 @@
     /// Returns the cordoned machines that are up, by kind, with the oldest last.
     fn cordoned_by_kind(&self) -> FxHashMap<InstanceKind, Vec<InstanceIndex>> {
         let mut by_kind: FxHashMap<InstanceKind, Vec<InstanceIndex>> = FxHashMap::default();
-        for (index, instance) in self.fleet.machines.iter() {
+        for (index, instance) in self.fleet.instances.iter() {
             if instance.cordoned && instance.phase == InstancePhase::Ready {
                 by_kind.entry(instance.kind()).or_default().push(index);
             }
--- a/src/core/leader/fleet/window_rule.rs
+++ b/src/core/leader/fleet/window_rule.rs
@@ -99,13 +99,13 @@
     /// Returns the instances that tasks run on, or may run on.
     fn busy_instances(&self) -> FxHashSet<InstanceIndex> {
         let running = self.attempts.values().filter(|attempt| attempt.occupies_capacity());
-        running.filter_map(|attempt| attempt.machine).collect()
+        running.filter_map(|attempt| attempt.instance).collect()
     }
 
     /// Uncordons at most `limit` instances of a kind. Returns how many.
     fn uncordon(&mut self, kind: InstanceKind, limit: u32) -> u32 {
         let mut restored = 0;
-        let instances = self.fleet.machines.values_mut();
+        let instances = self.fleet.instances.values_mut();
         let cordoned = instances.filter(|instance| instance.is_live(kind) && instance.cordoned);
         for instance in cordoned.take(limit as usize) {
             instance.cordoned = false;
@@ -124,7 +124,7 @@
         busy: &FxHashSet<InstanceIndex>,
     ) {
         let now = context.clock.now();
-        let idle = self.fleet.machines.iter_mut().filter(|(index, instance)| {
+        let idle = self.fleet.instances.iter_mut().filter(|(index, instance)| {
             instance.kind() == kind
                 && instance.phase == InstancePhase::Ready
                 && !instance.cordoned
@@ -146,7 +146,7 @@
             return;
         }
         let in_use =
-            self.fleet.machines.iter().filter(|(_, instance)| instance.accepts_new_tasks(context));
+            self.fleet.instances.iter().filter(|(_, instance)| instance.accepts_new_tasks(context));
         let mut peaks: Vec<(f64, InstanceIndex)> =
             in_use.map(|(index, instance)| (instance.projected_peak, index)).collect();
         if peaks.is_empty() || peaks.iter().any(|(peak, _)| *peak >= level) {
@@ -156,7 +156,7 @@
         let kept = (peaks.iter().map(|(peak, _)| peak).sum::<f64>() / level).ceil() as usize;
         let surplus = peaks.len().saturating_sub(kept);
         for (_, index) in peaks.into_iter().take(surplus) {
-            let Some(instance) = self.fleet.machines.get_mut(index) else { continue };
+            let Some(instance) = self.fleet.instances.get_mut(index) else { continue };
             if instance.is_past_minimum_charge(context.clock.now()) {
                 instance.cordoned = true;
                 mark_changed(&mut self.shards, instance.shard);
@@ -200,14 +200,14 @@
 
     /// Number of instances of a kind that are up, booting or requested, without cordoned ones.
     fn count_usable(&self, kind: InstanceKind) -> u32 {
-        let in_use = self.machines.values().filter(|m| m.is_live(kind) && !m.cordoned);
+        let in_use = self.instances.values().filter(|m| m.is_live(kind) && !m.cordoned);
         in_use.count() as u32 + self.scale_out.count_instances(kind)
     }
 
     /// Number of all instances by the offer that they belong to.
     fn count_by_offer(&self) -> FxHashMap<InstanceOffer, u32> {
         let mut counts: FxHashMap<InstanceOffer, u32> = FxHashMap::default();
-        for instance in self.machines.values() {
+        for instance in self.instances.values() {
             *counts.entry(instance.offer()).or_default() += 1;
         }
         counts
--- a/src/core/leader/free_capacity.rs
+++ b/src/core/leader/free_capacity.rs
@@ -226,7 +226,7 @@
     pub(super) fn free_capacity(&self, context: &NodeContext) -> FreeCapacity {
         let used = self.used_by_instance();
         let mut free_capacity = FreeCapacity::default();
-        for (index, instance) in self.fleet.machines.iter() {
+        for (index, instance) in self.fleet.instances.iter() {
             let Some(shard) = self.shards.get(instance.shard.as_usize()) else { continue };
             if !shard.has_reported || !instance.accepts_new_tasks(context) {
                 continue;
@@ -253,7 +253,7 @@
     pub(super) fn upcoming_capacity(&self, context: &NodeContext) -> FreeCapacity {
         let mut free_capacity = self.free_capacity(context);
         let is_booting = |phase: InstancePhase| phase == InstancePhase::Booting;
-        for (index, instance) in self.fleet.machines.iter().filter(|(_, m)| is_booting(m.phase)) {
+        for (index, instance) in self.fleet.instances.iter().filter(|(_, m)| is_booting(m.phase)) {
             let Some(machine_type) = context.machine_types.get(instance.machine_type) else { continue };
             let total = machine_type.capacity;
             let class = free_capacity.class_index(
@@ -280,7 +280,7 @@
     fn used_by_instance(&self) -> FxHashMap<InstanceIndex, Resources> {
         let mut used: FxHashMap<InstanceIndex, Resources> = FxHashMap::default();
         for attempt in self.attempts.values().filter(|attempt| attempt.occupies_capacity()) {
-            if let Some(instance) = attempt.machine {
+            if let Some(instance) = attempt.instance {
                 used.entry(instance).or_default().add(&attempt.demand);
             }
         }
--- a/src/core/leader/mod.rs
+++ b/src/core/leader/mod.rs
@@ -152,7 +152,7 @@
     next_attempt: AttemptId,
     /// All shards.
     shards: Vec<ShardAssignment>,
-    /// The machines, and all calls to the cloud.
+    /// The instances, and all calls to the cloud.
     pub fleet: Fleet,
     /// Learned ratio of run time to estimate, by class of jobs.
     ratios: BTreeMap<String, f64>,
@@ -266,7 +266,7 @@
         if !self.cycle_due {
             return IDLE_CYCLE_INTERVAL_MS;
         }
-        let items = self.attempts.len() + self.fleet.machines.len();
+        let items = self.attempts.len() + self.fleet.instances.len();
         context.load_adjusted_interval(CYCLE_INTERVAL_MS, items / CYCLE_ITEMS_PER_LOAD_ITEM)
     }
 
--- a/src/core/leader/preemption.rs
+++ b/src/core/leader/preemption.rs
@@ -122,7 +122,7 @@
             if attempt.is_wanted
                 && !attempt.may_bind
                 && attempt.occupies_capacity()
-                && let Some(instance) = attempt.machine
+                && let Some(instance) = attempt.instance
             {
                 stoppable.entry(instance).or_default().push(id);
             }
--- a/src/core/leader/rebuild.rs
+++ b/src/core/leader/rebuild.rs
@@ -209,7 +209,7 @@
         let zone = &context.shards[shard].zone;
         let is_spot = machine.has_any_flag(RecordedMachine::SPOT);
         let index = self.fleet.find_or_add(context, machine.name(), type_name, zone, is_spot);
-        if let Some(known) = self.fleet.machines.get_mut(index) {
+        if let Some(known) = self.fleet.instances.get_mut(index) {
             known.cordoned |= machine.has_any_flag(RecordedMachine::CORDONED);
             known.confirmed = true;
             known.recorded |= machine.has_attempts();
@@ -263,7 +263,7 @@
         job: context.job_index_or_lookup(id),
         task,
         shard,
-        machine: Some(machine),
+        instance: Some(machine),
         may_bind: false,
         evidence: Evidence::Record,
         is_wanted: true,
--- a/src/core/leader/reconciliation.rs
+++ b/src/core/leader/reconciliation.rs
@@ -113,7 +113,7 @@
             let type_name =
                 reported.types.get(reported_machine.machine_type as usize).map_or("", String::as_str);
             let machine = self.fleet.on_reported_machine(context, reported_machine, type_name, &zone);
-            let known = self.fleet.machines.get(machine);
+            let known = self.fleet.instances.get(machine);
             if known.is_some_and(|instance| instance.shard != shard) {
                 continue;
             }
@@ -207,7 +207,7 @@
             job,
             task: task.task,
             shard,
-            machine: Some(machine),
+            instance: Some(machine),
             may_bind: false,
             evidence: Evidence::Record,
             is_wanted,
@@ -226,10 +226,10 @@
     fn update_attempt(&mut self, reported: &ReportedAttempt) -> bool {
         let ReportedAttempt { machine, task, is_fenced, .. } = *reported;
         let Some(attempt) = self.attempts.get_mut(AttemptId::new(task.attempt)) else { return false };
-        if attempt.machine != Some(machine) || attempt.may_bind {
+        if attempt.instance != Some(machine) || attempt.may_bind {
             self.cycle_due = true;
         }
-        attempt.machine = Some(machine);
+        attempt.instance = Some(machine);
         attempt.may_bind = false;
         attempt.ran_ms = task.ran_ms;
         attempt.update_evidence(task.state, is_fenced);
--- a/src/core/leader/scale_out_planner.rs
+++ b/src/core/leader/scale_out_planner.rs
@@ -67,7 +67,7 @@
         if self.fleet.waiting.is_empty() {
             return false;
         }
-        let in_use = self.fleet.machines.values().filter(|m| m.phase < InstancePhase::Draining);
+        let in_use = self.fleet.instances.values().filter(|m| m.phase < InstancePhase::Draining);
         let offers: FxHashSet<OfferKey> = in_use
             .map(|m| OfferKey { machine_type: m.machine_type, zone: &m.zone, is_spot: m.is_spot })
             .collect();
@@ -84,7 +84,7 @@
     /// has.
     fn open_offers(&self, context: &NodeContext, free_capacity: &mut FreeCapacity) -> Vec<OpenOffer> {
         let mut existing: FxHashMap<OfferKey, u32> = FxHashMap::default();
-        for m in self.fleet.machines.values() {
+        for m in self.fleet.instances.values() {
             let key = OfferKey { machine_type: m.machine_type, zone: &m.zone, is_spot: m.is_spot };
             *existing.entry(key).or_default() += 1;
         }
@@ -189,7 +189,7 @@
         Planner {
             offers: leader.open_offers(context, &mut free_capacity),
             free_capacity,
-            remaining_machines: MIN_PLAN_LIMIT_MACHINES.max(leader.fleet.machines.len()),
+            remaining_machines: MIN_PLAN_LIMIT_MACHINES.max(leader.fleet.instances.len()),
         }
     }
 
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -123,7 +123,7 @@
         Statistics {
             jobs: self.context.jobs.len(),
             owned_machines: self.shard_owner.machines.len(),
-            fleet_machines: leader.map_or(0, |leader| leader.fleet.machines.len()),
+            fleet_machines: leader.map_or(0, |leader| leader.fleet.instances.len()),
             store_calls: self.context.store.pending_count(),
             plans: leader.map_or(0, |leader| leader.plans),
             quota_violations: leader.map_or(0, Leader::quota_violations),
