--- a/crates/fakes/src/cloud.rs
+++ b/crates/fakes/src/cloud.rs
@@ -48,12 +48,12 @@
         capacity: usize,
         settings: WorkerSettings,
     ) -> std::io::Result<(FakeCloud, SocketAddr)> {
-        FakeCloud::start_from(0, zones, capacity, settings).await
+        FakeCloud::start_with_number_offset(0, zones, capacity, settings).await
     }
 
     /// Like [`FakeCloud::start`], but numbers the machines from `number_offset + 1` on, so that
     /// several clouds can have distinct machine names.
-    pub async fn start_from(
+    pub async fn start_with_number_offset(
         number_offset: u32,
         zones: Vec<String>,
         capacity: usize,
@@ -70,7 +70,7 @@
     }
 
     /// Number of machines that are currently rented.
-    pub fn machines(&self) -> usize {
+    pub fn machine_count(&self) -> usize {
         self.fleet().instances.len()
     }
 
--- a/crates/fakes/src/history.rs
+++ b/crates/fakes/src/history.rs
@@ -45,7 +45,7 @@
     }
 
     /// Number of starts of each task.
-    pub fn starts(&self) -> BTreeMap<String, u32> {
+    pub fn starts_by_task(&self) -> BTreeMap<String, u32> {
         let mut starts = BTreeMap::new();
         for entry in self.entries().iter().filter(|entry| entry.event == AttemptEvent::Started) {
             *starts.entry(entry.task.clone()).or_default() += 1;
@@ -54,7 +54,7 @@
     }
 
     /// Names of the machines on which each task was started, in the order of the starts.
-    pub fn machines(&self) -> BTreeMap<String, Vec<String>> {
+    pub fn machines_by_task(&self) -> BTreeMap<String, Vec<String>> {
         let mut machines: BTreeMap<String, Vec<String>> = BTreeMap::new();
         for entry in self.entries().iter().filter(|entry| entry.event == AttemptEvent::Started) {
             machines.entry(entry.task.clone()).or_default().push(entry.machine.clone());
@@ -80,7 +80,7 @@
     }
 
     /// Number of attempts that workers received a command to run.
-    pub fn ordered(&self) -> usize {
+    pub fn commanded_attempts(&self) -> usize {
         let entries = self.entries();
         let received = entries.iter().filter(|entry| entry.event == AttemptEvent::CommandReceived);
         received.map(|entry| (&entry.task, entry.attempt)).collect::<HashSet<_>>().len()
@@ -93,7 +93,7 @@
 
     /// Tasks that were started while another attempt of the same task was running. A task is
     /// listed once for each such start.
-    pub fn ran_twice(&self) -> Vec<String> {
+    pub fn concurrent_starts(&self) -> Vec<String> {
         let mut running: HashMap<String, u32> = HashMap::new();
         let mut concurrent = Vec::new();
         for entry in self.entries().iter() {
--- a/crates/fakes/src/worker.rs
+++ b/crates/fakes/src/worker.rs
@@ -27,11 +27,11 @@
     /// Names and addresses of the controllers, in the order in which they are tried.
     pub nodes: Vec<(String, SocketAddr)>,
     /// Interval between two heartbeats.
-    pub heartbeat: Duration,
+    pub heartbeat_interval: Duration,
     /// Duration of the lease. A worker that gets no response for this long drops all its tasks.
-    pub lease: Duration,
+    pub lease_duration: Duration,
     /// Duration of each task.
-    pub run: Duration,
+    pub task_duration: Duration,
     /// History in which the events of all attempts are recorded.
     pub history: History,
 }
@@ -120,7 +120,7 @@
 
     /// Drops all tasks and begins a new incarnation if the lease has expired.
     fn check_lease(&mut self) {
-        if self.lease_start.elapsed() <= self.settings.lease {
+        if self.lease_start.elapsed() <= self.settings.lease_duration {
             return;
         }
         for (key, _) in self.attempts.drain() {
@@ -166,7 +166,7 @@
         match status {
             200 => {
                 self.accept_response(&body, sent_at);
-                self.settings.heartbeat
+                self.settings.heartbeat_interval
             }
             421 => self.follow_redirect(&body),
             _ => self.try_next_node(),
@@ -233,7 +233,7 @@
             AttemptState::Ended("in_use")
         } else {
             record(&self.settings.history, &key, &self.machine, AttemptEvent::Started);
-            AttemptState::Running(Instant::now() + self.settings.run)
+            AttemptState::Running(Instant::now() + self.settings.task_duration)
         };
         self.attempts.insert(key, state);
         self.changed = true;
--- a/tests/cells_loopback.rs
+++ b/tests/cells_loopback.rs
@@ -73,15 +73,15 @@
     let (state, state_address) = FakeStore::start().await.unwrap();
     let workers = WorkerSettings {
         nodes: (0..NODES).map(|node| (format!("n{node}"), public_addresses[node])).collect(),
-        heartbeat: Duration::from_secs(1),
-        lease: Duration::from_secs_f64(LEASE_S),
-        run: TASK_DURATION,
+        heartbeat_interval: Duration::from_secs(1),
+        lease_duration: Duration::from_secs_f64(LEASE_S),
+        task_duration: TASK_DURATION,
         history: history.clone(),
     };
     let zones = ZONES.map(String::from).to_vec();
     let first = cell as u32 * MACHINE_NUMBERS_PER_CELL;
     let (cloud, cloud_address) =
-        FakeCloud::start_from(first, zones, CAPACITY[cell], workers).await.unwrap();
+        FakeCloud::start_with_number_offset(first, zones, CAPACITY[cell], workers).await.unwrap();
     let mut cluster = Cluster::new(&ClusterSettings {
         name: ["cells-0", "cells-1", "cells-2"][cell],
         nodes,
@@ -137,13 +137,13 @@
         until_done(&client, &public_addresses, id).await;
     }
     // A cell that comes back after its jobs are done must not start their tasks again.
-    let before = history.starts().values().sum::<u32>();
+    let before = history.starts_by_task().values().sum::<u32>();
     cells[SILENT].cluster.start();
     tokio::time::sleep(Duration::from_secs(5)).await;
-    assert_eq!(history.starts().values().sum::<u32>(), before, "started after the job was done");
+    assert_eq!(history.starts_by_task().values().sum::<u32>(), before, "started after the job was done");
 
-    assert_eq!(history.ran_twice(), Vec::<String>::new(), "a task ran in two places at once");
-    let machines = history.machines();
+    assert_eq!(history.concurrent_starts(), Vec::<String>::new(), "a task ran in two places at once");
+    let machines = history.machines_by_task();
     assert_eq!(machines.len(), (JOBS * TASKS) as usize);
     for (task, machines) in &machines {
         let (silent, other): (Vec<&String>, Vec<&String>) =
--- a/tests/loopback.rs
+++ b/tests/loopback.rs
@@ -34,9 +34,9 @@
     let history = History::default();
     let settings = WorkerSettings {
         nodes: (0..NODES).map(|node| (format!("n{node}"), public_addresses[node])).collect(),
-        heartbeat: Duration::from_secs(1),
-        lease: Duration::from_secs(45),
-        run: TASK_DURATION,
+        heartbeat_interval: Duration::from_secs(1),
+        lease_duration: Duration::from_secs(45),
+        task_duration: TASK_DURATION,
         history: history.clone(),
     };
     let zones = ZONES.map(String::from).to_vec();
@@ -59,7 +59,7 @@
     // Kills the controllers while tasks run, and again before the new ones have reconciled all
     // state.
     for starts in [50, 200, 200] {
-        wait_until("tasks started", || history.starts().len() >= starts).await;
+        wait_until("tasks started", || history.starts_by_task().len() >= starts).await;
         cluster.kill();
         cluster.start();
         tokio::time::sleep(Duration::from_millis(1_500)).await;
@@ -67,15 +67,15 @@
     for id in 1..=JOBS {
         until_done(&client, &public_addresses, id).await;
     }
-    let starts = history.starts();
+    let starts = history.starts_by_task();
     assert_eq!(starts.len(), (JOBS * TASKS) as usize);
     assert!(starts.values().all(|starts| *starts == 1), "a task was started again");
-    assert_eq!(history.ran_twice(), Vec::<String>::new());
+    assert_eq!(history.concurrent_starts(), Vec::<String>::new());
     assert_eq!(
-        (history.ordered(), history.stopped()),
+        (history.commanded_attempts(), history.stopped()),
         ((JOBS * TASKS) as usize, 0),
         "unnecessary commands were sent"
     );
-    assert!(cloud.machines() <= MACHINES);
+    assert!(cloud.machine_count() <= MACHINES);
     assert_eq!(state.value("w/job/run-000001").unwrap()["s"], "d");
 }
