--- a/tests/cells/fixtures.rs
+++ b/tests/cells/fixtures.rs
@@ -24,7 +24,7 @@
 /// that cell.
 pub(crate) fn forward_job(cells: &mut Cells, tasks: u32, run_s: f64) -> usize {
     for world in &mut cells.worlds {
-        world.run_ms = (run_s * 1_000.0) as u64;
+        world.task_duration_ms = (run_s * 1_000.0) as u64;
     }
     cells.accept(ORIGIN, &job(1, "t1", tasks, run_s));
     let runs_elsewhere =
@@ -42,7 +42,7 @@
 /// Returns two cells with two jobs of the full origin, of 300 s each, that run in the host cell.
 pub(crate) fn two_forwarded_jobs(seed: u64) -> Cells {
     let mut cells = full_origin(2, seed);
-    cells.worlds[HOST].run_ms = 300_000;
+    cells.worlds[HOST].task_duration_ms = 300_000;
     cells.accept(ORIGIN, &job(1, "t1", 4, 300.0));
     cells.accept(ORIGIN, &job(2, "t1", 4, 300.0));
     let both_run =
--- a/tests/cells/late_messages.rs
+++ b/tests/cells/late_messages.rs
@@ -30,9 +30,9 @@
     for seed in 0..4 {
         let mut cells = full_origin(3, 140 + seed);
         cells.loss = 0.3;
-        cells.late_copies = 0.3;
+        cells.duplicate_fraction = 0.3;
         for world in &mut cells.worlds {
-            world.run_ms = 15_000;
+            world.task_duration_ms = 15_000;
         }
         for id in 1..=6 {
             cells.accept(ORIGIN, &job(id, "t1", 4, 15.0));
@@ -56,8 +56,8 @@
     for seed in 0..4 {
         let mut cells = full_origin(2, 150 + seed);
         for world in &mut cells.worlds {
-            world.run_ms = 15_000;
-            world.store_faults.loss = 0.3;
+            world.task_duration_ms = 15_000;
+            world.store_faults.lost_answer_share = 0.3;
         }
         for id in 1..=4 {
             cells.accept(ORIGIN, &job(id, "t1", 4, 15.0));
@@ -75,17 +75,20 @@
 #[test]
 fn a_job_whose_forwarding_write_is_in_flight_is_started_only_once() {
     let mut cells = full_origin(2, 170);
-    cells.worlds[ORIGIN].run_ms = 30_000;
+    cells.worlds[ORIGIN].task_duration_ms = 30_000;
     cells.accept(ORIGIN, &job(1, "t1", 4, 30.0));
     cells.hold_writes(ORIGIN, JOB);
     cells.run(20_000);
-    assert!(cells.worlds[ORIGIN].store_faults.picked > 0, "the forwarding write is not in flight");
+    assert!(
+        cells.worlds[ORIGIN].store_faults.targeted_count > 0,
+        "the forwarding write is not in flight"
+    );
 
     cells.worlds[ORIGIN].cloud.capacity = 12;
     cells.run(30_000);
-    cells.worlds[ORIGIN].carry_out_late();
+    cells.worlds[ORIGIN].apply_late_writes();
     cells.run(10_000);
-    cells.worlds[ORIGIN].store_faults.pick = None;
+    cells.worlds[ORIGIN].store_faults.targeted_writes = None;
     assert!(cells.until_done(ORIGIN, JOB, 240_000), "{:?}", cells.record(ORIGIN, JOB));
     assert_each_task_started_once(&cells, JOB, 4);
     cells.assert_rules_kept();
@@ -97,9 +100,12 @@
     cells.hold_writes(HOST, JOB);
     assert!(cells.cancel(ORIGIN, JOB));
     cells.run(CANCEL_MS + 1_000);
-    assert!(cells.worlds[HOST].store_faults.picked > 0, "the cancellation write is not in flight");
+    assert!(
+        cells.worlds[HOST].store_faults.targeted_count > 0,
+        "the cancellation write is not in flight"
+    );
     assert_eq!(cells.running(HOST, JOB), 0);
-    cells.worlds[HOST].store_faults.pick = None;
+    cells.worlds[HOST].store_faults.targeted_writes = None;
     assert!(
         cells.until(60_000, |cells| cells.running(HOST, "run-000002") == 4),
         "the other job did not keep running"
@@ -110,7 +116,7 @@
 #[test]
 fn an_acceptance_applied_after_the_recall_starts_nothing() {
     let mut cells = full_origin(2, 190);
-    cells.worlds[HOST].run_ms = 400_000;
+    cells.worlds[HOST].task_duration_ms = 400_000;
     cells.accept(ORIGIN, &job(2, "t1", 4, 400.0));
     assert!(cells.until(90_000, |cells| cells.running(HOST, "run-000002") == 4));
 
@@ -119,20 +125,20 @@
     assert!(cells.until(60_000, |cells| cells.forwarded_to(ORIGIN, JOB).is_some()));
 
     cells.worlds[ORIGIN].cloud.capacity = 12;
-    cells.worlds[ORIGIN].run_ms = 60_000;
+    cells.worlds[ORIGIN].task_duration_ms = 60_000;
     assert!(
         cells.until(240_000, |cells| cells.running(ORIGIN, JOB) == 4),
         "the origin did not recall and run the job"
     );
-    assert!(cells.worlds[HOST].store_faults.picked > 0);
+    assert!(cells.worlds[HOST].store_faults.targeted_count > 0);
 
     // The host now has a live record of the job and a valid lease, and can't write the
     // cancellation.
-    cells.worlds[HOST].carry_out_late();
+    cells.worlds[HOST].apply_late_writes();
     cells.run(20_000);
     assert_eq!(cells.starts(HOST, JOB), 0);
 
-    cells.worlds[HOST].store_faults.pick = None;
+    cells.worlds[HOST].store_faults.targeted_writes = None;
     assert!(cells.until_done(ORIGIN, JOB, 120_000));
     cells.assert_rules_kept();
 }
@@ -142,7 +148,7 @@
     let mut cells = full_origin(2, 200);
     cells.worlds[ORIGIN].cloud.boot_ms = 500..1_000;
     for world in &mut cells.worlds {
-        world.run_ms = 60_000;
+        world.task_duration_ms = 60_000;
     }
 
     // The team uses its whole quota in the host cell.
@@ -165,12 +171,12 @@
     // delivers the late duplicate.
     assert!(cells.cancel(HOST, "run-000008"));
 
-    cells.part(ORIGIN, HOST);
+    cells.partition(ORIGIN, HOST);
     let leader = cells.worlds[HOST].leader().unwrap();
     cells.worlds[HOST].crash(leader, 500);
     cells.run(4_500);
     for _ in 0..6 {
-        cells.repeat(HOST, offer.clone());
+        cells.deliver_duplicate(HOST, offer.clone());
         cells.run(1_000);
     }
     assert_eq!(
@@ -181,7 +187,7 @@
     assert_eq!(cells.starts(HOST, JOB), 0);
 
     // A new offer of the job may be accepted.
-    cells.join();
+    cells.heal();
     assert!(cells.until_done(ORIGIN, JOB, 240_000));
     assert_each_task_started_once(&cells, JOB, 4);
     cells.assert_rules_kept();
@@ -199,17 +205,17 @@
     let is_before_offer =
         |message: &&CellMessage| message.revision > epoch && message.forwarded.jobs.is_empty();
     let late_message = recorded.iter().rfind(is_before_offer).unwrap().clone();
-    cells.part(ORIGIN, HOST);
+    cells.partition(ORIGIN, HOST);
     let leader = cells.worlds[HOST].leader().unwrap();
     cells.worlds[HOST].crash(leader, 500);
     cells.run(5_000);
     for _ in 0..3 {
-        cells.repeat(HOST, late_message.clone());
+        cells.deliver_duplicate(HOST, late_message.clone());
         cells.run(1_000);
     }
     assert_eq!(cells.record(HOST, JOB).unwrap()["s"], "l");
 
-    cells.join();
+    cells.heal();
     assert!(cells.until_done(ORIGIN, JOB, 120_000));
     assert_each_task_started_once(&cells, JOB, 4);
     cells.assert_rules_kept();
--- a/tests/cells/losses.rs
+++ b/tests/cells/losses.rs
@@ -34,7 +34,7 @@
     // steps of a quarter of a second each.
     for step in 0..12 {
         let mut cells = full_origin(2, 60 + step);
-        cells.worlds[HOST].run_ms = 20_000;
+        cells.worlds[HOST].task_duration_ms = 20_000;
         cells.accept(ORIGIN, &job(1, "t1", 4, 20.0));
         cells.until(30_000, |cells| cells.forwarded_to(ORIGIN, JOB).is_some());
         cells.run(step * 100);
@@ -78,9 +78,9 @@
         let host = forward_job(&mut cells, 6, 300.0);
 
         // The host cell keeps its workers but is partitioned from the origin.
-        cells.part(ORIGIN, host);
+        cells.partition(ORIGIN, host);
         cells.worlds[ORIGIN].cloud.capacity = 12;
-        cells.worlds[ORIGIN].run_ms = 10_000;
+        cells.worlds[ORIGIN].task_duration_ms = 10_000;
         assert!(
             cells.until(60_000, |cells| cells.running(host, JOB) == 0),
             "the host still runs the job after its cell lease ended"
@@ -89,7 +89,7 @@
         assert_eq!(cells.starts(ORIGIN, JOB), 6, "seed {seed}");
 
         let starts_at_host = cells.starts(host, JOB);
-        cells.join();
+        cells.heal();
         cells.run(60_000);
         assert_eq!(
             cells.starts(host, JOB),
@@ -109,7 +109,7 @@
     cells.crash_cell(host, 150_000);
     let lost_at = cells.now();
     cells.worlds[ORIGIN].cloud.capacity = 12;
-    cells.worlds[ORIGIN].run_ms = 10_000;
+    cells.worlds[ORIGIN].task_duration_ms = 10_000;
     assert!(cells.until(120_000, |cells| cells.running(ORIGIN, JOB) > 0));
     println!(
         "from the loss of the host cell to the first start at the origin: {} ms",
@@ -126,7 +126,7 @@
 fn tasks_that_were_done_at_the_host_are_not_run_again() {
     let mut cells = full_origin(2, 100);
     for world in &mut cells.worlds {
-        world.run_ms = 15_000;
+        world.task_duration_ms = 15_000;
     }
 
     // The host has capacity for four of the twelve tasks at a time.
@@ -138,7 +138,7 @@
     assert!(cells.until(120_000, some_done));
 
     cells.run(1_500);
-    cells.part(ORIGIN, HOST);
+    cells.partition(ORIGIN, HOST);
     cells.worlds[ORIGIN].cloud.capacity = 12;
     assert!(cells.until_done(ORIGIN, JOB, 240_000));
 
@@ -156,19 +156,19 @@
         let mut cells = full_origin(2, 110 + seed);
         let host = forward_job(&mut cells, 6, 300.0);
         if seed % 2 == 1 {
-            cells.part(ORIGIN, host);
+            cells.partition(ORIGIN, host);
         }
         if seed / 2 == 1 {
             // The host's controllers can't write the cancellation either.
-            cells.worlds[host].store.down = true;
+            cells.worlds[host].store.is_down = true;
         }
         assert!(cells.cancel(ORIGIN, JOB));
 
         cells.run(CANCEL_MS + 1_000);
         assert_eq!(cells.running(host, JOB), 0, "seed {seed}");
 
-        cells.worlds[host].store.down = false;
-        cells.join();
+        cells.worlds[host].store.is_down = false;
+        cells.heal();
         cells.run(60_000);
         assert_eq!(cells.running(host, JOB), 0, "seed {seed}");
         assert_eq!(cells.status(ORIGIN, JOB), "withdrawn");
@@ -184,7 +184,7 @@
         cells.cut.insert(direction);
         cells.worlds[ORIGIN].cloud.capacity = 12;
         assert!(cells.until_done(ORIGIN, JOB, 240_000), "{direction:?}");
-        cells.join();
+        cells.heal();
         cells.run(60_000);
         assert_eq!(cells.status(ORIGIN, JOB), "done");
         cells.assert_rules_kept();
@@ -196,11 +196,11 @@
     let mut cells = full_origin(2, 210);
     forward_job(&mut cells, 4, 10.0);
     cells.run(2_000);
-    cells.part(ORIGIN, HOST);
+    cells.partition(ORIGIN, HOST);
     assert!(cells.until_done(HOST, JOB, 30_000));
     cells.crash_cell(HOST, 500);
     cells.run(4_000);
-    cells.join();
+    cells.heal();
     cells.worlds[ORIGIN].cloud.capacity = 12;
     assert!(cells.until_done(ORIGIN, JOB, 120_000));
     assert_eq!(cells.starts(ORIGIN, JOB), 0);
--- a/tests/cells/moves.rs
+++ b/tests/cells/moves.rs
@@ -27,7 +27,7 @@
 fn burst_completion_s(cell_count: usize) -> u64 {
     let mut cells = Cells::new(cell_count, 240);
     for world in &mut cells.worlds {
-        world.run_ms = 20_000;
+        world.task_duration_ms = 20_000;
     }
     cells.worlds[ORIGIN].cloud.capacity = 2;
     cells.run(8_000);
@@ -83,7 +83,7 @@
 fn jobs_that_a_cell_can_never_run_do_not_block_other_jobs() {
     let mut cells = full_origin(2, 230);
     for world in &mut cells.worlds {
-        world.run_ms = 5_000;
+        world.task_duration_ms = 5_000;
     }
 
     // The other cell doesn't know team t0, which the free capacity that it reports doesn't show.
@@ -112,7 +112,7 @@
 fn a_refused_job_is_accepted_by_the_same_cell_once_it_has_capacity() {
     let mut cells = full_origin(2, 290);
     for world in &mut cells.worlds {
-        world.run_ms = 20_000;
+        world.task_duration_ms = 20_000;
     }
 
     // The team uses its whole quota in the host cell for a few tens of seconds.
@@ -150,7 +150,7 @@
     cells.worlds[ORIGIN].operator = Operator::default();
     cells.crash_cell(ORIGIN, 1_000);
     cells.worlds[ORIGIN].cloud.capacity = 12;
-    cells.worlds[ORIGIN].run_ms = 10_000;
+    cells.worlds[ORIGIN].task_duration_ms = 10_000;
     assert!(cells.until_done(ORIGIN, JOB, 200_000));
     assert_eq!(cells.starts(ORIGIN, JOB), 4);
     assert_eq!(
@@ -169,7 +169,7 @@
     let mut cells = Cells::new(2, 220);
     cells.worlds[ORIGIN].cloud.capacity = 1;
     cells.worlds[ORIGIN].cloud.boot_ms = 500..1_000;
-    cells.worlds[ORIGIN].run_ms = 60_000;
+    cells.worlds[ORIGIN].task_duration_ms = 60_000;
     cells.accept(ORIGIN, &job(1, "t1", 8, 60.0));
     assert!(cells.until(60_000, |cells| cells.running(ORIGIN, JOB) > 0));
     assert!(cells.until_done(ORIGIN, JOB, 300_000));
--- a/tests/combined_faults/answers.rs
+++ b/tests/combined_faults/answers.rs
@@ -10,7 +10,7 @@
 #[test]
 fn no_node_answers_something_older_within_milliseconds() {
     let mut world = World::new(3, 530);
-    world.run_ms = 5_000;
+    world.task_duration_ms = 5_000;
     world.run(5_000);
 
     for node in 0..3 {
@@ -122,12 +122,12 @@
     }
     world.run(3_000);
     let old = world.leader().unwrap();
-    world.store.refuses.insert(old);
+    world.store.refused_nodes.insert(old);
     world.run(2_000);
     assert_eq!(world.cancel((old + 1) % 3, &id(1)), 0, "answered within half a second");
 
     world.run(1_000);
-    world.store.down = true;
+    world.store.is_down = true;
     for round in 0..10 {
         for node in 0..3 {
             let request = world.ask(node, HttpRequest::Status(id(2)));
@@ -141,8 +141,8 @@
     }
     assert!(world.now > CANCEL_MS);
 
-    world.store.down = false;
-    world.store.refuses.clear();
+    world.store.is_down = false;
+    world.store.refused_nodes.clear();
     world.store_faults.slow.clear();
     world.run(5_000);
     for node in 0..3 {
@@ -158,7 +158,7 @@
 #[test]
 fn odd_requests_are_answered_and_leave_no_record() {
     let mut world = World::new(3, 603);
-    world.run_ms = 4_000;
+    world.task_duration_ms = 4_000;
     world.run(5_000);
 
     let complete = job(1, "t0", 1, 4.0);
--- a/tests/combined_faults/cancellations.rs
+++ b/tests/combined_faults/cancellations.rs
@@ -9,7 +9,7 @@
 #[test]
 fn a_cancellation_stops_at_once_what_a_lagging_shard_owner_started() {
     let mut world = World::new(3, 510);
-    world.run_ms = 600_000;
+    world.task_duration_ms = 600_000;
     world.run(5_000);
 
     world.accept(0, &job(1, "t1", 12, 600.0));
@@ -24,7 +24,7 @@
     world.run(600);
     let live = |world: &World| {
         let tasks = world.workers.iter().flat_map(|worker| &worker.tasks);
-        tasks.filter(|task| task.why.is_none()).count()
+        tasks.filter(|task| task.end_reason.is_none()).count()
     };
     // The watch shows the cancellation only seconds later, and heartbeats are rare.
     assert_eq!(live(&world), 0, "direct commands did not stop all tasks");
@@ -41,7 +41,7 @@
         })
     };
     for worker in &mut world.workers {
-        worker.mute = true;
+        worker.heartbeats_lost = true;
     }
     while !on_record(&world) {
         world.run(5);
@@ -49,7 +49,7 @@
     assert_eq!(world.cancel(0, &id(2)), 200);
 
     for worker in &mut world.workers {
-        worker.mute = false;
+        worker.heartbeats_lost = false;
     }
     world.run(30_000);
     assert_eq!(world.oracle.late_starts, [], "started after the confirmation");
@@ -61,11 +61,12 @@
 fn a_machine_without_heartbeats_is_stopped_by_direct_command() {
     let mut world = busy_world(511, 4);
     let machine = machine_of(&world, 1);
-    world.workers[machine].mute = true;
+    world.workers[machine].heartbeats_lost = true;
     world.run(3_000);
     assert_eq!(world.cancel(0, &id(1)), 200);
     world.run(200);
-    let ended = world.workers[machine].tasks.iter().all(|task| task.why.as_deref() == Some("halted"));
+    let ended =
+        world.workers[machine].tasks.iter().all(|task| task.end_reason.as_deref() == Some("halted"));
     assert!(ended, "the direct command did not stop its tasks");
     world.run(60_000);
     world.assert_rules_kept();
@@ -89,7 +90,7 @@
             .workers
             .iter()
             .flat_map(|worker| &worker.tasks)
-            .filter(|task| task.why.is_none())
+            .filter(|task| task.end_reason.is_none())
             .count();
         assert_eq!(live, 0, "{hang_ms}");
 
@@ -129,7 +130,7 @@
     let mut seen = [0, 0];
     for ticks in 0..24 {
         let mut world = World::new(3, 521);
-        world.run_ms = 4_000;
+        world.task_duration_ms = 4_000;
         world.run(5_000);
 
         let body = job(1, "t0", 1, 4.0);
@@ -137,7 +138,11 @@
 
         // Run until the task has ended or its end is recorded, then for the given number of ticks.
         while state_of(&world, 1) == "l"
-            && world.workers.iter().flat_map(|worker| &worker.tasks).all(|task| task.why.is_none())
+            && world
+                .workers
+                .iter()
+                .flat_map(|worker| &worker.tasks)
+                .all(|task| task.end_reason.is_none())
         {
             world.run(25);
         }
--- a/tests/combined_faults/control_lease.rs
+++ b/tests/combined_faults/control_lease.rs
@@ -26,7 +26,7 @@
             world.workers[machine].hung_until = world.now + 1_500 + hang_ms;
             world.network.lose_replies.insert((machine + 1) % world.workers.len());
         }
-        world.store.refuses.insert(old);
+        world.store.refused_nodes.insert(old);
         world.run(400);
         for number in [1, 2, 3] {
             if state_of(&world, number) != "l" {
@@ -35,11 +35,11 @@
             assert_eq!(world.cancel(other, &id(number)), 200);
         }
         world.run(refused_ms);
-        world.store.down = true;
+        world.store.is_down = true;
         run_without_cloud(&mut world, CANCEL_MS + 12_000);
         world.network.lose_replies.clear();
-        world.store.refuses.clear();
-        world.store.down = false;
+        world.store.refused_nodes.clear();
+        world.store.is_down = false;
         world.network.one_way.clear();
         world.run(12_000);
         if round == 0 {
@@ -82,7 +82,7 @@
     let node = world.leader().unwrap();
     let renewed_at = |world: &World| world.core(node).unwrap().context.control_lease.renewed_at();
     world.run(1_000);
-    world.store.refuses.insert(node);
+    world.store.refused_nodes.insert(node);
     world.run(100);
     let before = renewed_at(&world);
 
@@ -91,7 +91,7 @@
     world.run(9_000);
     assert_eq!(renewed_at(&world), before, "renewed although every call was refused");
 
-    world.store.refuses.clear();
+    world.store.refused_nodes.clear();
     world.run(3_000);
     assert!(renewed_at(&world) > before);
 
@@ -124,7 +124,7 @@
     for node in (0..3).filter(|node| *node != old) {
         world.network.cuts.insert((old, node));
     }
-    world.store.refuses.insert(old);
+    world.store.refused_nodes.insert(old);
     world.run(8_000);
     let new = world.leader().unwrap();
     assert_ne!(new, old);
@@ -140,7 +140,7 @@
     run_without_cloud(&mut world, CANCEL_MS + 2_000);
     world.assert_rules_kept();
     world.network.cuts.clear();
-    world.store.refuses.clear();
+    world.store.refused_nodes.clear();
     world.run(20_000);
     for number in [1, 2] {
         assert_eq!(world.status(old, &id(number)), "withdrawn");
--- a/tests/combined_faults/fixtures.rs
+++ b/tests/combined_faults/fixtures.rs
@@ -18,7 +18,7 @@
 /// Returns a world with one job of long tasks in each zone, with all tasks running.
 pub(crate) fn busy_world(seed: u64, tasks: u32) -> World {
     let mut world = World::new(3, seed);
-    world.run_ms = 600_000;
+    world.task_duration_ms = 600_000;
     world.run(5_000);
     for (number, zone) in [(1, "east"), (2, "west")] {
         let mut submission = job(number, "t1", tasks, 600.0);
--- a/tests/combined_faults/late_heartbeats.rs
+++ b/tests/combined_faults/late_heartbeats.rs
@@ -10,7 +10,7 @@
 #[test]
 fn old_heartbeats_of_two_incarnations_prove_nothing_to_a_new_shard_owner() {
     let mut world = World::new(3, 570);
-    world.run_ms = 600_000;
+    world.task_duration_ms = 600_000;
     world.cloud.capacity = 0;
     for number in 1..5 {
         world.add_worker(number, if number % 2 == 0 { "east" } else { "west" }, false, 500);
@@ -19,11 +19,11 @@
 
     let first: Vec<_> = world.workers.iter().map(Worker::heartbeat).collect();
     for worker in &mut world.workers {
-        worker.cut = true;
+        worker.unreachable = true;
     }
     run_without_cloud(&mut world, LEASE_MS + 3_000);
     for worker in &mut world.workers {
-        worker.cut = false;
+        worker.unreachable = false;
     }
     world.run(9_000);
     let second: Vec<_> = world.workers.iter().map(Worker::heartbeat).collect();
@@ -41,7 +41,7 @@
     let shard_owner = world.shard_owner_of(machine);
 
     // The machine's own heartbeats don't arrive for a while.
-    world.workers[machine].cut = true;
+    world.workers[machine].unreachable = true;
     world.crash(shard_owner, 30_000);
     world.run(6_000);
     let new_owner = world.shard_owner_of(machine);
@@ -51,7 +51,7 @@
         world.late_heartbeat(new_owner, heartbeat.clone());
     }
     world.run(3_000);
-    world.workers[machine].cut = false;
+    world.workers[machine].unreachable = false;
     world.run(40_000);
     assert!(
         world.each_task_started_once(),
@@ -72,9 +72,9 @@
 
         // Tasks that ran at that time end, on one machine because its lease expires.
         let machine = machine_of(&world, 2);
-        world.workers[machine].cut = true;
+        world.workers[machine].unreachable = true;
         world.run(LEASE_MS + 4_000);
-        world.workers[machine].cut = false;
+        world.workers[machine].unreachable = false;
         world.run(30_000);
         let starts = world.oracle.starts.clone();
         let leader = world.leader().unwrap();
--- a/tests/combined_faults/load.rs
+++ b/tests/combined_faults/load.rs
@@ -10,7 +10,7 @@
 #[test]
 fn one_task_jobs_four_a_second_with_a_quarter_cancelled() {
     let mut world = World::large(3, 600);
-    world.run_ms = 3_000;
+    world.task_duration_ms = 3_000;
     for number in 1..9 {
         world.add_worker(number, if number % 2 == 0 { "east" } else { "west" }, false, 1_000);
     }
@@ -53,7 +53,7 @@
 fn more_work_than_capacity_over_slow_links() {
     let mut world = World::new(3, 604);
     world.cloud.capacity = 4;
-    world.run_ms = 8_000;
+    world.task_duration_ms = 8_000;
     world.run(5_000);
 
     world.network.frame_ms = 350;
@@ -98,7 +98,7 @@
 fn place_over_slow_frames(seed: u64, lose: Option<usize>) -> FirstPlacement {
     let mut world = World::new(3, seed);
     world.cloud.capacity = 0;
-    world.run_ms = 60_000;
+    world.task_duration_ms = 60_000;
     for number in 1..9 {
         world.add_worker(number, if number % 2 == 0 { "east" } else { "west" }, false, 500);
     }
@@ -158,7 +158,7 @@
         // in its answers.
         world.run(600);
         for worker in &mut world.workers {
-            worker.mute = !worker.tasks.is_empty();
+            worker.heartbeats_lost = !worker.tasks.is_empty();
         }
         world.run(12_000);
         world.assert_rules_kept();
--- a/tests/combined_faults/machines.rs
+++ b/tests/combined_faults/machines.rs
@@ -11,7 +11,7 @@
 fn a_team_at_its_quota_whose_machines_cannot_be_asked_gets_nothing_more() {
     for (seed, fault) in [(580, "cut"), (581, "hang"), (582, "mute")] {
         let mut world = World::new(3, seed);
-        world.run_ms = 600_000;
+        world.task_duration_ms = 600_000;
         world.run(5_000);
 
         world.accept(0, &job(1, "t0", 8, 600.0));
@@ -22,8 +22,8 @@
         for machine in 0..world.workers.len() {
             if world.workers[machine].tasks.iter().any(|task| task.job == id(1)) {
                 match fault {
-                    "cut" => world.workers[machine].cut = true,
-                    "mute" => world.workers[machine].mute = true,
+                    "cut" => world.workers[machine].unreachable = true,
+                    "mute" => world.workers[machine].heartbeats_lost = true,
                     _ => world.workers[machine].hung_until = world.now + 16_000,
                 }
             }
@@ -40,7 +40,7 @@
         world.crash(next, 2_000);
         world.run(12_000);
         for worker in &mut world.workers {
-            (worker.cut, worker.mute) = (false, false);
+            (worker.unreachable, worker.heartbeats_lost) = (false, false);
         }
         world.cloud.is_down = false;
         world.run(90_000);
@@ -56,7 +56,7 @@
     for (seed, wait_ms) in [(590, 1_500), (591, 3_000), (592, 5_000)] {
         let mut world = World::new(3, seed);
         world.cloud.boot_ms = 300..2_000;
-        world.run_ms = 30_000;
+        world.task_duration_ms = 30_000;
         world.run(5_000);
 
         for node in 0..3 {
@@ -79,7 +79,7 @@
 #[test]
 fn jobs_bound_to_a_zone_lose_machines() {
     let mut world = World::new(3, 593);
-    world.run_ms = 25_000;
+    world.task_duration_ms = 25_000;
     world.run(5_000);
 
     let mut in_east = job(1, "t1", 8, 25.0);
@@ -113,12 +113,12 @@
 fn a_leader_ends_while_machines_are_out_of_reach() {
     let mut world = busy_world(594, 8);
     let (cut_off, unanswered) = (machine_of(&world, 1), machine_of(&world, 2));
-    world.workers[cut_off].cut = true;
+    world.workers[cut_off].unreachable = true;
     world.network.lose_replies.insert(unanswered);
     let leader = world.leader().unwrap();
     world.crash(leader, 4_000);
     world.run(11_000);
-    world.workers[cut_off].cut = false;
+    world.workers[cut_off].unreachable = false;
     world.network.lose_replies.clear();
     world.run(60_000);
     assert!(
@@ -137,7 +137,7 @@
 fn a_machine_heard_again_after_a_long_silence_gets_work_with_its_next_heartbeat() {
     let mut world = World::new(3, 620);
     world.cloud.capacity = 0;
-    world.run_ms = 20_000;
+    world.task_duration_ms = 20_000;
     world.add_worker(1, "east", false, 500);
     world.run(9_000);
 
@@ -145,12 +145,12 @@
     world.run(9_000);
     assert_eq!(tasks_on_machines(&world, 1), 1);
 
-    world.workers[0].cut = true;
+    world.workers[0].unreachable = true;
     world.run(LEASE_MS / 2 + 4_000);
 
     // Meanwhile another job arrives, and the machine has free capacity for it.
     world.accept(0, &job(2, "t1", 2, 20.0));
-    world.workers[0].cut = false;
+    world.workers[0].unreachable = false;
     let sequence = world.workers[0].sequence;
     while world.workers[0].sequence == sequence {
         world.run(25);
--- a/tests/combined_faults/processes.rs
+++ b/tests/combined_faults/processes.rs
@@ -11,7 +11,7 @@
 #[test]
 fn a_process_owns_no_shard_before_it_knows_every_job() {
     let mut world = World::new(3, 560);
-    world.run_ms = 600_000;
+    world.task_duration_ms = 600_000;
     world.run(5_000);
 
     for number in 1..80 {
@@ -34,9 +34,9 @@
         // The node restarts at once, and its first read takes place after the leader has received
         // its peer heartbeat.
         world.crash(node, 100);
-        world.store.refuses.insert(node);
+        world.store.refused_nodes.insert(node);
         world.run(1_000);
-        world.store.refuses.remove(&node);
+        world.store.refused_nodes.remove(&node);
         world.run(9_000);
     }
     world.run(40_000);
@@ -73,7 +73,7 @@
 #[test]
 fn ten_leaders_in_two_minutes() {
     let mut world = World::new(3, 564);
-    world.run_ms = 15_000;
+    world.task_duration_ms = 15_000;
     world.run(5_000);
 
     for round in 0..10u32 {
@@ -81,13 +81,13 @@
         let node = round as usize % 3;
         world.submit(node, &body);
         world.run(4_000);
-        world.store.down = round == 4 || round == 7;
+        world.store.is_down = round == 4 || round == 7;
         world.run(500);
         if let Some(leader) = world.leader() {
             world.crash(leader, if round % 2 == 0 { 300 } else { 4_000 });
         }
         world.run(2_000);
-        world.store.down = false;
+        world.store.is_down = false;
         if round % 4 == 3 {
             world.cancel(node, &id(round));
         }
@@ -111,7 +111,7 @@
         world.crash(node, LEASE_MS + 9_000);
     }
     world.run(LEASE_MS + 9_000);
-    world.run_ms = 10_000;
+    world.task_duration_ms = 10_000;
     for number in [1, 2] {
         assert!(world.until_done(&id(number), 240_000));
     }
@@ -124,7 +124,7 @@
 fn tasks_that_end_far_apart_across_a_change_of_leader() {
     for (seed, tasks) in [(566, 2), (567, 3)] {
         let mut world = World::new(3, seed);
-        world.run_ms = 10_000;
+        world.task_duration_ms = 10_000;
         world.run(5_000);
 
         world.accept(0, &job(1, "t0", tasks, 10.0));
@@ -135,10 +135,10 @@
         // The first task of a machine ends soon; its other tasks and those that start later end much
         // later.
         world.run(600);
-        world.run_ms = 90_000;
+        world.task_duration_ms = 90_000;
         for worker in &mut world.workers {
             for task in worker.tasks.iter_mut().skip(1) {
-                task.at += 80_000;
+                task.next_transition_at += 80_000;
             }
         }
         for _ in 0..5 {
--- a/tests/combined_faults/quotas.rs
+++ b/tests/combined_faults/quotas.rs
@@ -46,17 +46,17 @@
     /// Fills the team's quota with tasks in the zone of the other node that end in a few seconds.
     fn fill_team(&mut self) {
         let submission = Takeover::whole_team_job(1, self.new_leader);
-        self.world.run_ms = 6_000;
+        self.world.task_duration_ms = 6_000;
         self.world.accept(self.new_leader, &submission);
         self.world.run(1_500);
         assert_eq!(starts_of(&self.world, 1), TEAM_TASKS as usize);
-        self.world.run_ms = 60_000;
+        self.world.task_duration_ms = 60_000;
     }
 
     /// Makes the store refuse the leader, and waits until the other node leads.
     fn refuse_leader(&mut self) {
         let world = &mut self.world;
-        world.store.refuses.insert(self.old_leader);
+        world.store.refused_nodes.insert(self.old_leader);
         let end = world.now + LONGEST_TAKEOVER_MS;
         while world.leader() != Some(self.new_leader) && world.now < end {
             world.run(25);
@@ -67,7 +67,7 @@
     /// Keeps refusing the old leader for the given time, then ends the fault.
     fn serve_again_after(&mut self, beyond_ms: u64) {
         self.world.run(beyond_ms);
-        self.world.store.refuses.clear();
+        self.world.store.refused_nodes.clear();
         self.world.run(10_000);
     }
 }
@@ -127,13 +127,13 @@
     let mut takeover = Takeover::new(652);
     let (leader, owner) = (takeover.old_leader, takeover.new_leader);
     let term = takeover.world.store.records["w/leader"].version;
-    takeover.world.store.refuses.insert(owner);
+    takeover.world.store.refused_nodes.insert(owner);
     takeover.world.accept(leader, &Takeover::whole_team_job(1, owner));
     takeover.world.crash(leader, 200);
     takeover.world.run(600);
     let next_term = takeover.world.store.records["w/leader"].version;
     assert!(next_term > term, "the term has not changed");
-    takeover.world.store.refuses.clear();
+    takeover.world.store.refused_nodes.clear();
     takeover.world.run(10_000);
 
     assert_eq!(starts_of(&takeover.world, 1), TEAM_TASKS as usize);
--- a/tests/combined_faults/store_writes.rs
+++ b/tests/combined_faults/store_writes.rs
@@ -1,13 +1,13 @@
 //! Writes whose answer is lost, or that the store carries out late.
 
 use crate::fixtures::{id, state_of, tasks_on_machines};
-use crate::support::{Fate, World, job};
+use crate::support::{World, WriteFault, job};
 use serde_json::json;
 use woadlever::core::{HttpRequest, StoreResponse};
 
 /// Loses the answers to each kind of write. The writes are carried out either at once, so that other
 /// nodes read the new values, or late, after newer writes of the same node.
-fn check_writes_without_answers(fate: Fate) {
+fn check_writes_without_answers(fault: WriteFault) {
     for (index, prefix) in
         ["w/job/", "w/block/", "place/", "progress/", "fleet", "w/leader", "w/catalog"]
             .into_iter()
@@ -15,11 +15,11 @@
     {
         for node in 0..3 {
             let mut world = World::new(3, 540 + index as u64);
-            world.run_ms = 12_000;
+            world.task_duration_ms = 12_000;
             if prefix != "w/catalog" {
                 world.run(5_000);
             }
-            world.store_faults.pick = Some((node, prefix.into(), fate));
+            world.store_faults.targeted_writes = Some((node, prefix.into(), fault));
             if prefix == "w/leader" {
                 let old = world.leader().unwrap();
                 world.crash(old, 400);
@@ -39,9 +39,9 @@
             world.users.asked_to_cancel.insert(id(4));
             world.ask(node, HttpRequest::Cancel(id(4)));
             world.run(6_000);
-            world.store_faults.pick = None;
+            world.store_faults.targeted_writes = None;
             world.run(4_000);
-            world.carry_out_late();
+            world.apply_late_writes();
             world.run(3_000);
             for number in 1..5 {
                 world.accept(number as usize % 3, &job(number, "t0", 3, 12.0));
@@ -65,12 +65,12 @@
 
 #[test]
 fn writes_carried_out_at_once_without_an_answer_do_no_harm() {
-    check_writes_without_answers(Fate::AnswerLost);
+    check_writes_without_answers(WriteFault::AnswerLost);
 }
 
 #[test]
 fn writes_carried_out_late_after_newer_ones_do_no_harm() {
-    check_writes_without_answers(Fate::Late);
+    check_writes_without_answers(WriteFault::Held);
 }
 
 /// A late write of a progress record must not clear bits of tasks that have been cleared from their
@@ -78,23 +78,23 @@
 #[test]
 fn a_late_record_of_progress_takes_nothing_back() {
     let mut world = World::new(3, 548);
-    world.run_ms = 6_000;
+    world.task_duration_ms = 6_000;
     world.run(5_000);
 
     let leader = world.leader().unwrap();
 
     // The quota lets the tasks run in several waves, so that the job outlasts the first two.
     world.accept(leader, &job(1, "t0", 30, 6.0));
-    world.store_faults.pick = Some((leader, "progress/".into(), Fate::Late));
-    while world.store_faults.picked == 0 {
+    world.store_faults.targeted_writes = Some((leader, "progress/".into(), WriteFault::Held));
+    while world.store_faults.targeted_count == 0 {
         world.run(25);
     }
-    world.store_faults.pick = None;
+    world.store_faults.targeted_writes = None;
     world.run(12_000);
     let key = format!("progress/{}/0", id(1));
     let before = world.store.records[&key].clone();
     assert!(
-        world.carry_out_late().iter().all(|response| matches!(response, StoreResponse::Conflict(_)))
+        world.apply_late_writes().iter().all(|response| matches!(response, StoreResponse::Conflict(_)))
     );
     assert_eq!(
         world.store.records[&key].value, before.value,
@@ -114,7 +114,7 @@
 fn a_failed_placement_is_not_revived_by_a_write_with_a_lost_answer() {
     // n1 alone owns the shards in the west, and another node leads.
     let mut world = World::new(3, 550);
-    world.run_ms = 60_000;
+    world.task_duration_ms = 60_000;
     world.cloud.capacity = 0;
     world.run(3_000);
 
@@ -151,12 +151,12 @@
     world.run(2_000);
     world.network.one_way.extend([(1, 0), (1, 2), (0, 1), (2, 1)]);
     world.store_faults.timeout_ms = 100;
-    world.store_faults.pick = Some((1, "place/".into(), Fate::AnswerLost));
+    world.store_faults.targeted_writes = Some((1, "place/".into(), WriteFault::AnswerLost));
     world.run(12_000);
     assert_eq!(world.leader(), Some(free));
     assert!(tasks_on_machines(&world, 2) > 0, "the new leader did not start it elsewhere");
 
-    world.store_faults.pick = None;
+    world.store_faults.targeted_writes = None;
     world.network.one_way.clear();
     assert!(world.until_done(&id(2), 240_000));
     world.assert_rules_kept();
--- a/tests/combined_faults/zones.rs
+++ b/tests/combined_faults/zones.rs
@@ -11,7 +11,7 @@
 fn running_in(world: &World, number: u32, zone: &str) -> usize {
     let machines = world.workers.iter().filter(|worker| worker.zone == zone);
     let tasks = machines.flat_map(|worker| &worker.tasks);
-    tasks.filter(|task| task.job == id(number) && task.why.is_none()).count()
+    tasks.filter(|task| task.job == id(number) && task.end_reason.is_none()).count()
 }
 
 /// Whether a placement record of the zone lists the job.
@@ -36,12 +36,12 @@
         world.add_worker(number, "east", false, 500);
     }
     world.run(10_000);
-    world.run_ms = 90_000;
+    world.task_duration_ms = 90_000;
     let mut cancelled_later = job(3, "t1", 4, 90.0);
     cancelled_later["yard"] = json!("east");
     world.accept(0, &cancelled_later);
     world.run(2_000);
-    world.run_ms = 8_000;
+    world.task_duration_ms = 8_000;
     let mut bound = job(1, "t1", 16, 8.0);
     bound["one_zone"] = json!(true);
     world.accept(0, &bound);
@@ -50,7 +50,7 @@
 
     // An urgent job takes the capacity in the east when the first tasks are done, so that the next
     // tasks are placed in the west.
-    world.run_ms = 90_000;
+    world.task_duration_ms = 90_000;
     let mut urgent = job(2, "t0", 8, 90.0);
     urgent["urgency"] = json!("urgent");
     urgent["yard"] = json!("east");
@@ -65,7 +65,7 @@
     // The done tasks are still recorded when all nodes crash, and no heartbeat reports otherwise for
     // a while.
     for worker in &mut world.workers {
-        worker.mute = worker.tasks.iter().any(|task| task.job == id(2));
+        worker.heartbeats_lost = worker.tasks.iter().any(|task| task.job == id(2));
     }
     (0..2).for_each(|node| world.crash(node, 200));
     world.run(1_000);
--- a/tests/final_jobs/clusters.rs
+++ b/tests/final_jobs/clusters.rs
@@ -48,7 +48,7 @@
         let value = if number % 2 == 0 { done_record() } else { cancelled_record() };
         world.store.put_record(&job_key(FIRST_OLD_JOB + number), value);
     }
-    world.store.floor = world.store.revision;
+    world.store.compacted_revision = world.store.revision;
     world.store.page_size = Some(500);
     world.run(6_000);
     world
@@ -73,7 +73,7 @@
     for number in 0..RECORDED_JOBS {
         world.store.put_record(&job_key(FIRST_OLD_JOB + number), done_record());
     }
-    world.store.floor = world.store.revision;
+    world.store.compacted_revision = world.store.revision;
     world.store.page_size = Some(500);
     world.run(11_000);
     assert!(world.leader().is_some(), "no leader ten seconds after the start");
@@ -106,7 +106,7 @@
 #[test]
 fn without_the_store_a_job_no_longer_in_memory_is_not_reported_as_unknown() {
     let mut world = restarted_with(40, 3);
-    world.store.down = true;
+    world.store.is_down = true;
     for call in [HttpRequest::Status(id(FIRST_OLD_JOB)), HttpRequest::Cancel(id(FIRST_OLD_JOB))] {
         let (status, _, retry_after_s) = send_request(&mut world, 0, call);
         assert_eq!((status, retry_after_s), (503, Some(1)));
@@ -207,7 +207,7 @@
     let mut world = World::new(3, 7);
     world.run(3_000);
 
-    world.run_ms = 600_000;
+    world.task_duration_ms = 600_000;
     world.accept(0, &job(1, "t0", 8, 600.0));
     world.run(40_000);
     let running = |world: &World, number: u32| {
@@ -216,7 +216,7 @@
     };
     assert_eq!(running(&world, 1), 8, "the team is not at its limit");
 
-    world.run_ms = 5_000;
+    world.task_duration_ms = 5_000;
     world.accept(0, &job(2, "t0", 8, 5.0));
     for node in 0..3 {
         world.network.cuts.insert((node, usize::MAX));
@@ -315,7 +315,7 @@
     }
 
     // A full read after the watch has fallen behind doesn't load the dropped jobs again either.
-    world.store.floor = world.store.revision + 1;
+    world.store.compacted_revision = world.store.revision + 1;
     world.store.put_record(&job_key(FIRST_OLD_JOB + total), done_record());
     world.store.put_record("w/other", json!(1));
     world.store.page_size = Some(500);
--- a/tests/large_cells.rs
+++ b/tests/large_cells.rs
@@ -29,7 +29,7 @@
     let mut cells = Cells::large(2, 95);
     cells.worlds[HOST].cloud.capacity = MACHINES;
     cells.worlds[HOST].cloud.boot_ms = 5_000..8_000;
-    cells.worlds[HOST].run_ms = 60_000;
+    cells.worlds[HOST].task_duration_ms = 60_000;
     cells.run(8_000);
     for id in 0..JOBS {
         let body = job(id, "t1", TASKS_PER_JOB, 60.0);
--- a/tests/large_fleet.rs
+++ b/tests/large_fleet.rs
@@ -29,7 +29,7 @@
 fn six_thousand_machines_are_rented_run_outlast_their_leader_and_go_back() {
     let mut world = World::fleet(NODES, 91);
     world.cloud.capacity = MACHINES;
-    world.run_ms = 60_000;
+    world.task_duration_ms = 60_000;
     world.cloud.boot_ms = 5_000..8_000;
     world.run(5_000);
 
--- a/tests/pipelines/dependencies.rs
+++ b/tests/pipelines/dependencies.rs
@@ -33,7 +33,7 @@
         [(4, 1, &[1, 2, 3, 4, 5][..]), (5, 3, &[3, 4, 5]), (6, 5, &[5])]
     {
         let mut world = world(seed);
-        world.run_ms = 15_000;
+        world.task_duration_ms = 15_000;
         accept_pipeline(&mut world);
         assert_eq!(world.cancel((seed as usize) % 3, &id(cancelled)), 200);
 
@@ -59,7 +59,7 @@
 fn a_submission_that_races_with_a_cancellation_is_cancelled_too() {
     for (seed, slow) in [(7, 0), (8, 1_500), (9, 6_000)] {
         let mut world = world(seed);
-        world.run_ms = 60_000;
+        world.task_duration_ms = 60_000;
         world.accept(0, &stage(1, &[]));
         world.accept(0, &stage(2, &[1]));
 
@@ -175,11 +175,11 @@
 
     // During an outage of the store a node can't know what was accepted, and rejects nothing
     // permanently.
-    world.store.down = true;
+    world.store.is_down = true;
     world.run(200);
     assert_eq!(submit(&mut world, 1, &stage(4, &[97])).0, 503);
 
-    world.store.down = false;
+    world.store.is_down = false;
     world.store_faults.slow_watch.clear();
     assert!(world.until_done(&id(2), 120_000));
     world.assert_rules_kept();
@@ -190,7 +190,7 @@
 #[test]
 fn a_job_that_waits_for_its_dependencies_uses_no_quota_or_capacity() {
     let mut world = world(13);
-    world.run_ms = 150_000;
+    world.task_duration_ms = 150_000;
     world.accept(0, &job(1, "t1", 2, 150.0));
     let mut large = job(2, "t0", 8, 10.0);
     large["awaits"] = json!([id(1)]);
@@ -220,7 +220,7 @@
 fn the_time_at_which_a_job_became_ready_survives_a_change_of_leader() {
     let mut world = world(14);
     world.cloud.capacity = 2;
-    world.run_ms = 190_000;
+    world.task_duration_ms = 190_000;
     world.accept(0, &job(1, "t1", 1, 190.0));
     let mut dependent = job(2, "t1", 1, 10.0);
     dependent["cores"] = json!(16.0);
@@ -247,7 +247,7 @@
         .workers
         .iter()
         .flat_map(|worker| &worker.tasks)
-        .any(|task| task.why.as_deref() == Some("halted"));
+        .any(|task| task.end_reason.as_deref() == Some("halted"));
     assert!(
         !preempted && !world.oracle.starts.contains_key("run-000002/0"),
         "tasks were preempted for a job that has just become ready"
@@ -281,7 +281,7 @@
 fn the_first_answer_after_a_long_outage_reports_no_orphan_as_live() {
     for seed in [16, 17] {
         let mut world = world(seed);
-        world.run_ms = 100_000;
+        world.task_duration_ms = 100_000;
         for (number, awaits) in [(1, &[][..]), (2, &[1]), (3, &[2]), (4, &[3])] {
             world.accept(0, &stage(number, awaits));
         }
@@ -293,9 +293,9 @@
         world.run(50);
         assert_eq!(world.cancel(user_api, &id(1)), 200);
 
-        world.store.down = true;
+        world.store.is_down = true;
         world.run(CANCEL_MS + 8_000);
-        world.store.down = false;
+        world.store.is_down = false;
 
         // The restarted node, which has read nothing yet, is asked first.
         for number in [4, 3, 2] {
@@ -324,7 +324,7 @@
 #[test]
 fn a_user_api_whose_watch_lags_reports_no_waiting_job_as_live() {
     let mut world = world(18);
-    world.run_ms = 200_000;
+    world.task_duration_ms = 200_000;
     accept_pipeline(&mut world);
     let leader = world.leader().unwrap();
     let user_api = (leader + 1) % 3;
@@ -349,7 +349,7 @@
 #[test]
 fn the_user_api_cancels_dependents_when_the_leader_cannot_write() {
     let mut world = world(25);
-    world.run_ms = 200_000;
+    world.task_duration_ms = 200_000;
     accept_pipeline(&mut world);
     let leader = world.leader().unwrap();
     world.store_faults.slow_writes.insert(leader, 90_000);
@@ -371,7 +371,7 @@
 #[test]
 fn long_chains_and_wide_fan_outs_are_cancelled_in_time() {
     let mut world = world(19);
-    world.run_ms = 300_000;
+    world.task_duration_ms = 300_000;
     world.lower_store_limits();
     world.accept(0, &stage(1, &[]));
     for number in 2..42 {
--- a/tests/pipelines/upgrade.rs
+++ b/tests/pipelines/upgrade.rs
@@ -15,7 +15,7 @@
     let end = world.now + duration_ms;
     while world.now < end {
         world.run(50);
-        let unrecorded = world.off_record();
+        let unrecorded = world.unrecorded_tasks();
         assert!(
             unrecorded.is_empty(),
             "{} ms: on no placement record: {:?}",
@@ -131,7 +131,7 @@
 fn terminating_machines_stay_recorded_while_a_long_record_is_split() {
     for (seed, machine_count, loss) in [(27, 40, 0.0), (28, 90, 0.4)] {
         let mut world = World::from_production(seed, ANNOUNCED_LIMITS);
-        world.store_faults.loss = loss;
+        world.store_faults.lost_answer_share = loss;
         let key = "place/east.0/0";
         let record = world.store.records.get_mut(key).unwrap();
         for index in 0..machine_count {
@@ -155,10 +155,10 @@
             world.run(25);
             assert_eq!(count_recorded(&world), machine_count, "at {} ms", world.now);
         }
-        world.store_faults.loss = 0.0;
+        world.store_faults.lost_answer_share = 0.0;
         world.run(30_000);
         assert!(longest_value(&world, "place/") <= 2_048, "{} bytes", longest_value(&world, "place/"));
-        assert!(world.off_record().is_empty());
+        assert!(world.unrecorded_tasks().is_empty());
         world.assert_rules_kept();
     }
 }
@@ -169,7 +169,7 @@
 fn a_job_of_many_tasks_completes_when_the_limits_are_lowered() {
     let mut world = World::with_announced_limits(3, 22, ANNOUNCED_LIMITS);
     world.cloud.capacity = 0;
-    world.run_ms = 300;
+    world.task_duration_ms = 300;
     world.run(5_000);
 
     for number in 0..4 {
--- a/tests/recovery.rs
+++ b/tests/recovery.rs
@@ -19,7 +19,7 @@
 /// Returns a busy cluster: long tasks run on all machines, and more tasks are queued.
 fn busy_cluster(seed: u64) -> World {
     let mut world = World::new(NODES, seed);
-    world.run_ms = 60_000;
+    world.task_duration_ms = 60_000;
     world.run(5_000);
     for id in 1..=4 {
         world.accept(id as usize % NODES, &job(id, if id == 1 { "t0" } else { "t1" }, 6, 60.0));
@@ -52,7 +52,7 @@
         .iter()
         .filter(|worker| worker.alive)
         .flat_map(|worker| &worker.tasks)
-        .filter(|task| task.state != TaskState::Exited || task.why.as_deref() == Some("done"))
+        .filter(|task| task.state != TaskState::Exited || task.end_reason.as_deref() == Some("done"))
         .map(|task| format!("{}/{}", task.job, task.task))
         .collect();
     let is_open = |id: &str| world.store.job(id).is_some_and(|record| record["s"] == "l");
@@ -149,7 +149,14 @@
 /// Adds a running attempt that is on no record to a machine.
 fn add_unrecorded_attempt(world: &mut World, worker: usize, job: &str, task: u32, attempt: u64) {
     let at = world.now + 600_000;
-    let task = WorkerTask { job: job.into(), task, attempt, state: TaskState::Running, why: None, at };
+    let task = WorkerTask {
+        job: job.into(),
+        task,
+        attempt,
+        state: TaskState::Running,
+        end_reason: None,
+        next_transition_at: at,
+    };
     world.workers[worker].tasks.push(task);
 }
 
@@ -162,11 +169,11 @@
 fn attempts_without_a_record_are_stopped_and_no_others() {
     let mut world = busy_cluster(740);
     let finished = job(9, "t0", 1, 5.0);
-    world.run_ms = 5_000;
+    world.task_duration_ms = 5_000;
     world.accept(0, &finished);
     assert!(world.until_done("run-000009", 120_000));
 
-    world.run_ms = 60_000;
+    world.task_duration_ms = 60_000;
     crash_all(&mut world, 4_000);
     let running_before = running_tasks(&world);
 
@@ -229,7 +236,7 @@
         world.workers[0].tasks.iter().map(|task| format!("{}/{}", task.job, task.task)).collect();
 
     // The machine is unreachable but up: its tasks keep running until its own lease ends.
-    world.workers[0].cut = true;
+    world.workers[0].unreachable = true;
     world.run(12_000);
     let count_elsewhere = |world: &World| {
         let others = world.workers.iter().filter(|worker| worker.name != unreachable && worker.alive);
@@ -278,17 +285,17 @@
 fn a_second_store_outage_while_records_are_read_loses_no_task() {
     for seed in 0..4 {
         let mut world = busy_cluster(790 + seed);
-        world.store.down = true;
+        world.store.is_down = true;
         crash_all(&mut world, 500);
         let running_before = running_tasks(&world);
         world.run(4_000);
-        world.store.down = false;
+        world.store.is_down = false;
 
         // Long enough to read some pages of the records, but not all.
         world.run(60 + seed * 40);
-        world.store.down = true;
+        world.store.is_down = true;
         world.run(3_000);
-        world.store.down = false;
+        world.store.is_down = false;
         world.run(12_000);
         let running_after = running_tasks(&world);
         assert!(
@@ -309,7 +316,7 @@
 
     // Machines whose heartbeats reach no node are never reconciled; direct commands reach them.
     for worker in 0..3 {
-        world.workers[worker].mute = true;
+        world.workers[worker].heartbeats_lost = true;
     }
     crash_all(&mut world, 1_000);
     world.run(3_500);
@@ -331,7 +338,7 @@
 #[test]
 fn a_terminating_machine_gets_no_work_when_its_heartbeat_arrives() {
     let mut world = World::new(NODES, 810);
-    world.run_ms = 5_000;
+    world.task_duration_ms = 5_000;
     world.run(5_000);
 
     world.accept(0, &job(1, "t1", 8, 5.0));
--- a/tests/recovery_model.rs
+++ b/tests/recovery_model.rs
@@ -84,8 +84,8 @@
 
 /// Ends all faults except crashes.
 fn heal(world: &mut World) {
-    world.store.down = false;
-    world.store.refuses.clear();
+    world.store.is_down = false;
+    world.store.refused_nodes.clear();
     world.network.cuts.clear();
 }
 
@@ -95,7 +95,7 @@
 
     fn init_test(_: &ReferenceState) -> Cluster {
         let mut world = World::new(NODES, 900);
-        world.run_ms = 15_000;
+        world.task_duration_ms = 15_000;
         world.run(5_000);
         for id in 1..=2 {
             world.accept(0, &job(id, "t1", 8, 15.0));
@@ -116,9 +116,9 @@
             Step::CrashAll { back_ms } => {
                 (0..NODES).for_each(|node| world.crash(node, back_ms[node]));
             }
-            Step::StoreOutage { is_down } => world.store.down = is_down,
+            Step::StoreOutage { is_down } => world.store.is_down = is_down,
             Step::RefuseStoreCalls { node } => {
-                world.store.refuses.insert(node);
+                world.store.refused_nodes.insert(node);
             }
             Step::CutWorkerLinks { node } => {
                 world.network.cuts.insert((node, WORKERS));
--- a/tests/scenarios/cancellation.rs
+++ b/tests/scenarios/cancellation.rs
@@ -6,7 +6,7 @@
 #[test]
 fn a_cancelled_job_ends_in_time_and_stays_cancelled() {
     let mut world = world(4);
-    world.run_ms = 300_000;
+    world.task_duration_ms = 300_000;
     world.accept(0, &job(1, "t1", 8, 300.0));
     world.run(40_000);
     assert!(!world.oracle.starts.is_empty());
@@ -35,7 +35,7 @@
     for other in (0..3).filter(|node| *node != victim) {
         world.network.cuts.insert((victim, other));
     }
-    world.store.refuses.insert(victim);
+    world.store.refused_nodes.insert(victim);
 
     // The machines can't be terminated through the cloud either.
     world.cloud.is_down = true;
--- a/tests/scenarios/failover.rs
+++ b/tests/scenarios/failover.rs
@@ -18,7 +18,7 @@
 fn a_slow_write_of_a_former_shard_owner_fails() {
     let mut world = idle_east();
     admit_to_a_slow_shard_owner(&mut world, 8_000);
-    world.store.refuses.insert(0);
+    world.store.refused_nodes.insert(0);
     world.network.cuts.insert((0, 1));
     world.network.cuts.insert((0, 2));
     world.run(25_000);
@@ -34,7 +34,7 @@
     // The write arrives after the new leader has read the records, and before the new leader
     // reassigns the shard of the owner that the store refuses.
     admit_to_a_slow_shard_owner(&mut world, 6_500);
-    world.store.refuses.insert(0);
+    world.store.refused_nodes.insert(0);
     world.crash(1, 90_000);
     world.run(25_000);
     assert!(!world.oracle.starts.is_empty());
@@ -44,7 +44,7 @@
 #[test]
 fn running_tasks_survive_a_restart_of_all_nodes() {
     let mut world = world(6);
-    world.run_ms = 40_000;
+    world.task_duration_ms = 40_000;
     world.accept(0, &job(1, "t1", 8, 40.0));
     world.run(30_000);
     let before = world.oracle.starts.clone();
@@ -183,7 +183,7 @@
     let lost = world.workers[machine].tasks.len();
     world.workers[machine].alive = false;
     let name = world.workers[machine].name.clone();
-    world.cloud.returned.push(name);
+    world.cloud.terminated.push(name);
     let leader = world.leader().unwrap();
     world.crash(leader, 1_000);
     world.crash(shard_owner, 1_000);
--- a/tests/scenarios/fairness.rs
+++ b/tests/scenarios/fairness.rs
@@ -11,7 +11,7 @@
 fn nobody_starves_under_a_lasting_burst() {
     let mut world = world(62);
     world.cloud.capacity = 4;
-    world.run_ms = 10_000;
+    world.task_duration_ms = 10_000;
     let mut next = 100;
     let mut burst = |world: &mut World, seconds: u64| {
         for _ in 0..seconds / 4 {
@@ -48,7 +48,7 @@
 /// to preempt them.
 fn world_without_free_capacity(seed: u64, urgency: &str, team: &str) -> World {
     let mut world = world(seed);
-    world.run_ms = 600_000;
+    world.task_duration_ms = 600_000;
     world.cloud.capacity = 2;
     let mut submission = job(1, team, 8, 600.0);
     submission["urgency"] = json!(urgency);
@@ -60,7 +60,7 @@
 
 /// Submits a second job and returns how many of its tasks have started after six minutes.
 fn starts_of_second_job(world: &mut World, urgency: &str, team: &str) -> usize {
-    world.run_ms = 5_000;
+    world.task_duration_ms = 5_000;
     let mut submission = job(2, team, 2, 5.0);
     submission["urgency"] = json!(urgency);
     world.accept(0, &submission);
--- a/tests/scenarios/fixtures.rs
+++ b/tests/scenarios/fixtures.rs
@@ -14,7 +14,7 @@
 /// machines.
 pub(crate) fn busy_world(seed: u64, tasks: u32) -> World {
     let mut world = world(seed);
-    world.run_ms = 600_000;
+    world.task_duration_ms = 600_000;
     for (id, zone) in [(1, "east"), (2, "west")] {
         let mut submission = job(id, "t1", tasks, 600.0);
         submission["yard"] = json!(zone);
@@ -40,7 +40,7 @@
 pub(crate) fn idle_east() -> World {
     for seed in 60..100 {
         let mut world = World::new(3, seed);
-        world.run_ms = 60_000;
+        world.task_duration_ms = 60_000;
         world.cloud.capacity = 0;
         for number in 1..5 {
             world.add_worker(number, "east", false, 1_000);
--- a/tests/scenarios/fleet.rs
+++ b/tests/scenarios/fleet.rs
@@ -50,17 +50,17 @@
 #[test]
 fn a_new_leader_terminates_no_machine_that_runs() {
     let mut world = world(16);
-    world.run_ms = 200_000;
+    world.task_duration_ms = 200_000;
     world.accept(0, &job(1, "t1", 16, 200.0));
     world.run(60_000);
     let old = world.leader().unwrap();
-    let before = world.cloud.returned.clone();
+    let before = world.cloud.terminated.clone();
     world.crash(old, 4_000);
     world.crash((old + 1) % 3, 4_000);
     world.run(12_000);
     let busy: Vec<&String> = world
         .cloud
-        .returned
+        .terminated
         .iter()
         .filter(|name| !before.contains(name))
         .filter(|name| {
--- a/tests/scenarios/partitions.rs
+++ b/tests/scenarios/partitions.rs
@@ -15,7 +15,7 @@
         for other in (0..3).filter(|node| *node != victim) {
             world.network.cuts.insert((victim, other));
         }
-        world.store.refuses.insert(victim);
+        world.store.refused_nodes.insert(victim);
         world.run(9_000);
         assert_ne!(world.leader(), Some(victim));
 
@@ -27,7 +27,7 @@
         assert!(alive.clone().all(|worker| worker.incarnation == 1), "a lease ended");
         assert!(world.each_task_started_once(), "{:?}", world.oracle.starts);
 
-        world.store.refuses.clear();
+        world.store.refused_nodes.clear();
         world.network.cuts.clear();
         world.run(12_000);
         let name = format!("n{victim}");
@@ -45,9 +45,9 @@
 fn a_watch_that_fell_behind_is_replaced_by_a_full_read() {
     let mut world = world(15);
     world.accept(0, &job(1, "t1", 2, 10.0));
-    world.store.floor = u64::MAX;
+    world.store.compacted_revision = u64::MAX;
     world.run(4_000);
-    world.store.floor = world.store.revision;
+    world.store.compacted_revision = world.store.revision;
     world.accept(1, &job(2, "t1", 2, 10.0));
     assert!(world.until_done("run-000001", 90_000));
     assert!(world.until_done("run-000002", 90_000));
@@ -76,7 +76,7 @@
 fn a_node_that_hears_nobody_is_told_and_owns_no_shard() {
     let mut world = busy_world(81, 6);
     let (_, victim) = busy_machine(&world);
-    world.run_ms = 5_000;
+    world.task_duration_ms = 5_000;
     let others: Vec<usize> = (0..3).filter(|node| *node != victim).collect();
     world.network.one_way.extend(others.iter().map(|node| (*node, victim)));
     world.run(8_000);
@@ -106,9 +106,9 @@
 fn a_suspended_node_is_replaced_and_breaks_no_rule() {
     for seed in [84, 85, 86] {
         let mut world = busy_world(seed, 8);
-        world.run_ms = 8_000;
+        world.task_duration_ms = 8_000;
         let leader = world.leader().unwrap();
-        world.freeze(leader);
+        world.suspend_node(leader);
         let other = (leader + 1) % 3;
         world.run(8_000);
         assert_ne!(world.leader(), Some(leader));
@@ -118,7 +118,7 @@
         assert!(world.until_done("run-000003", 45_000));
         assert_eq!(world.cancel(other, "run-000002"), 200);
 
-        world.thaw(leader);
+        world.resume_node(leader);
         world.run(30_000);
         assert_eq!(world.status(leader, "run-000002"), "withdrawn");
 
@@ -135,7 +135,7 @@
     for (seed, lag, leads) in [(93, 400, true), (94, 900, false), (95, 2_500, false), (96, 2_500, true)]
     {
         let mut world = busy_world(seed, 6);
-        world.run_ms = 8_000;
+        world.task_duration_ms = 8_000;
         let leader = world.leader().unwrap();
         let slow = if leads { leader } else { (leader + 1) % 3 };
         world.network.lag.insert(slow, lag);
@@ -164,19 +164,19 @@
 fn a_zone_cut_with_packets_held_and_a_crash_in_it_harms_nothing() {
     for (seed, cut_ms, leader_too) in [(97, 12_000, true), (98, 40_000, true), (99, 40_000, false)] {
         let mut world = busy_world(seed, 6);
-        world.run_ms = 10_000;
+        world.task_duration_ms = 10_000;
         for id in 3..7 {
             world.accept(id as usize % 3, &job(id, "t1", 6, 10.0));
         }
         let leader = world.leader().unwrap();
-        world.part_zones();
+        world.partition_zones();
         world.run(4_000);
         world.crash(if leader_too { leader } else { (leader + 1) % 3 }, 3_000);
         world.run(cut_ms);
         let new_leader = world.leader().unwrap();
         assert_eq!(world.cancel(new_leader, "run-000002"), 200);
 
-        world.join_zones();
+        world.heal_zones();
         world.run(30_000);
         for id in 3..7 {
             assert!(world.until_done(&format!("run-{id:06}"), 150_000), "seed {seed}: job {id}");
--- a/tests/scenarios/placement.rs
+++ b/tests/scenarios/placement.rs
@@ -94,7 +94,7 @@
         let mut submission = job(100 + step, "t1", 11, 10.0);
         submission["urgency"] = json!("urgent");
         submission["cores"] = json!(2.0);
-        world.run_ms = 6_000 + u64::from(step * 1_700 % 9_000);
+        world.task_duration_ms = 6_000 + u64::from(step * 1_700 % 9_000);
         world.submit(step as usize % 3, &submission);
         if step == 10 {
             let mut huge = job(1, "t1", 1, 10.0);
@@ -119,7 +119,7 @@
         world.add_worker(number, "west", false, 100);
     }
     world.run(1_500);
-    world.run_ms = 60_000;
+    world.task_duration_ms = 60_000;
     for id in 0..4 {
         let mut submission = job(id, "t1", 250, 60.0);
         submission["cores"] = json!(0.03);
@@ -154,14 +154,14 @@
 
         // The next heartbeats are lost.
         for worker in &mut world.workers {
-            worker.cut = true;
+            worker.unreachable = true;
         }
         world.run(9_500);
         world.cloud.capacity = 20;
         world.submit(0, &job(1, "t1", 8, 10.0));
         world.run(3_500);
         for worker in &mut world.workers {
-            worker.cut = false;
+            worker.unreachable = false;
         }
         assert!(world.until_done("run-000001", 60_000));
         assert_eq!(world.cloud.rented, 0, "machines were rented although free ones existed");
@@ -191,7 +191,7 @@
 #[test]
 fn a_job_of_many_tasks_survives_a_change_of_leader() {
     let mut world = world(18);
-    world.run_ms = 300;
+    world.task_duration_ms = 300;
     let mut submission = job(1, "t1", 100_000, 1.0);
     submission["cores"] = json!(0.5);
     submission["memory_gb"] = json!(0.1);
--- a/tests/scenarios/random_faults.rs
+++ b/tests/scenarios/random_faults.rs
@@ -26,12 +26,12 @@
             let back = world.rng.random_range(100..6_000);
             world.crash(node, back);
         }
-        1 => world.store.down = !world.store.down,
+        1 => world.store.is_down = !world.store.is_down,
         2 => {
             let node = world.rng.random_range(0..3);
-            world.store.refuses.insert(node);
+            world.store.refused_nodes.insert(node);
         }
-        3 => world.store.refuses.clear(),
+        3 => world.store.refused_nodes.clear(),
         4 => {
             let (one, other) = (world.rng.random_range(0..3), world.rng.random_range(0..4));
             world.network.cuts.insert((one, if other == 3 { WORKERS } else { other }));
@@ -39,15 +39,18 @@
         5 => world.network.cuts.clear(),
         6 if !world.workers.is_empty() => {
             let index = world.rng.random_range(0..world.workers.len());
-            world.workers[index].cut = !world.workers[index].cut;
+            world.workers[index].unreachable = !world.workers[index].unreachable;
         }
         7 if !world.workers.is_empty() => {
             let index = world.rng.random_range(0..world.workers.len());
             world.workers[index].alive = false;
             let name = world.workers[index].name.clone();
-            world.cloud.returned.push(name);
+            world.cloud.terminated.push(name);
+        }
+        8 => {
+            world.store_faults.lost_answer_share =
+                if world.store_faults.lost_answer_share > 0.0 { 0.0 } else { 0.2 }
         }
-        8 => world.store_faults.loss = if world.store_faults.loss > 0.0 { 0.0 } else { 0.2 },
         9 => world.cloud.is_down = !world.cloud.is_down,
         11 if !world.workers.is_empty() => {
             let index = world.rng.random_range(0..world.workers.len());
@@ -64,7 +67,7 @@
         16 => {
             // The node reaches only its workers.
             let node = world.rng.random_range(0..3);
-            world.store.refuses.insert(node);
+            world.store.refused_nodes.insert(node);
             world.network.cuts.extend((0..3).filter(|peer| *peer != node).map(|peer| (node, peer)));
         }
         10 if !ids.is_empty() => {
@@ -78,10 +81,10 @@
 
 /// Ends all faults except the cut-off machines.
 fn end_faults(world: &mut World) {
-    world.store.down = false;
-    world.store.refuses.clear();
+    world.store.is_down = false;
+    world.store.refused_nodes.clear();
     world.network.cuts.clear();
-    world.store_faults.loss = 0.0;
+    world.store_faults.lost_answer_share = 0.0;
     world.cloud.is_down = false;
     world.network.lose_replies.clear();
     world.run(5_000);
@@ -93,7 +96,7 @@
 fn random_faults_break_no_rule() {
     for seed in 0..20 {
         let mut world = world(100 + seed);
-        world.run_ms = 8_000;
+        world.task_duration_ms = 8_000;
         let mut ids = Vec::new();
         let mut copies = Vec::new();
         for step in 0..60u32 {
@@ -125,7 +128,7 @@
             }
         }
         for worker in &mut world.workers {
-            worker.cut = false;
+            worker.unreachable = false;
         }
         world.run(60_000);
         for id in &ids {
@@ -138,9 +141,9 @@
             }
         }
         assert!(
-            world.oracle.broken.is_empty(),
+            world.oracle.violations.is_empty(),
             "seed {seed}: {:?}",
-            &world.oracle.broken[..world.oracle.broken.len().min(5)]
+            &world.oracle.violations[..world.oracle.violations.len().min(5)]
         );
     }
 }
--- a/tests/scenarios/scale.rs
+++ b/tests/scenarios/scale.rs
@@ -7,7 +7,7 @@
 /// within the configured rates, machines keep their tasks, and every job completes.
 fn fleet_scenario(nodes: usize, machines: usize, jobs: u32, seed: u64) {
     let mut world = World::fleet(nodes, seed);
-    world.run_ms = 20_000;
+    world.task_duration_ms = 20_000;
     world.run(5_000);
 
     for number in 0..machines {
--- a/tests/scenarios/store.rs
+++ b/tests/scenarios/store.rs
@@ -8,13 +8,13 @@
 #[test]
 fn a_short_outage_of_the_store_loses_no_work() {
     let mut world = world(9);
-    world.run_ms = 60_000;
+    world.task_duration_ms = 60_000;
     world.accept(0, &job(1, "t1", 8, 60.0));
     world.run(35_000);
-    world.store.down = true;
+    world.store.is_down = true;
     world.run(10_000);
     assert_eq!(world.status(0, "run-999999"), "503", "answered without knowing the state of the job");
-    world.store.down = false;
+    world.store.is_down = false;
     assert!(world.until_done("run-000001", 150_000));
     assert!(world.each_task_started_once());
     world.assert_rules_kept();
@@ -23,12 +23,12 @@
 #[test]
 fn a_long_outage_ends_leases_and_every_task_still_completes() {
     let mut world = world(10);
-    world.run_ms = 30_000;
+    world.task_duration_ms = 30_000;
     world.accept(0, &job(1, "t1", 8, 30.0));
     world.run(25_000);
-    world.store.down = true;
+    world.store.is_down = true;
     world.run(70_000);
-    world.store.down = false;
+    world.store.is_down = false;
     assert!(world.until_done("run-000001", 250_000));
     world.assert_rules_kept();
 }
@@ -44,7 +44,7 @@
         world.run(50);
         world.users.answers[&request].status
     };
-    world.store.refuses.insert(victim);
+    world.store.refused_nodes.insert(victim);
     world.run(8_000);
     assert_eq!(ready(&mut world, victim), 503);
 
@@ -53,11 +53,11 @@
         world.store.records_under("w/block/").any(|(_, record)| record.value["node"] == name.as_str());
     assert!(!owns_a_shard, "it owns shards that it can't serve");
 
-    world.store.refuses.clear();
+    world.store.refused_nodes.clear();
     world.run(5_000);
     assert_eq!(ready(&mut world, victim), 200);
 
-    world.store.down = true;
+    world.store.is_down = true;
     world.run(8_000);
     for node in 0..3 {
         assert_eq!(ready(&mut world, node), 200);
@@ -84,11 +84,11 @@
 fn late_writes_break_no_rule() {
     for seed in 0..4 {
         let mut world = world(20 + seed);
-        world.store_faults.loss = 0.3;
+        world.store_faults.lost_answer_share = 0.3;
         world.accept(0, &job(1, "t1", 16, 10.0));
         world.accept(1, &job(2, "t0", 6, 10.0));
         world.run(60_000);
-        world.store_faults.loss = 0.0;
+        world.store_faults.lost_answer_share = 0.0;
         assert!(world.until_done("run-000001", 200_000));
         assert!(world.until_done("run-000002", 200_000));
         world.assert_rules_kept();
@@ -101,7 +101,7 @@
 #[test]
 fn a_long_outage_leaves_no_debt_and_costs_no_machine() {
     let mut world = World::large(3, 92);
-    world.run_ms = 12_000;
+    world.task_duration_ms = 12_000;
     world.run(5_000);
 
     for number in 0..40 {
@@ -116,9 +116,9 @@
     // More tasks than all machines can run at once, so that no machine is surplus.
     world.submit(0, &job(50, "t1", 600, 12.0));
     world.run(4_000);
-    world.store.down = true;
+    world.store.is_down = true;
     world.run(60_000);
-    world.store.down = false;
+    world.store.is_down = false;
     let before = world.oracle.starts.len();
     world.run(25_000);
     assert!(
@@ -126,7 +126,7 @@
         "{} starts after the outage",
         world.oracle.starts.len() - before
     );
-    assert!(world.cloud.returned.is_empty(), "{} machines returned", world.cloud.returned.len());
+    assert!(world.cloud.terminated.is_empty(), "{} machines returned", world.cloud.terminated.len());
     assert!(world.until_done("run-000050", 120_000));
     world.assert_rules_kept();
 }
--- a/tests/scenarios/users.rs
+++ b/tests/scenarios/users.rs
@@ -14,7 +14,7 @@
     let mut known = Vec::new();
     let mut id = 1;
     for case in 0..12 {
-        world.store_faults.loss = if case % 3 == 1 { 0.5 } else { 0.0 };
+        world.store_faults.lost_answer_share = if case % 3 == 1 { 0.5 } else { 0.0 };
         let mut asked = Vec::new();
         for node in 0..3 {
             asked.push((id, world.submit(node, &job(id, "t1", 1, 5.0))));
@@ -23,7 +23,7 @@
         world.run(6 + 4 * case);
         match case % 4 {
             0 => (0..3).for_each(|node| world.crash(node, 300)),
-            1 => world.store.down = true,
+            1 => world.store.is_down = true,
             2 => {
                 let leader = world.leader().unwrap_or(0);
                 world.crash(leader, 5_000);
@@ -31,8 +31,8 @@
             _ => {}
         }
         world.run(6_000);
-        world.store.down = false;
-        world.store_faults.loss = 0.0;
+        world.store.is_down = false;
+        world.store_faults.lost_answer_share = 0.0;
         world.run(3_000);
         let accepted = |request: &u64| {
             world
--- a/tests/scenarios/workers.rs
+++ b/tests/scenarios/workers.rs
@@ -15,7 +15,7 @@
     old.tasks.clear();
     old.sequence = 1;
     old.fencing_token = 0;
-    world.workers[machine].cut = true;
+    world.workers[machine].unreachable = true;
     world.crash(shard_owner, 30_000);
     world.run(6_000);
     let new_owner = world.shard_owner_of(machine);
@@ -23,7 +23,7 @@
 
     world.late_heartbeat(new_owner, old);
     world.run(3_000);
-    world.workers[machine].cut = false;
+    world.workers[machine].unreachable = false;
     world.run(30_000);
     world.assert_rules_kept();
     assert!(world.each_task_started_once(), "given up because of a late heartbeat");
@@ -119,7 +119,7 @@
 #[test]
 fn an_unreachable_machine_gets_no_work_and_is_terminated() {
     let mut world = world(58);
-    world.run_ms = 8_000;
+    world.task_duration_ms = 8_000;
     world.cloud.capacity = 3;
 
     // More tasks than the machines can run at once, so that none of them is surplus.
@@ -138,7 +138,7 @@
     assert!(row.unwrap_or(0) == 0, "{row:?}");
 
     world.run(25_000);
-    assert!(world.cloud.returned.contains(&name), "it was not terminated");
+    assert!(world.cloud.terminated.contains(&name), "it was not terminated");
 
     for id in 1..6 {
         assert!(world.until_done(&format!("run-{id:06}"), 120_000));
@@ -151,7 +151,7 @@
 #[test]
 fn a_machine_that_is_reached_again_is_used_again() {
     let mut world = idle_east();
-    world.run_ms = 5_000;
+    world.task_duration_ms = 5_000;
     world.network.lose_replies = (0..4).collect();
     let request = world.submit(1, &job(1, "t1", 12, 5.0));
     // Long enough for each worker to return to its shard owner after trying the other nodes.
@@ -160,7 +160,7 @@
     assert!(world.oracle.starts.is_empty());
     world.network.lose_replies.clear();
     assert!(world.until_done("run-000001", 45_000));
-    assert!(world.cloud.returned.is_empty());
+    assert!(world.cloud.terminated.is_empty());
     assert!(world.each_task_started_once());
     world.assert_rules_kept();
 }
@@ -178,7 +178,7 @@
     // every node again and again.
     world.workers[machine].alive = false;
     let name = world.workers[machine].name.clone();
-    world.cloud.returned.push(name.clone());
+    world.cloud.terminated.push(name.clone());
     world.crash(shard_owner, 2_000);
     let lost = world.workers[machine].tasks.len();
     for _ in 0..20 {
@@ -216,7 +216,7 @@
     world.restart_worker(machine);
     world.run(26_000);
     assert!(world.workers[machine].fencing_token > 0, "no shard owner answers it");
-    assert!(!world.cloud.returned.contains(&world.workers[machine].name), "terminated as silent");
+    assert!(!world.cloud.terminated.contains(&world.workers[machine].name), "terminated as silent");
 
     world.run(30_000);
     assert_eq!(world.oracle.starts.values().filter(|starts| **starts == 2).count(), lost);
@@ -232,7 +232,7 @@
     let copy = world.workers[0].heartbeat();
     world.workers[0].alive = false;
     let name = world.workers[0].name.clone();
-    world.cloud.returned.push(name.clone());
+    world.cloud.terminated.push(name.clone());
     for node in 0..3 {
         world.crash(node, 1_000);
     }
@@ -254,13 +254,13 @@
 #[test]
 fn a_silent_machine_keeps_its_tasks_until_its_lease_ends() {
     let mut world = world(13);
-    world.run_ms = 15_000;
+    world.task_duration_ms = 15_000;
     world.accept(0, &job(1, "t1", 8, 15.0));
     world.run(20_000);
     let victim = world.workers.iter().position(|worker| !worker.tasks.is_empty()).unwrap();
-    world.workers[victim].cut = true;
+    world.workers[victim].unreachable = true;
     world.run(60_000);
-    world.workers[victim].cut = false;
+    world.workers[victim].unreachable = false;
     assert!(world.until_done("run-000001", 150_000));
     world.assert_rules_kept();
 }
@@ -271,7 +271,7 @@
     world.accept(0, &job(1, "t1", 8, 10.0));
     world.run(8_000);
     if let Some(worker) = world.workers.first_mut() {
-        worker.sick = true;
+        worker.fails_tasks = true;
     }
     assert!(world.until_done("run-000001", 200_000));
     let failed: u32 = world.oracle.starts.values().sum::<u32>() - 8;
@@ -287,13 +287,13 @@
         let mut world = busy_world(seed, 8);
         let before = world.oracle.starts.len();
         for index in (0..world.workers.len()).step_by(2) {
-            world.workers[index].cut = true;
+            world.workers[index].unreachable = true;
         }
         world.run(2_000);
         world.crash(world.leader().unwrap(), 3_000);
         world.run(hang_ms);
         for worker in &mut world.workers {
-            worker.cut = false;
+            worker.unreachable = false;
         }
         world.run(40_000);
         assert_eq!(world.oracle.starts.len(), before);
--- a/tests/soak/faults.rs
+++ b/tests/soak/faults.rs
@@ -1,7 +1,7 @@
 //! Random faults, each of which ends at a random time of its own.
 
 use crate::support::network::WORKERS;
-use crate::support::{Fate, World};
+use crate::support::{World, WriteFault};
 use rand::RngExt;
 use std::ops::Range;
 use woadlever::core::HttpRequest;
@@ -39,17 +39,17 @@
     fn apply(self, world: &mut World) {
         match self {
             ScheduledAction::AcceptStoreCalls(node) => {
-                world.store.refuses.remove(&node);
+                world.store.refused_nodes.remove(&node);
             }
-            ScheduledAction::ResumeNode(node) => world.thaw(node),
-            ScheduledAction::StartStore => world.store.down = false,
-            ScheduledAction::StopWriteLoss => world.store_faults.loss = 0.0,
+            ScheduledAction::ResumeNode(node) => world.resume_node(node),
+            ScheduledAction::StartStore => world.store.is_down = false,
+            ScheduledAction::StopWriteLoss => world.store_faults.lost_answer_share = 0.0,
             ScheduledAction::RestoreLink(one, other) => {
                 world.network.cuts.remove(&(one, other));
             }
-            ScheduledAction::RestoreZoneLinks => world.join_zones(),
-            ScheduledAction::ReconnectWorker(worker) => world.workers[worker].cut = false,
-            ScheduledAction::DeliverHeartbeats(worker) => world.workers[worker].mute = false,
+            ScheduledAction::RestoreZoneLinks => world.heal_zones(),
+            ScheduledAction::ReconnectWorker(worker) => world.workers[worker].unreachable = false,
+            ScheduledAction::DeliverHeartbeats(worker) => world.workers[worker].heartbeats_lost = false,
             ScheduledAction::DeliverReplies(worker) => {
                 world.network.lose_replies.remove(&worker);
             }
@@ -57,8 +57,8 @@
                 world.network.direct_commands_ms = DIRECT_COMMAND_LATENCY_MS;
             }
             ScheduledAction::ApplyLateWrites => {
-                world.store_faults.pick = None;
-                world.carry_out_late();
+                world.store_faults.targeted_writes = None;
+                world.apply_late_writes();
             }
             ScheduledAction::RestoreLatency => {
                 world.network.lag.clear();
@@ -129,13 +129,13 @@
         let node = Faults::draw_node(world);
         match world.rng.random_range(0..10) {
             0..=3 => {
-                world.store.refuses.insert(node);
+                world.store.refused_nodes.insert(node);
                 self.schedule(world, ABOUT_A_LEASE_MS, ScheduledAction::AcceptStoreCalls(node));
             }
             4 => {
                 // The node is cut off from the store and from all other nodes, but not from its
                 // workers.
-                world.store.refuses.insert(node);
+                world.store.refused_nodes.insert(node);
                 let ends_at = world.now + world.rng.random_range(ABOUT_A_LEASE_MS);
                 self.scheduled.push((ends_at, ScheduledAction::AcceptStoreCalls(node)));
                 for peer in (0..world.node_count).filter(|peer| *peer != node) {
@@ -144,16 +144,17 @@
                 }
             }
             5 => {
-                world.store.down = true;
+                world.store.is_down = true;
                 self.schedule(world, 1_000..12_000, ScheduledAction::StartStore);
             }
             6 => {
-                world.store_faults.loss = 0.3;
+                world.store_faults.lost_answer_share = 0.3;
                 self.schedule(world, 3_000..15_000, ScheduledAction::StopWriteLoss);
             }
             7 => {
-                let fate = if world.rng.random_bool(0.5) { Fate::Late } else { Fate::AnswerLost };
-                world.store_faults.pick = Some((node, "place/".into(), fate));
+                let fault =
+                    if world.rng.random_bool(0.5) { WriteFault::Held } else { WriteFault::AnswerLost };
+                world.store_faults.targeted_writes = Some((node, "place/".into(), fault));
                 self.schedule(world, 1_000..8_000, ScheduledAction::ApplyLateWrites);
             }
             8 => {
@@ -188,7 +189,7 @@
                 }
             }
             _ if !self.is_frozen(node) => {
-                world.freeze(node);
+                world.suspend_node(node);
                 self.schedule(world, 500..9_000, ScheduledAction::ResumeNode(node));
             }
             _ => {}
@@ -218,7 +219,7 @@
                 .iter()
                 .any(|(_, action)| matches!(action, ScheduledAction::RestoreZoneLinks)) =>
             {
-                world.part_zones();
+                world.partition_zones();
                 self.schedule(world, 1_000..12_000, ScheduledAction::RestoreZoneLinks);
             }
             3 => {
@@ -256,11 +257,11 @@
                     world.workers[worker].hung_until = world.now + world.rng.random_range(500..15_000);
                 }
                 1 => {
-                    world.workers[worker].cut = true;
+                    world.workers[worker].unreachable = true;
                     self.schedule(world, 1_000..30_000, ScheduledAction::ReconnectWorker(worker));
                 }
                 2 => {
-                    world.workers[worker].mute = true;
+                    world.workers[worker].heartbeats_lost = true;
                     self.schedule(world, 1_000..30_000, ScheduledAction::DeliverHeartbeats(worker));
                 }
                 3 => {
@@ -295,7 +296,7 @@
     let lost = &mut world.workers[worker];
     lost.alive = false;
     let (name, zone, spot) = (lost.name.clone(), lost.zone.clone(), lost.spot);
-    world.cloud.returned.push(name);
+    world.cloud.terminated.push(name);
     let boot_ms = world.rng.random_range(200..6_000);
     world.cloud.rented += 1;
     world.add_worker(world.cloud.rented, &zone, spot, boot_ms);
--- a/tests/soak/main.rs
+++ b/tests/soak/main.rs
@@ -16,7 +16,7 @@
 use faults::Faults;
 use rand::RngExt;
 use serde_json::json;
-use support::{PinnedTeams, World, ZONES, job};
+use support::{SaturatedTeams, World, ZONES, job};
 use tracing::Level;
 
 /// CPUs of each task, out of the sixteen of a machine.
@@ -35,7 +35,7 @@
 struct Cluster {
     nodes: usize,
     machines: usize,
-    teams: PinnedTeams,
+    teams: SaturatedTeams,
     /// Work of each team, in multiples of the tasks that its limit allows at the same time.
     rounds: u32,
 }
@@ -47,13 +47,13 @@
         let cpus_max = machines as u32 * CPUS_PER_MACHINE * 9 / 10 / teams;
         // A limit that is no multiple of a task's CPUs, and a guarantee close to it.
         let cpus_max = cpus_max / CPUS_PER_TASK * CPUS_PER_TASK + 1;
-        let teams = PinnedTeams { count: teams, cpus: cpus_max * 9 / 10, cpus_max, is_fleet };
+        let teams = SaturatedTeams { count: teams, cpus: cpus_max * 9 / 10, cpus_max, is_fleet };
         Cluster { nodes, machines, teams, rounds: if is_fleet { 3 } else { 8 } }
     }
 
     /// Starts the world with its machines and submits more work than the teams may run at once.
     fn start(self, seed: u64) -> World {
-        let mut world = World::pinned(self.nodes, seed, self.teams);
+        let mut world = World::saturated(self.nodes, seed, self.teams);
         world.cloud.capacity = self.machines;
         world.cloud.rented = self.machines;
         for number in 0..self.machines {
@@ -92,20 +92,20 @@
     let mut faults = Faults::default();
     let end = world.now + FAULT_PHASE_MS;
     while world.now < end {
-        world.run_ms = world.rng.random_range(3_000..14_000);
+        world.task_duration_ms = world.rng.random_range(3_000..14_000);
         world.fetch_ms = world.rng.random_range(200..4_000);
         faults.draw(&mut world);
         let pause_ms = world.rng.random_range(100..2_500);
         faults.run(&mut world, pause_ms);
     }
     faults.end(&mut world);
-    world.run_ms = 5_000;
+    world.task_duration_ms = 5_000;
     let end = world.now + RECOVERY_MS;
     while world.now < end && !open_jobs(&world).is_empty() {
         world.run(2_000);
     }
     let open = open_jobs(&world);
-    let mut broken = std::mem::take(&mut world.oracle.broken);
+    let mut broken = std::mem::take(&mut world.oracle.violations);
     if !open.is_empty() {
         broken.push(format!("not done {} s after the last fault: {open:?}", RECOVERY_MS / 1000));
     }
--- a/tests/support/cells.rs
+++ b/tests/support/cells.rs
@@ -1,7 +1,7 @@
 //! Several cells, each simulated by its own [`World`], and the network between them. An oracle
 //! checks the task starts of all cells against each other.
 
-use super::{CANCEL_MS, Fate, World};
+use super::{CANCEL_MS, World, WriteFault};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use serde_json::Value;
@@ -33,7 +33,7 @@
     /// Fraction of messages that are lost.
     pub loss: f64,
     /// Fraction of messages that are delivered twice, the duplicate with a long delay.
-    pub late_copies: f64,
+    pub duplicate_fraction: f64,
     /// Time between two checks of all tasks by the oracle.
     check_interval_ms: u64,
     /// Size in bytes of the largest message between cells; measured in [`Cells::large`] only.
@@ -43,7 +43,7 @@
     queue: BTreeMap<(u64, u64), (usize, CellMessage)>,
     sequence: u64,
     rng: StdRng,
-    broken: Vec<String>,
+    violations: Vec<String>,
 }
 
 /// Returns the operator settings of cell `index` of `count`, with `extra` appended to the
@@ -89,12 +89,12 @@
             held: HashMap::new(),
             recorded: None,
             loss: 0.0,
-            late_copies: 0.0,
+            duplicate_fraction: 0.0,
             messages: 0,
             queue: BTreeMap::new(),
             sequence: 0,
             rng: StdRng::seed_from_u64(seed),
-            broken: Vec::new(),
+            violations: Vec::new(),
         }
     }
 
@@ -182,26 +182,27 @@
     }
 
     /// Partitions two cells: messages between them are lost in both directions.
-    pub fn part(&mut self, one: usize, other: usize) {
+    pub fn partition(&mut self, one: usize, other: usize) {
         self.cut.extend([(one, other), (other, one)]);
     }
 
     /// Heals all partitions between cells.
-    pub fn join(&mut self) {
+    pub fn heal(&mut self) {
         self.cut.clear();
     }
 
     /// Delivers a duplicate of a message to a cell immediately.
-    pub fn repeat(&mut self, to: usize, message: CellMessage) {
+    pub fn deliver_duplicate(&mut self, to: usize, message: CellMessage) {
         self.push(0, to, message);
         self.deliver();
     }
 
     /// Holds the writes of a cell's leader to the record of a job, until the test applies them
-    /// with [`World::carry_out_late`].
+    /// with [`World::apply_late_writes`].
     pub fn hold_writes(&mut self, cell: usize, id: &str) {
         let leader = self.worlds[cell].leader().unwrap();
-        self.worlds[cell].store_faults.pick = Some((leader, format!("w/job/{id}"), Fate::Late));
+        self.worlds[cell].store_faults.targeted_writes =
+            Some((leader, format!("w/job/{id}"), WriteFault::Held));
     }
 
     /// Delivers the messages that are held in one direction, in their order.
@@ -268,7 +269,7 @@
                 if self.cut.contains(&(from, to)) || self.rng.random_range(0.0..1.0) < self.loss {
                     continue;
                 }
-                if self.rng.random_range(0.0..1.0) < self.late_copies {
+                if self.rng.random_range(0.0..1.0) < self.duplicate_fraction {
                     let delay = self.rng.random_range(1_000..MAX_DUPLICATE_DELAY_MS);
                     self.push(delay, to, message.clone());
                 }
@@ -304,11 +305,12 @@
                 for task in worker.tasks.iter().filter(|task| is_running(task.state)) {
                     let other = seen.insert((task.job.clone(), task.task), cell);
                     if other.is_some_and(|other| other != cell) {
-                        self.broken.push(format!("{now} {}/{} runs in two cells", task.job, task.task));
+                        self.violations
+                            .push(format!("{now} {}/{} runs in two cells", task.job, task.task));
                     }
                     let cancelled_at = world.users.cancelled.get(&task.job);
                     if cancelled_at.is_some_and(|at| now > at + CANCEL_MS) {
-                        self.broken.push(format!("{now} ran_cancelled {} in c{cell}", task.job));
+                        self.violations.push(format!("{now} ran_cancelled {} in c{cell}", task.job));
                     }
                 }
             }
@@ -322,8 +324,8 @@
 
     /// Panics if a rule was broken, in a cell or between cells.
     pub fn assert_rules_kept(&self) {
-        let few = &self.broken[..self.broken.len().min(5)];
-        assert!(self.broken.is_empty(), "rules broken between cells: {few:?}");
+        let few = &self.violations[..self.violations.len().min(5)];
+        assert!(self.violations.is_empty(), "rules broken between cells: {few:?}");
         for world in &self.worlds {
             world.assert_rules_kept();
         }
--- a/tests/support/cloud.rs
+++ b/tests/support/cloud.rs
@@ -27,7 +27,7 @@
     /// Number of machines created so far, terminated ones included.
     pub rented: usize,
     /// Names of the machines that were terminated.
-    pub returned: Vec<String>,
+    pub terminated: Vec<String>,
     /// Range of the boot times of new machines.
     pub boot_ms: Range<u64>,
     /// Token bucket of the rate limit: the remaining calls and the time of the last refill.
@@ -46,7 +46,7 @@
             is_down: false,
             granted: HashMap::new(),
             rented: 0,
-            returned: Vec::new(),
+            terminated: Vec::new(),
             boot_ms: 6_000..15_000,
             token_bucket: (REQUESTS_PER_S, 0),
             calls: 0,
@@ -75,7 +75,7 @@
         let is_listed = |worker: &&Worker| {
             worker.rented_at + LIST_LAG_MS <= now
                 && worker.name.as_str() > after
-                && !self.cloud.returned.contains(&worker.name)
+                && !self.cloud.terminated.contains(&worker.name)
         };
         let entry = |worker: &Worker| {
             json!({"name_id":worker.name,"hulltype":worker.type_name,"yard":worker.zone,
@@ -91,7 +91,7 @@
         if let Some(names) = self.cloud.granted.get(&request.request) {
             return rented(names);
         }
-        let is_rented = |worker: &&Worker| !self.cloud.returned.contains(&worker.name);
+        let is_rented = |worker: &&Worker| !self.cloud.terminated.contains(&worker.name);
         let rented_count = self.workers.iter().filter(is_rented).count();
         let count = (request.count as usize).min(self.cloud.capacity.saturating_sub(rented_count));
         if count == 0 {
@@ -115,7 +115,7 @@
                 worker.alive = false;
                 worker.tasks.clear();
             }
-            self.cloud.returned.push(name);
+            self.cloud.terminated.push(name);
         }
         CloudResponse::InstancesTerminated
     }
--- a/tests/support/controllers.rs
+++ b/tests/support/controllers.rs
@@ -70,12 +70,12 @@
     }
 
     /// Suspends the process of a node while its clocks run on.
-    pub fn freeze(&mut self, node: usize) {
+    pub fn suspend_node(&mut self, node: usize) {
         self.controllers[node].suspended_inputs = Some(Vec::new());
     }
 
     /// Resumes a suspended process, which then gets all inputs that arrived meanwhile at once.
-    pub fn thaw(&mut self, node: usize) {
+    pub fn resume_node(&mut self, node: usize) {
         for input in self.controllers[node].suspended_inputs.take().unwrap_or_default() {
             if !matches!(input, Input::Tick) {
                 self.step(node, input);
--- a/tests/support/events.rs
+++ b/tests/support/events.rs
@@ -4,7 +4,7 @@
 use super::network::WORKERS;
 use super::settings::Size;
 use super::store::PendingWatch;
-use super::store_faults::Fate;
+use super::store_faults::WriteFault;
 use super::{Answer, World};
 use rand::RngExt;
 use woadlever::core::{
@@ -98,12 +98,12 @@
     }
 
     /// Partitions the two zones; messages between them are held.
-    pub fn part_zones(&mut self) {
+    pub fn partition_zones(&mut self) {
         self.network.partition = Some(Vec::new());
     }
 
     /// Heals the partition between the zones; the held messages are delivered in order.
-    pub fn join_zones(&mut self) {
+    pub fn heal_zones(&mut self) {
         for event in self.network.partition.take().unwrap_or_default() {
             self.push(1, event);
         }
@@ -162,14 +162,14 @@
     }
 
     fn send_store_request(&mut self, call: Call, request: StoreRequest) {
-        if let Some(fate) = self.store_faults.fate_of(call.node, &request) {
+        if let Some(fault) = self.store_faults.fault_of(call.node, &request) {
             let StoreRequest::CompareAndSwap(write) = request else { return };
-            return self.fail_write(call, write, fate);
+            return self.fail_write(call, write, fault);
         }
         let is_write = matches!(request, StoreRequest::CompareAndSwap(_));
-        let is_timed_out = self.store_faults.loss > 0.0
+        let is_timed_out = self.store_faults.lost_answer_share > 0.0
             && is_write
-            && self.rng.random_range(0.0..1.0) < self.store_faults.loss;
+            && self.rng.random_range(0.0..1.0) < self.store_faults.lost_answer_share;
         let slow = self.store_faults.delay_ms_of(call.node, &request);
         // The store may still execute a call that has timed out, seconds later.
         let delay = slow
@@ -191,10 +191,10 @@
     }
 
     /// Applies the fault chosen for a write; the caller learns only that the outcome is unknown.
-    fn fail_write(&mut self, call: Call, write: CompareAndSwap, fate: Fate) {
-        if fate == Fate::Late {
+    fn fail_write(&mut self, call: Call, write: CompareAndSwap, fault: WriteFault) {
+        if fault == WriteFault::Held {
             self.store_faults.held.push(write);
-        } else if !self.store.down {
+        } else if !self.store.is_down {
             self.store.compare_and_swap(&write);
         }
         let response = StoreResponse::OutcomeUnknown;
@@ -202,7 +202,7 @@
     }
 
     /// Executes the held writes in order and returns their responses, which reach no controller.
-    pub fn carry_out_late(&mut self) -> Vec<StoreResponse> {
+    pub fn apply_late_writes(&mut self) -> Vec<StoreResponse> {
         let late = std::mem::take(&mut self.store_faults.held);
         late.iter().map(|write| self.store.compare_and_swap(write)).collect()
     }
@@ -266,10 +266,10 @@
 
     fn on_store_request(&mut self, call: Call, request: StoreRequest, delivery: Delivery) {
         self.store.requests += 1;
-        let is_refused =
-            self.store.refuses.contains(&call.node) || self.store.is_rate_limited(self.now, &request);
+        let is_refused = self.store.refused_nodes.contains(&call.node)
+            || self.store.is_rate_limited(self.now, &request);
         if let StoreRequest::Watch { prefix, since, block_ms } = request {
-            if self.store.down || is_refused {
+            if self.store.is_down || is_refused {
                 let response = StoreResponse::NotExecuted;
                 return self.push(STORE_LATENCY_MS, Event::StoreResponse { call, response });
             }
@@ -278,12 +278,12 @@
             return;
         }
         if delivery == Delivery::TimedOut {
-            if !self.store.down {
+            if !self.store.is_down {
                 self.store.run(self.now, &request);
             }
             return;
         }
-        let response = if self.store.down || is_refused && delivery != Delivery::Delayed {
+        let response = if self.store.is_down || is_refused && delivery != Delivery::Delayed {
             StoreResponse::NotExecuted
         } else {
             self.store.run(self.now, &request)
@@ -293,7 +293,7 @@
 
     /// Answers the watches that have changes to report or have expired.
     pub(super) fn answer_watches(&mut self) {
-        if self.store.down {
+        if self.store.is_down {
             return;
         }
         let now = self.now;
@@ -303,7 +303,7 @@
                 StoreResponse::Watch(WatchResponse { revision: self.store.revision, events: vec![] })
             });
             let call = watch.call;
-            let is_refused = self.store.refuses.contains(&call.node);
+            let is_refused = self.store.refused_nodes.contains(&call.node);
             match found.or(nothing) {
                 Some(response) if !is_refused => {
                     let late = self.store_faults.slow_watch.get(&call.node).copied().unwrap_or(0);
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -19,8 +19,8 @@
 mod users;
 mod workers;
 
-pub use settings::{AnnouncedLimits, PinnedTeams, job, platform};
-pub use store_faults::Fate;
+pub use settings::{AnnouncedLimits, SaturatedTeams, job, platform};
+pub use store_faults::WriteFault;
 pub use workers::{CommandCounts, Worker, WorkerTask};
 
 use cloud::Cloud;
@@ -49,8 +49,8 @@
 pub const CANCEL_MS: u64 = 40_000;
 /// Time between two ticks of all controllers and workers.
 const TICK_MS: u64 = 25;
-/// Run time of tasks, unless a test sets [`World::run_ms`].
-const DEFAULT_RUN_MS: u64 = 10_000;
+/// Run time of tasks, unless a test sets [`World::task_duration_ms`].
+const DEFAULT_TASK_DURATION_MS: u64 = 10_000;
 /// Time to fetch an image, unless a test sets [`World::fetch_ms`].
 const DEFAULT_FETCH_MS: u64 = 500;
 
@@ -86,7 +86,7 @@
     /// Counts of commands that arrived at workers; a test may reset them.
     pub commands: CommandCounts,
     /// Run time of each task.
-    pub run_ms: u64,
+    pub task_duration_ms: u64,
     /// Time from the start command until the image of the task is fetched.
     pub fetch_ms: u64,
     /// A team that is missing from the settings of processes started from now on.
@@ -161,8 +161,8 @@
 
     /// Creates a cluster whose teams, each at its limit, use all machines. The store enforces the
     /// rate limits of the settings, and the cloud has no capacity.
-    pub fn pinned(nodes: usize, seed: u64, teams: PinnedTeams) -> World {
-        let mut world = World::sized(nodes, seed, Size::Pinned(teams), None, Operator::default());
+    pub fn saturated(nodes: usize, seed: u64, teams: SaturatedTeams) -> World {
+        let mut world = World::sized(nodes, seed, Size::Saturated(teams), None, Operator::default());
         world.store.rates = Some(if teams.is_fleet { FLEET_RATES } else { LARGE_RATES });
         world.cloud.capacity = 0;
         world
@@ -188,7 +188,7 @@
             users: Users::default(),
             oracle: Oracle::default(),
             commands: CommandCounts::default(),
-            run_ms: DEFAULT_RUN_MS,
+            task_duration_ms: DEFAULT_TASK_DURATION_MS,
             fetch_ms: DEFAULT_FETCH_MS,
             without_team: None,
             operator,
--- a/tests/support/oracle.rs
+++ b/tests/support/oracle.rs
@@ -42,7 +42,7 @@
     /// Number of starts of each task.
     pub starts: HashMap<String, u32>,
     /// Violations of the rules, each with its time and cause.
-    pub broken: Vec<String>,
+    pub violations: Vec<String>,
     /// Number of starts that were checked against the quota of their team.
     pub checked_starts: u64,
     /// Number of quota violations that each node had found at the last tick.
@@ -86,7 +86,9 @@
         if let Some(earlier) =
             self.users.reported_final_status.get(id).filter(|earlier| *earlier != status)
         {
-            self.oracle.broken.push(format!("{} went_back {id}: {earlier}, then {status}", self.now));
+            self.oracle
+                .violations
+                .push(format!("{} went_back {id}: {earlier}, then {status}", self.now));
         }
         match status {
             "queued" | "running" => self.check_unfinished_answer(id),
@@ -110,7 +112,7 @@
         let was_cancelled_long_ago =
             |job: &&String| self.users.cancelled.get(*job).is_some_and(|at| self.now > at + CANCEL_MS);
         if let Some(cancelled) = self.with_dependencies(id).iter().find(was_cancelled_long_ago) {
-            self.oracle.broken.push(format!("{} orphaned {id}: {cancelled} is withdrawn", self.now));
+            self.oracle.violations.push(format!("{} orphaned {id}: {cancelled} is withdrawn", self.now));
         }
     }
 
@@ -121,7 +123,7 @@
         let was_cancelled =
             |job: &String| self.users.asked_to_cancel.contains(job) || is_on_record(job) && job != id;
         if !self.with_dependencies(id).iter().any(was_cancelled) {
-            self.oracle.broken.push(format!("{} went_back {id}: nobody cancelled it", self.now));
+            self.oracle.violations.push(format!("{} went_back {id}: nobody cancelled it", self.now));
         }
         self.users.reported_final_status.insert(id.into(), "withdrawn".into());
         if self.users.asked_to_cancel.contains(id) {
@@ -135,14 +137,14 @@
         self.check_cancelled(job, task);
         self.check_runs_once(worker, job, task);
         let Some(spec) = self.users.jobs.get(job).cloned() else {
-            self.oracle.broken.push(format!("started an unknown job {job}"));
+            self.oracle.violations.push(format!("started an unknown job {job}"));
             return;
         };
         self.check_dependencies(&spec, job, task);
         let started_on = &self.workers[worker];
         let is_wrong_zone = spec["yard"].as_str().is_some_and(|zone| zone != started_on.zone);
         if spec["standby"] == false && started_on.spot || is_wrong_zone {
-            self.oracle.broken.push(format!("{} wrong_place {job}/{task}", self.now));
+            self.oracle.violations.push(format!("{} wrong_place {job}/{task}", self.now));
         }
         self.check_quota(&spec, job, task);
         // Checking all tasks of all machines at each start would take longer than the service
@@ -175,11 +177,11 @@
         self.recount_team_usage(name);
         let team = &self.oracle.teams[name];
         if team.is_over_limit() {
-            let broken = format!(
+            let violation = format!(
                 "{} quota {name}: {} of {} CPUs with {job}/{task}",
                 self.now, team.cpus, team.max_cpus
             );
-            self.oracle.broken.push(broken);
+            self.oracle.violations.push(violation);
         }
     }
 
@@ -203,7 +205,7 @@
         let Some(at) = self.users.cancelled.get(job) else { return };
         self.oracle.late_starts.push((format!("{job}/{task}"), self.now - at));
         if self.now > at + CANCEL_MS {
-            self.oracle.broken.push(format!("{} ran_cancelled {job}/{task} started", self.now));
+            self.oracle.violations.push(format!("{} ran_cancelled {job}/{task} started", self.now));
         }
     }
 
@@ -211,7 +213,7 @@
         let is_same_task = |other: &WorkerTask| other.task == task && other.job == job && other.runs();
         for (index, other) in self.workers.iter().enumerate() {
             if index != worker && other.alive && other.tasks.iter().any(is_same_task) {
-                self.oracle.broken.push(format!("{} ran_twice {job}/{task}", self.now));
+                self.oracle.violations.push(format!("{} ran_twice {job}/{task}", self.now));
             }
         }
     }
@@ -220,8 +222,8 @@
         for dependency in spec["awaits"].as_array().into_iter().flatten() {
             let record = self.store.job(dependency.as_str().unwrap_or_default());
             if record.is_none_or(|record| record["s"] != "d") {
-                let broken = format!("{} too_early {job}/{task}: {dependency} is not done", self.now);
-                self.oracle.broken.push(broken);
+                let violation = format!("{} too_early {job}/{task}: {dependency} is not done", self.now);
+                self.oracle.violations.push(violation);
             }
         }
     }
@@ -240,7 +242,7 @@
         let (one_zone, spread) = (spec["one_zone"] == true, spec["scatter"] == true);
         let max_per_zone = spec["pieces"].as_u64().unwrap_or(0).div_ceil(2);
         if one_zone && zones.len() > 1 || spread && zones.values().any(|count| *count > max_per_zone) {
-            self.oracle.broken.push(format!("{} wrong_place (zones) {job}/{task}", self.now));
+            self.oracle.violations.push(format!("{} wrong_place (zones) {job}/{task}", self.now));
         }
     }
 
@@ -250,8 +252,8 @@
         self.check_done_jobs_were_started();
         self.check_quota_violations();
         let unadmitted = self.store.recorded_attempts.take_unadmitted();
-        let broken = unadmitted.into_iter().map(|found| format!("{} {found}", self.now));
-        self.oracle.broken.extend(broken);
+        let violations = unadmitted.into_iter().map(|found| format!("{} {found}", self.now));
+        self.oracle.violations.extend(violations);
     }
 
     /// Checks that no leader has found a quota violation: its own usage counts must agree with the
@@ -261,7 +263,9 @@
             let violations = self.core(node).map_or(0, |core| core.statistics().quota_violations);
             let known = self.oracle.quota_violations.insert(node, violations).unwrap_or(0);
             if violations > known {
-                self.oracle.broken.push(format!("{} quota alarm at n{node}: {violations}", self.now));
+                self.oracle
+                    .violations
+                    .push(format!("{} quota alarm at n{node}: {violations}", self.now));
             }
         }
     }
@@ -275,7 +279,7 @@
                     .iter()
                     .any(|worker| worker.alive && worker.tasks.iter().any(is_unfinished))
             {
-                self.oracle.broken.push(format!("{} ran_cancelled {job}", self.now));
+                self.oracle.violations.push(format!("{} ran_cancelled {job}", self.now));
             }
         }
     }
@@ -292,7 +296,7 @@
             for number in 0..spec["pieces"].as_u64().unwrap_or(0).min(MAX_CHECKED_TASKS_PER_JOB) {
                 let task = format!("{id}/{number}");
                 if !self.oracle.starts.contains_key(&task) && !self.oracle.elsewhere.contains(&task) {
-                    self.oracle.broken.push(format!("{} not_done {task}", self.now));
+                    self.oracle.violations.push(format!("{} not_done {task}", self.now));
                 }
             }
         }
@@ -301,9 +305,9 @@
     /// Panics if a rule was broken.
     pub fn assert_rules_kept(&self) {
         assert!(
-            self.oracle.broken.is_empty(),
+            self.oracle.violations.is_empty(),
             "rules broken: {:?}",
-            &self.oracle.broken[..self.oracle.broken.len().min(5)]
+            &self.oracle.violations[..self.oracle.violations.len().min(5)]
         );
     }
 
@@ -313,7 +317,7 @@
     }
 
     /// Returns the unfinished tasks on machines that no placement record lists.
-    pub fn off_record(&self) -> Vec<String> {
+    pub fn unrecorded_tasks(&self) -> Vec<String> {
         let recorded = self.recorded_attempts();
         let mut found = Vec::new();
         for worker in self.workers.iter().filter(|worker| worker.alive) {
--- a/tests/support/production.rs
+++ b/tests/support/production.rs
@@ -21,7 +21,7 @@
         let mut world = World::sized(NODES, seed, Size::Large, Some(announced), Operator::default());
         world.store.rates = Some(LARGE_RATES);
         world.cloud.capacity = 0;
-        world.run_ms = 200_000;
+        world.task_duration_ms = 200_000;
         world.now = fixture["now"].as_u64().unwrap();
         for node in 0..NODES {
             world.boot(node);
@@ -39,7 +39,7 @@
     /// Restores the store records and the leases they are attached to.
     fn restore_store(&mut self, fixture: &Value) {
         self.store.revision = number(&fixture["revision"]);
-        self.store.floor = self.store.revision;
+        self.store.compacted_revision = self.store.revision;
         for entry in fixture["keys"].as_array().unwrap() {
             let (key, value, version) = (&entry[0], &entry[1], &entry[2]);
             let lease = value["lease"].as_u64();
@@ -73,8 +73,8 @@
                 task: task.parse().unwrap(),
                 attempt: listed.attempt,
                 state: listed.state,
-                why: listed.end_reason,
-                at: self.now + number(left_ms),
+                end_reason: listed.end_reason,
+                next_transition_at: self.now + number(left_ms),
             });
             self.oracle.starts.insert(format!("{job}/{task}"), 1);
         }
--- a/tests/support/settings.rs
+++ b/tests/support/settings.rs
@@ -14,24 +14,24 @@
     /// Thousands of machines.
     Fleet,
     /// A hundred machines or more, all of them used by teams that are at their limits.
-    Pinned(PinnedTeams),
+    Saturated(SaturatedTeams),
 }
 
 impl Size {
     /// Whether workers send a heartbeat every three seconds instead of every eight.
     pub fn has_frequent_heartbeats(self) -> bool {
-        matches!(self, Size::Small | Size::Pinned(PinnedTeams { is_fleet: false, .. }))
+        matches!(self, Size::Small | Size::Saturated(SaturatedTeams { is_fleet: false, .. }))
     }
 
     /// Whether there may be thousands of machines.
     pub fn is_fleet(self) -> bool {
-        matches!(self, Size::Fleet | Size::Pinned(PinnedTeams { is_fleet: true, .. }))
+        matches!(self, Size::Fleet | Size::Saturated(SaturatedTeams { is_fleet: true, .. }))
     }
 }
 
 /// Teams with equal quotas, named `t0`, `t1` and so on.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct PinnedTeams {
+pub struct SaturatedTeams {
     /// Number of teams.
     pub count: u32,
     /// CPUs that each team is guaranteed.
@@ -71,7 +71,7 @@
         Size::Small => settings(node, nodes),
         Size::Large => large_settings(node, nodes),
         Size::Fleet => fleet_settings(node, nodes),
-        Size::Pinned(teams) => pinned_settings(node, nodes, teams),
+        Size::Saturated(teams) => saturated_settings(node, nodes, teams),
     };
     if let Some(AnnouncedLimits { value_kb, mutations, mutations_per_s }) = announced {
         text += &format!(
@@ -103,7 +103,7 @@
 }
 
 /// Settings for teams that are at their limits, with the rate limits of the operators' store.
-fn pinned_settings(node: usize, nodes: usize, teams: PinnedTeams) -> String {
+fn saturated_settings(node: usize, nodes: usize, teams: SaturatedTeams) -> String {
     let text = if teams.is_fleet {
         fleet_settings(node, nodes)
     } else {
--- a/tests/support/store.rs
+++ b/tests/support/store.rs
@@ -98,11 +98,11 @@
     /// All changes, in the order of their revisions.
     log: Vec<ChangeEvent>,
     /// Compacted revision: watches from an earlier revision than this fail.
-    pub floor: u64,
+    pub compacted_revision: u64,
     /// Whether the store is down and executes no calls at all.
-    pub down: bool,
+    pub is_down: bool,
     /// Nodes whose calls the store refuses.
-    pub refuses: HashSet<usize>,
+    pub refused_nodes: HashSet<usize>,
     pub(super) watches: Vec<PendingWatch>,
     /// Number of mutations committed so far.
     pub writes: u64,
@@ -193,7 +193,7 @@
 
     /// Ends the leases that have expired. While the store is down, none expires.
     pub(super) fn expire_leases(&mut self, now: u64) {
-        if self.down {
+        if self.is_down {
             // Every lease starts again with its full duration after an outage.
             for lease in self.leases.values_mut() {
                 lease.ends_at = now + lease.ttl_ms;
@@ -342,7 +342,7 @@
 
     /// Returns the answer to a watch if there are changes since `since` or they are compacted.
     pub(super) fn watch(&self, prefix: &str, since: u64) -> Option<StoreResponse> {
-        if since < self.floor {
+        if since < self.compacted_revision {
             return Some(StoreResponse::Compacted);
         }
         let is_watched = |event: &&ChangeEvent| {
--- a/tests/support/store_faults.rs
+++ b/tests/support/store_faults.rs
@@ -6,9 +6,9 @@
 
 /// Fault injected into a write that a test selects.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum Fate {
+pub enum WriteFault {
     /// The outcome is unknown to the caller; the write is held until the test applies it.
-    Late,
+    Held,
     /// The write is executed at once, and only its answer is lost.
     AnswerLost,
 }
@@ -19,7 +19,7 @@
 /// Faults of calls to the store.
 pub struct StoreFaults {
     /// Fraction of writes whose answer is lost and which the store executes late.
-    pub loss: f64,
+    pub lost_answer_share: f64,
     /// Additional delay in milliseconds of all calls of a node.
     pub slow: HashMap<usize, u64>,
     /// Additional delay in milliseconds of the answers to a node's watches.
@@ -31,9 +31,9 @@
     /// time-out of the call, or less if the connection is reset.
     pub timeout_ms: u64,
     /// Selects the writes of a node that change a key with a prefix, and the fault they get.
-    pub pick: Option<(usize, String, Fate)>,
+    pub targeted_writes: Option<(usize, String, WriteFault)>,
     /// Number of writes selected so far.
-    pub picked: usize,
+    pub targeted_count: usize,
     /// Selected writes that are held until the test applies them.
     pub(super) held: Vec<CompareAndSwap>,
 }
@@ -41,13 +41,13 @@
 impl Default for StoreFaults {
     fn default() -> StoreFaults {
         StoreFaults {
-            loss: 0.0,
+            lost_answer_share: 0.0,
             slow: HashMap::new(),
             slow_watch: HashMap::new(),
             slow_writes: HashMap::new(),
             timeout_ms: DEFAULT_TIMEOUT_MS,
-            pick: None,
-            picked: 0,
+            targeted_writes: None,
+            targeted_count: 0,
             held: Vec::new(),
         }
     }
@@ -55,15 +55,16 @@
 
 impl StoreFaults {
     /// Returns the fault of a request if it is a selected write, and counts it.
-    pub(super) fn fate_of(&mut self, node: usize, request: &StoreRequest) -> Option<Fate> {
-        let (_, prefix, fate) = self.pick.as_ref().filter(|pick| pick.0 == node)?;
+    pub(super) fn fault_of(&mut self, node: usize, request: &StoreRequest) -> Option<WriteFault> {
+        let (_, prefix, fault) =
+            self.targeted_writes.as_ref().filter(|targeted_writes| targeted_writes.0 == node)?;
         let StoreRequest::CompareAndSwap(write) = request else { return None };
         let touches = |mutation: &Mutation| match mutation {
             Mutation::Put { key, .. } | Mutation::Delete { key } => key.starts_with(prefix.as_str()),
         };
-        let fate = write.mutations.iter().any(touches).then_some(*fate)?;
-        self.picked += 1;
-        Some(fate)
+        let fault = write.mutations.iter().any(touches).then_some(*fault)?;
+        self.targeted_count += 1;
+        Some(fault)
     }
 
     /// Returns the additional delay of a request of a node.
--- a/tests/support/workers.rs
+++ b/tests/support/workers.rs
@@ -24,9 +24,9 @@
     /// Current state of the task.
     pub state: TaskState,
     /// Why the task has exited, if it has.
-    pub why: Option<String>,
+    pub end_reason: Option<String>,
     /// Time of the next transition: the end of the fetch or of the run.
-    pub at: u64,
+    pub next_transition_at: u64,
 }
 
 /// A machine and the worker on it.
@@ -46,13 +46,13 @@
     /// Whether the machine still exists.
     pub alive: bool,
     /// Whether the worker is unreachable: it sends no heartbeats, and nothing reaches it.
-    pub cut: bool,
+    pub unreachable: bool,
     /// Whether the worker's heartbeats are lost, while direct commands reach it.
-    pub mute: bool,
+    pub heartbeats_lost: bool,
     /// Time until which the worker hangs: it does nothing, and messages to it wait.
     pub hung_until: u64,
     /// Whether all tasks on the worker fail as soon as they start.
-    pub sick: bool,
+    pub fails_tasks: bool,
     /// Incarnation of the worker: 1 at first, and one more each time its lease expires.
     pub incarnation: u64,
     /// Sequence number of the last heartbeat in this incarnation.
@@ -102,7 +102,7 @@
                     task: format!("{}/{}", known.job, known.task),
                     attempt: known.attempt,
                     state: known.state,
-                    end_reason: known.why.clone(),
+                    end_reason: known.end_reason.clone(),
                 })
                 .collect(),
         }
@@ -115,9 +115,9 @@
         matches!(self.state, TaskState::Running | TaskState::Saving)
     }
 
-    fn exit(&mut self, why: &str) {
+    fn exit(&mut self, end_reason: &str) {
         self.state = TaskState::Exited;
-        self.why = Some(why.into());
+        self.end_reason = Some(end_reason.into());
     }
 }
 
@@ -134,15 +134,15 @@
     }
 
     /// Starts and ends tasks whose transition is due. Returns the tasks that were started.
-    fn advance_tasks(&mut self, now: u64, run_ms: u64) -> Vec<(String, u32)> {
+    fn advance_tasks(&mut self, now: u64, task_duration_ms: u64) -> Vec<(String, u32)> {
         let mut started = Vec::new();
-        for task in self.tasks.iter_mut().filter(|task| now >= task.at) {
+        for task in self.tasks.iter_mut().filter(|task| now >= task.next_transition_at) {
             if task.state == TaskState::Fetching {
                 task.state = TaskState::Running;
-                task.at = now + run_ms;
+                task.next_transition_at = now + task_duration_ms;
                 started.push((task.job.clone(), task.task));
                 self.changed = true;
-                if self.sick {
+                if self.fails_tasks {
                     task.exit("error");
                 }
             } else if task.state == TaskState::Running {
@@ -164,7 +164,7 @@
 
     fn is_heartbeat_due(&self, now: u64) -> bool {
         let has_news = self.changed && now >= self.heartbeat_at + 500;
-        self.in_flight.is_none() && (now >= self.next_at || has_news) && !self.cut
+        self.in_flight.is_none() && (now >= self.next_at || has_news) && !self.unreachable
     }
 
     fn note_sent(&mut self, id: u64, now: u64, interval: u64) {
@@ -192,8 +192,8 @@
                     task,
                     attempt: command.attempt,
                     state: if busy { TaskState::Exited } else { TaskState::Fetching },
-                    why: busy.then(|| "in_use".into()),
-                    at: now + fetch_ms,
+                    end_reason: busy.then(|| "in_use".into()),
+                    next_transition_at: now + fetch_ms,
                 });
             }
             (CommandAction::Stop, Some(found)) if self.tasks[found].state != TaskState::Exited => {
@@ -249,10 +249,10 @@
             rented_at: self.now,
             up_at,
             alive: true,
-            cut: false,
-            mute: false,
+            unreachable: false,
+            heartbeats_lost: false,
             hung_until: 0,
-            sick: false,
+            fails_tasks: false,
             incarnation: 1,
             sequence: 0,
             fencing_token: 0,
@@ -292,7 +292,7 @@
         if now < worker.hung_until {
             return;
         }
-        let started = worker.advance_tasks(now, self.run_ms);
+        let started = worker.advance_tasks(now, self.task_duration_ms);
         worker.time_out_heartbeat(now, self.node_count);
         if worker.is_heartbeat_due(now) {
             let interval = if self.size.has_frequent_heartbeats() {
@@ -303,7 +303,7 @@
             let id = self.sequence + 1;
             worker.note_sent(id, now, interval);
             let (node, heartbeat) = (worker.node, Box::new(worker.heartbeat()));
-            if !worker.mute && !self.network.is_cut(node, WORKERS) {
+            if !worker.heartbeats_lost && !self.network.is_cut(node, WORKERS) {
                 self.push(2, Event::WorkerHeartbeat { worker: index, id, node, heartbeat });
             }
         }
@@ -318,7 +318,7 @@
         let nodes = self.node_count;
         let worker = &mut self.workers[index];
         let Some(heartbeat) = worker.in_flight.filter(|heartbeat| heartbeat.id == id) else { return };
-        if !worker.alive || worker.cut || now > heartbeat.sent_at + HEARTBEAT_TIMEOUT_MS {
+        if !worker.alive || worker.unreachable || now > heartbeat.sent_at + HEARTBEAT_TIMEOUT_MS {
             return;
         }
         worker.in_flight = None;
@@ -354,7 +354,7 @@
     /// Delivers direct commands to a worker.
     pub(super) fn on_direct_commands(&mut self, index: usize, direct: DirectCommands) {
         let worker = &mut self.workers[index];
-        if !worker.alive || worker.cut {
+        if !worker.alive || worker.unreachable {
             return;
         }
         // The response to direct commands is a heartbeat and takes a sequence number.
