--- a/crates/cells/src/message.rs
+++ b/crates/cells/src/message.rs
@@ -48,7 +48,7 @@
     pub epoch: u64,
     /// Whether the host must give the job back.
     pub is_recalled: bool,
-    /// Description of the job (JSON), sent only until the host has accepted the job.
+    /// Specification of the job (JSON), sent only until the host has accepted the job.
     pub spec: Option<Vec<u8>>,
 }
 
--- a/crates/recovery/src/disposition.rs
+++ b/crates/recovery/src/disposition.rs
@@ -1,5 +1,5 @@
 //! The leader's side of recovery: which attempts a new leader keeps from the placement records,
-//! which it adopts from a shard owner's state message, and which it considers gone.
+//! which it adopts from a shard owner's reported state, and which it considers gone.
 
 /// Decision of the leader on an attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -56,7 +56,7 @@
     }
 }
 
-/// Whether a shard owner's state message proves that an attempt is gone. It does if it does not
+/// Whether a shard owner's reported state proves that an attempt is gone. It does if it does not
 /// list the attempt and answers a desired state that named it: before that, the shard owner may
 /// not have known of the attempt.
 ///
--- a/crates/recovery/tests/verdicts.rs
+++ b/crates/recovery/tests/verdicts.rs
@@ -165,7 +165,8 @@
         fencing_token in 8_u64..=TOKEN,
     ) {
         let [
-            is_wanted, is_live, is_cancelled, can_checkpoint, is_recorded, was_listed, machine_accepts_starts,
+            is_wanted, is_live, is_cancelled, can_checkpoint, is_recorded, was_listed,
+            machine_accepts_starts,
         ] = flags;
         let state = AttemptState { phase, is_wanted, start_sent: None };
         let job = JobEligibility { is_live, is_cancelled, can_checkpoint };
--- a/src/core/common/context/mod.rs
+++ b/src/core/common/context/mod.rs
@@ -29,10 +29,11 @@
 use std::sync::Arc;
 use woadlever_recovery::worker::Timing;
 
-/// Machines and tasks in state messages that one full core is assumed to process per
-/// millisecond alongside its other work. Determines how far apart large state messages are.
+/// Machines and tasks in desired and reported states that one full core is assumed to process per
+/// millisecond alongside its other work. Determines how far apart large states are sent.
 const ITEMS_PER_MS: f64 = 50.0;
-/// Lower bound, in cores, on the CPU limit assumed for the interval between state messages.
+/// Lower bound, in cores, on the CPU limit assumed for the interval between two
+/// desired or reported states.
 const MIN_CPU_CORES: f64 = 0.01;
 /// Maximum number of instances that one call to the cloud terminates.
 pub const MAX_TERMINATIONS: usize = 100;
@@ -161,9 +162,9 @@
         self.control_lease.is_valid(self.clock.now())
     }
 
-    /// Returns the interval between two state messages or scheduling cycles. It grows with the
-    /// number of items in one, so that their cost stays a fixed part of the CPU limit whatever
-    /// the size of the fleet.
+    /// Returns the interval between two desired or reported states, or two scheduling cycles. It
+    /// grows with the number of items in one, so that their cost stays a fixed part of the CPU
+    /// limit whatever the size of the fleet.
     pub fn load_adjusted_interval(&self, base: Ms, size: usize) -> Ms {
         let cpu = self.platform.cluster.limits.cpu.clamp(MIN_CPU_CORES, 1.0);
         base + (size as f64 / (ITEMS_PER_MS * cpu)) as Ms
--- a/src/core/leader/cells/acceptance.rs
+++ b/src/core/leader/cells/acceptance.rs
@@ -40,11 +40,11 @@
         let record = host_record(leader, context, &origin.cell, job, running);
         let is_new = record == HostRecord::Unknown && listing == Listing::Active;
         if is_new && job.spec.is_none() {
-            // The job's description follows in a later message.
+            // The job's specification follows in a later message.
             return None;
         }
-        // Also `None` if this software version can't parse the description: the job can't be
-        // hosted then.
+        // Also `None` if this software version can't parse the specification: the job can't
+        // be hosted then.
         let spec = job.spec.as_deref().and_then(|json| serde_json::from_slice(json).ok());
         if is_new && self.creations.contains_key(&job.id) {
             // This leader has already decided to accept the job, so only the write is retried.
@@ -93,8 +93,8 @@
         }
     }
 
-    /// Writes the first record of another cell's job: a hosted job if its description is given, or
-    /// else a tombstone.
+    /// Writes the first record of another cell's job: a hosted job if its specification is given,
+    /// or else a tombstone.
     fn create_record(
         &mut self,
         leader: &Leader,
--- a/src/core/leader/cells/messages.rs
+++ b/src/core/leader/cells/messages.rs
@@ -11,7 +11,7 @@
 
 /// Interval between two messages to the other cells.
 const SEND_INTERVAL_MS: Ms = 500;
-/// Maximum number of job descriptions in one message. The rest follows in the next messages.
+/// Maximum number of job specifications in one message. The rest follows in the next messages.
 const MAX_SPECS_PER_MESSAGE: usize = 64;
 
 impl Cells {
@@ -69,8 +69,8 @@
         ForwardedState { lease_until_ms: self.lease_until_ms(context, cell), jobs }
     }
 
-    /// Returns the time of day until which a cell may run jobs of this one, or 0 if it may not run
-    /// any.
+    /// Returns the wall-clock time until which a cell may run jobs of this one, or 0 if it may not
+    /// run any.
     fn lease_until_ms(&self, context: &NodeContext, cell: &str) -> u64 {
         let Some(hosted) = self.neighbors[cell].hosted() else { return 0 };
         let Some(renewed_at) = context.control_lease.renewed_at() else { return 0 };
@@ -96,7 +96,7 @@
     }
 }
 
-/// Encodes the description of a job for its host, as JSON. Its priority is the job's effective
+/// Encodes the specification of a job for its host, as JSON. Its priority is the job's effective
 /// one, which takes the jobs that depend on it into account.
 fn encoded_spec(job: &LiveJob) -> Option<Vec<u8>> {
     let spec = JobSpec { priority: job.priority, ..(*job.spec).clone() };
--- a/src/core/leader/fleet/mod.rs
+++ b/src/core/leader/fleet/mod.rs
@@ -123,7 +123,7 @@
         self.predecessor_settled_at = Some(context.clock.now());
     }
 
-    /// Continues the window that a previous leader started at `at_ms`, a time of day.
+    /// Continues the window that a previous leader started at the wall-clock time `at_ms`.
     pub(crate) fn resume(&mut self, context: &NodeContext, at_ms: u64, history: History) {
         let now = context.clock.now();
         let age = context.clock.wall().saturating_sub(at_ms);
--- a/src/core/leader/inherited_urgency.rs
+++ b/src/core/leader/inherited_urgency.rs
@@ -21,7 +21,7 @@
 pub(super) struct InheritedUrgency {
     /// Highest priority among the job and its dependents.
     pub priority: Priority,
-    /// Time of day, in seconds, by which the job has to finish so that it and all its
+    /// Wall-clock time, in seconds, by which the job has to finish so that it and all its
     /// dependents can meet their deadlines; `None` if none of them has one.
     pub finish_by_s: Option<f64>,
 }
--- a/src/core/leader/live_jobs.rs
+++ b/src/core/leader/live_jobs.rs
@@ -63,7 +63,7 @@
     pub backoff_until: Ms,
     /// Whether the job, together with the team's earlier jobs, is within the team's guarantee.
     pub is_within_guarantee: bool,
-    /// Time of day from which the job could be started.
+    /// Wall-clock time from which the job could be started.
     pub ready_at_ms: u64,
     /// Priority of the job, or a higher one of a job that depends on it.
     pub priority: Priority,
@@ -74,7 +74,7 @@
 }
 
 impl LiveJob {
-    /// Creates a job of which only the description is known.
+    /// Creates a job of which only the specification is known.
     pub(super) fn new(spec: Arc<JobSpec>, team: usize, ready_at_ms: u64) -> LiveJob {
         let tasks = spec.tasks;
         LiveJob {
@@ -101,8 +101,8 @@
         self.done.len() == self.spec.tasks
     }
 
-    /// Returns the seconds from when the job could be started until `wall_ms`, a time of day in
-    /// milliseconds.
+    /// Returns the seconds from when the job could be started until `wall_ms`, a wall-clock
+    /// time in milliseconds.
     pub(super) fn age_s(&self, wall_ms: u64) -> f64 {
         wall_ms.saturating_sub(self.ready_at_ms) as f64 / 1000.0
     }
--- a/src/core/leader/mod.rs
+++ b/src/core/leader/mod.rs
@@ -118,7 +118,7 @@
 /// window.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub(super) struct FleetRecord {
-    /// Time of day at which the window began.
+    /// Wall-clock time at which the window began.
     #[serde(rename = "at", default)]
     pub at_ms: u64,
     /// Number of usable machines, by label of the machine type.
--- a/src/core/leader/progress/completion.rs
+++ b/src/core/leader/progress/completion.rs
@@ -17,7 +17,7 @@
 #[derive(Debug)]
 pub struct FinalStateWrite {
     job: JobIndex,
-    /// Time of day that the record gives for the end of the job.
+    /// Wall-clock time that the record gives for the end of the job.
     done_ms: u64,
     /// Progress records that the same request deletes.
     deleted: Vec<ProgressSegment>,
--- a/src/core/shard_owner/desired_state.rs
+++ b/src/core/shard_owner/desired_state.rs
@@ -254,7 +254,7 @@
         Some(DesiredVersion { term: Term::new(message.term), serial: message.serial });
     shard.has_unreported_changes = true;
     shard.rejected_attempts.retain(|id| desired.wanted.contains_key(id));
-    // The leader treats an attempt that is missing from our next state message as never bound
+    // The leader treats an attempt that is missing from our next reported state as never bound
     // and admits its task elsewhere. So an attempt whose job is still unknown here is rejected
     // permanently: if a later desired state bound it, the task would run twice.
     shard.rejected_attempts.extend(&desired.of_unknown_jobs);
--- a/src/core/shard_owner/lapsed_admissions.rs
+++ b/src/core/shard_owner/lapsed_admissions.rs
@@ -8,7 +8,7 @@
 use crate::core::common::context::NodeContext;
 
 impl ShardOwner {
-    /// Drops attempts that can no longer be recorded, before the next state message would report
+    /// Drops attempts that can no longer be recorded, before the next reported state would name
     /// them to the leader.
     pub(super) fn drop_lapsed_admissions(&mut self, context: &NodeContext) {
         let Some(term) = context.leadership.term() else { return };
--- a/src/core/shard_owner/mod.rs
+++ b/src/core/shard_owner/mod.rs
@@ -23,7 +23,7 @@
 //! - [`worker_commands`], [`direct_commands`]: commands to workers;
 //! - [`reconciliation`]: conclusions about attempts from heartbeats and ended leases;
 //! - [`placement_records`], [`loading`]: the stored records of the attempts on machines;
-//! - [`reported_state`], [`load_projection`]: state messages to the leader.
+//! - [`reported_state`], [`load_projection`]: reported states, sent to the leader.
 
 mod attempt;
 mod binding;
@@ -58,7 +58,7 @@
 const CHECK_INTERVAL_MS: Ms = 250;
 /// Interval between load projections of all machines; longer if there are many machines.
 const PROJECTION_INTERVAL_MS: Ms = 1_000;
-/// Number of machines whose load projection costs as much as one item of a state message.
+/// Number of machines whose load projection costs as much as one item of a reported state.
 const MACHINES_PER_PROJECTION_ITEM: usize = 4;
 /// Maximum number of placement records that one page read requests.
 const RECORDS_PER_PAGE: u32 = 1_000;
--- a/src/core/shard_owner/owned_shard.rs
+++ b/src/core/shard_owner/owned_shard.rs
@@ -26,8 +26,8 @@
 pub(super) struct DesiredVersion {
     /// Term of the leader that sent it.
     pub(super) term: Term,
-    /// Serial number that increases with each message of the term; state messages to the leader
-    /// answer it.
+    /// Serial number that increases with each message of the term; reported states answer
+    /// it.
     pub(super) serial: u64,
 }
 
@@ -68,11 +68,11 @@
     pub(super) rejected_attempts: FxHashSet<AttemptId>,
     pub(super) parked_desired_state: Option<ParkedDesiredState>,
     pub(super) waiting_tasks: Vec<WaitingTaskCount>,
-    /// Whether there are changes that no state message has reported to the leader.
+    /// Whether there are changes that no reported state has told the leader.
     pub(super) has_unreported_changes: bool,
-    /// When the last state message was sent.
+    /// When the last reported state was sent.
     pub(super) reported_at: Option<Ms>,
-    /// Number of machines and tasks in the last state message.
+    /// Number of machines and tasks in the last reported state.
     pub(super) reported_items: usize,
     pub(super) records: ShardRecords,
 }
@@ -112,9 +112,9 @@
     }
 
     /// Rejects attempts that are proven gone and marks their records as outdated. A desired state
-    /// in flight may still allow binding them, while our next state message omits them and so makes
-    /// the leader admit their tasks elsewhere. If they were bound again here, the tasks would run
-    /// twice.
+    /// in flight may still allow binding them, while our next reported state omits them and so
+    /// makes the leader admit their tasks elsewhere. If they were bound again here, the tasks would
+    /// run twice.
     pub(super) fn reject_gone_attempts(&mut self, gone: impl IntoIterator<Item = GoneAttempt>, now: Ms) {
         for attempt in gone {
             self.rejected_attempts.insert(attempt.id);
--- a/src/core/shard_owner/reported_state.rs
+++ b/src/core/shard_owner/reported_state.rs
@@ -1,5 +1,5 @@
-//! State messages to the leader: the machines of a shard, the attempts that may be on them and
-//! their projected load.
+//! Reported states, sent to the leader: the machines of a shard, the attempts that may be on them
+//! and their projected load.
 
 use super::ShardOwner;
 use super::attempt::Attempt;
@@ -15,18 +15,18 @@
 use rustc_hash::FxHashMap;
 use woadlever_recovery::attempt::AttemptPhase;
 
-/// Minimum interval between state messages of a shard; longer if the shard is large.
+/// Minimum interval between reported states of a shard; longer if the shard is large.
 const MIN_REPORT_INTERVAL_MS: Ms = 60;
-/// Interval between state messages of a shard while nothing changes.
+/// Interval between reported states of a shard while nothing changes.
 const IDLE_REPORT_INTERVAL_MS: Ms = 1_000;
-/// Value of `answered_serial` in a state message sent before any desired state of the term was
+/// Value of `answered_serial` in a reported state sent before any desired state of the term was
 /// applied.
 const NO_DESIRED_STATE: u64 = 0;
 /// Value of `silent_ms` for a machine that has never sent a heartbeat.
 const NEVER_HEARD_MS: u64 = u64::MAX;
 
 impl ShardOwner {
-    /// Sends the state messages that are due to the leader, if a leader is known.
+    /// Sends the reported states that are due to the leader, if a leader is known.
     pub(super) fn report_to_leader(&mut self, context: &mut NodeContext) {
         let Some(KnownLeader { record: leader, term }) = context.leadership.current().cloned() else {
             return;
@@ -79,7 +79,7 @@
     builder.report
 }
 
-/// Builds a state message.
+/// Builds a reported state.
 struct ReportBuilder {
     report: ReportedState,
     /// Row index of each job in the message.
--- a/src/model/job_spec.rs
+++ b/src/model/job_spec.rs
@@ -1,4 +1,4 @@
-//! The description of a job as submitted by a user.
+//! The specification of a job as submitted by a user.
 
 use super::Resources;
 use serde::{Deserialize, Serialize};
@@ -20,7 +20,8 @@
     Production,
 }
 
-/// Description of an accepted job, which is written once. Short field names keep its record small.
+/// Specification of an accepted job, which is written once. Short field names keep its record
+/// small.
 #[derive(Debug, Clone, Serialize, Deserialize, PartialEq)]
 pub struct JobSpec {
     /// Class of jobs that it belongs to.
--- a/src/wire/store/job_record.rs
+++ b/src/wire/store/job_record.rs
@@ -5,24 +5,24 @@
 use serde::{Deserialize, Serialize};
 use woadlever_cells::record::{Forwarding, Origin};
 
-/// Record `w/job/<id>`. The record of a final job contains no description of the job.
+/// Record `w/job/<id>`. The record of a final job contains no specification of the job.
 ///
 /// Versions that predate job dependencies and cells also read these records, and ignore fields
-/// that they don't know. The description of a job that waits for other jobs, or that another cell
+/// that they don't know. The specification of a job that waits for other jobs, or that another cell
 /// hosts, is therefore kept in a separate field: a leader of such a version, which would start the
-/// job at once, finds no description to start it from, while users still get the same answers.
+/// job at once, finds no specification to start it from, while users still get the same answers.
 #[derive(Debug, Clone, Serialize, Deserialize, PartialEq)]
 pub struct JobRecord {
     /// State of the job.
     #[serde(rename = "s")]
     pub state: JobState,
-    /// Description of a live job that may start.
+    /// Specification of a live job that may start.
     #[serde(rename = "j", default, skip_serializing_if = "Option::is_none")]
     spec: Option<JobSpec>,
     /// Number of tasks. It is kept for answers to users about a final job.
     #[serde(rename = "n", default)]
     pub tasks: u32,
-    /// Description of a job that waits for the jobs it depends on.
+    /// Specification of a job that waits for the jobs it depends on.
     #[serde(rename = "p", default, skip_serializing_if = "Option::is_none")]
     waiting_spec: Option<JobSpec>,
     /// Jobs that the job depends on: the digits of their ids, separated by spaces.
@@ -35,7 +35,7 @@
     /// The cell that the job has been forwarded to, if any, and the state of the forwarding.
     #[serde(rename = "f", default, skip_serializing_if = "Option::is_none")]
     pub forwarding: Option<Forwarding>,
-    /// Description of a job that another cell hosts.
+    /// Specification of a job that another cell hosts.
     #[serde(rename = "q", default, skip_serializing_if = "Option::is_none")]
     forwarded_spec: Option<JobSpec>,
     /// The cell that a hosted job belongs to; `None` for a job of this cell.
@@ -111,7 +111,7 @@
         }
     }
 
-    /// Returns the description, if the job is live, and the ids of the jobs it depends on.
+    /// Returns the specification, if the job is live, and the ids of the jobs it depends on.
     pub fn into_parts(self) -> (Option<JobSpec>, Vec<String>) {
         let digits = self.dependencies.split_ascii_whitespace();
         let ids = digits.map(|digits| format!("{ID_PREFIX}{digits}")).collect();
--- a/src/wire/users.rs
+++ b/src/wire/users.rs
@@ -135,7 +135,7 @@
 pub struct Submission {
     /// Id of the job.
     pub id: String,
-    /// Description of the job.
+    /// Specification of the job.
     pub spec: JobSpec,
     /// Ids of the jobs that it depends on, without duplicates, in the order of the submission. An
     /// error in them only matters once the job is known to be new: a repeated submission of an
--- a/tests/final_jobs/clusters.rs
+++ b/tests/final_jobs/clusters.rs
@@ -1,4 +1,4 @@
-//! Clusters with many final jobs on record.
+//! Clusters with many recorded final jobs.
 
 use crate::support::store::StoredRecord;
 use crate::support::{World, ZONES, job};
@@ -7,7 +7,7 @@
 use woadlever::core::common::job_table::{FINAL_JOBS_BATCH, MAX_FINAL_JOBS};
 use woadlever::wire::workers::{HeartbeatTask, TaskState};
 
-/// Number of final jobs on record: those of one day at an operator, 26 a minute, and 100,000 more.
+/// Number of recorded final jobs: those of one day at an operator, 26 a minute, and 100,000 more.
 const RECORDED_JOBS: u32 = 26 * 60 * 24 + 100_000;
 const FIRST_OLD_JOB: u32 = 500_000;
 
@@ -38,7 +38,7 @@
     }
 }
 
-/// Returns three nodes that have just been restarted with final jobs on record: those with even
+/// Returns three nodes that have just been restarted with recorded final jobs: those with even
 /// numbers are done, those with odd numbers cancelled.
 fn restarted_with(final_jobs: u32, seed: u64) -> World {
     let mut world = World::new(3, seed);
--- a/tests/final_jobs/job_table.rs
+++ b/tests/final_jobs/job_table.rs
@@ -13,7 +13,7 @@
     NodeContext::new(Arc::new(platform(0, 3)), Operator::default(), 1, 1, 1_000)
 }
 
-/// Returns the record of an accepted job, with its description.
+/// Returns the record of an accepted job, with its specification.
 fn live_record() -> JobRecord {
     let body = job(1, "t1", 2, 5.0).to_string();
     let submission = woadlever::wire::users::parse_submission(body.as_bytes()).expect("a submission");
--- a/tests/pipelines/upgrade.rs
+++ b/tests/pipelines/upgrade.rs
@@ -262,8 +262,8 @@
     }
     assert_eq!(live, 31);
 
-    // A leader of the production version finds no description in the record of a job that awaits
-    // others, and so can't start the job.
+    // A leader of the production version finds no specification in the record of a job that
+    // awaits others, and so can't start the job.
     let mut world = world(24);
     world.accept(0, &stage(1, &[]));
     world.accept(0, &stage(2, &[1]));
--- a/tests/recovery.rs
+++ b/tests/recovery.rs
@@ -344,7 +344,7 @@
     world.accept(0, &job(1, "t1", 8, 5.0));
     assert!(world.until_done("run-000001", 120_000));
 
-    // Idle machines are drained; the nodes crash once a termination is on record.
+    // Idle machines are drained; the nodes crash once a termination is recorded.
     let terminating = |world: &World| -> Vec<String> {
         let records = world.store.records_under("place/");
         let rows =
--- a/tests/scenarios/scale.rs
+++ b/tests/scenarios/scale.rs
@@ -66,8 +66,9 @@
     // each forecast window.
     let requests = per_second(world.store.requests - requests);
     assert!(requests < 3.0, "{requests} requests a second");
-    // Two peer heartbeats a second in each direction make 12 frames a second. Two state messages a
-    // second in both directions, for each of the two shards that the leader doesn't own, make 8 more.
+    // Two peer heartbeats a second in each direction make 12 frames a second. Two desired and
+    // two reported states a second, for each of the two shards that the leader doesn't own, make 8
+    // more.
     let frames = per_second(world.network.frames - frames);
     assert!(frames < 21.0, "{frames} frames a second");
     assert!(world.cloud.calls - calls < 25, "{} calls to the cloud", world.cloud.calls - calls);
--- a/tests/support/cells.rs
+++ b/tests/support/cells.rs
@@ -103,8 +103,8 @@
         self.worlds[0].now
     }
 
-    /// Submits a job to one cell until it is accepted; panics after 60 attempts. The description
-    /// of the job is registered in all cells, because any of them may run its tasks.
+    /// Submits a job to one cell until it is accepted; panics after 60 attempts. The
+    /// specification of the job is registered in all cells, because any of them may run its tasks.
     pub fn accept(&mut self, cell: usize, body: &Value) {
         let id = body["name_id"].as_str().unwrap().to_string();
         for world in &mut self.worlds {
--- a/tests/support/events.rs
+++ b/tests/support/events.rs
@@ -131,7 +131,7 @@
                 }
             }
             Output::SendCellMessage { cell, message } => {
-                self.network.cell_messages.push((cell, *message))
+                self.network.cell_messages.push((cell, *message));
             }
             Output::Reconnect { to } => self.network.reconnects.push((node, to)),
         }
--- a/tests/support/oracle.rs
+++ b/tests/support/oracle.rs
@@ -29,7 +29,7 @@
         self.cpus > self.max_cpus + QUOTA_TOLERANCE || self.gpus > self.max_gpus + QUOTA_TOLERANCE
     }
 
-    /// Adds one task of a job with this description.
+    /// Adds one task of a job with this specification.
     fn add(&mut self, spec: &Value) {
         self.cpus += spec["cores"].as_f64().unwrap_or(0.0);
         self.gpus += spec["cards"].as_f64().unwrap_or(0.0);
--- a/tests/support/recorded_attempts.rs
+++ b/tests/support/recorded_attempts.rs
@@ -1,6 +1,6 @@
 //! Checks that every attempt is first recorded under the leader that admitted it.
 //!
-//! A leader counts the attempts that it admits and those on record when its term begins. An
+//! A leader counts the attempts that it admits and those recorded when its term begins. An
 //! attempt of an earlier leader that is recorded only later would not be counted. So an attempt
 //! may be recorded for the first time only during the term of the leader that admitted it.
 
