--- a/src/core/leader/cells/capacity.rs
+++ b/src/core/leader/cells/capacity.rs
@@ -13,7 +13,7 @@
 /// the maximum of one call to the cloud. A larger fleet is assumed to be able to double.
 const MIN_REQUESTABLE_INSTANCES: u32 = 50;
 /// Interval between two counts. It is extended for a large fleet, because each count visits all
-/// machines.
+/// instances.
 const REFRESH_INTERVAL_MS: Ms = 1_000;
 
 /// Converts an amount of resources to the form used in messages between cells.
--- a/src/core/leader/cells/forwarded_jobs.rs
+++ b/src/core/leader/cells/forwarded_jobs.rs
@@ -32,7 +32,7 @@
         ForwardObservation { version, since: now, idle_since: now, is_refusal_counted: false }
     }
 
-    /// Updates the version, and restarts the time in it if it has changed.
+    /// Updates the version. If it has changed, the job is in a new state from now on.
     fn update(&mut self, version: u64, now: Ms) {
         if self.version != version {
             self.version = version;
@@ -69,7 +69,7 @@
             HostedPhase::Live { running, .. } => running_now = running,
             HostedPhase::Refused { .. } | HostedPhase::Released => {}
         }
-        job.location = JobLocation::Away { running: running_now };
+        job.location = JobLocation::Forwarded { running: running_now };
         if running_now > 0 {
             self.record_running(context, index, cell);
         }
@@ -95,7 +95,7 @@
             let (forwarding, event) = match self.next_step(leader, context, index, &forwarding) {
                 OriginStep::Wait => continue,
                 OriginStep::Finish => {
-                    // The scheduler writes the final state of a job once all its tasks are done.
+                    // `Leader::record` writes the final state of a job once all its tasks are done.
                     if let Some(job) = leader.jobs.get_mut(&index) {
                         job.apply_remote_completion();
                     }
--- a/src/core/leader/cells/hosted_jobs.rs
+++ b/src/core/leader/cells/hosted_jobs.rs
@@ -92,8 +92,8 @@
             .retain(|id, state| *state == WriteState::InFlight || listed.contains(id.as_str()));
     }
 
-    /// Cancels hosted jobs whose origin cell has been silent for very long, or is no longer in the
-    /// settings.
+    /// Cancels hosted jobs whose origin cell's lease ended long ago, because the cell is silent or
+    /// no longer in the settings.
     pub(super) fn cancel_abandoned(&mut self, leader: &mut Leader, context: &mut NodeContext) {
         let hosted = leader.jobs.iter().filter(|(_, job)| job.is_hosted()).map(|(index, _)| *index);
         let abandoned: Vec<JobIndex> = hosted.filter(|job| is_abandoned(context, *job)).collect();
--- a/src/core/leader/cells/record_writes.rs
+++ b/src/core/leader/cells/record_writes.rs
@@ -25,7 +25,7 @@
         /// The job.
         job: JobIndex,
     },
-    /// Changes the record of a moving job later on.
+    /// Changes the record of a job that is already forwarded or hosted.
     ChangeRecord(Box<RecordChange>),
     /// Creates the first record of another cell's job: a hosted job or a tombstone.
     CreateRecord {
@@ -34,7 +34,7 @@
         /// The new record.
         record: Box<JobRecord>,
     },
-    /// Extends the lease of another cell.
+    /// Extends the lease under which this cell runs the jobs of another cell.
     ExtendLease {
         /// Name of the origin cell.
         cell: String,
--- a/src/core/leader/desired_states.rs
+++ b/src/core/leader/desired_states.rs
@@ -17,7 +17,7 @@
 /// Time after which a desired state is sent again although nothing has changed.
 const UNCHANGED_INTERVAL_MS: Ms = 500;
 /// How long a desired state lists an instance after the cloud has confirmed its termination.
-const GONE_KEPT_MS: Ms = 30_000;
+const TERMINATED_RETENTION_MS: Ms = 30_000;
 /// Expected run time of a task whose job the leader doesn't know, in seconds.
 const UNKNOWN_RUN_S: f64 = 1.0;
 
@@ -78,7 +78,9 @@
             shard.dirty = false;
             shard.sent_at = Some(now);
             shard.serial += 1;
-            shard.terminated_instances.retain(|instance| instance.confirmed_at + GONE_KEPT_MS > now);
+            shard
+                .terminated_instances
+                .retain(|instance| instance.confirmed_at + TERMINATED_RETENTION_MS > now);
             due.push(ShardIndex::from_usize(index));
         }
         due
--- a/src/core/leader/live_jobs.rs
+++ b/src/core/leader/live_jobs.rs
@@ -10,9 +10,9 @@
 use rustc_hash::FxHashSet;
 use std::sync::Arc;
 
-/// Number of machines on which a job's tasks have to fail before the job itself is considered at
+/// Number of instances on which a job's tasks have to fail before the job itself is considered at
 /// fault.
-const FAULTY_JOB_MACHINES: usize = 3;
+const FAULTY_JOB_INSTANCES: usize = 3;
 /// Initial backoff of a job that is at fault. Further failures double it, up to a limit.
 const FAULTY_JOB_BACKOFF_MS: Ms = 2_000;
 /// Number of failures after which each further one doubles the backoff.
@@ -26,13 +26,13 @@
     /// This cell, which the job belongs to.
     Local,
     /// Another cell.
-    Away {
+    Forwarded {
         /// Number of its tasks that run there.
         running: u32,
     },
     /// This cell, on behalf of the cell that the job belongs to.
     Hosted {
-        /// Whether the latest message of that cell lists the job.
+        /// Whether the latest message of that cell lists the job as active.
         is_listed: bool,
     },
 }
@@ -56,7 +56,7 @@
     retries: Vec<u32>,
     /// Number of failures of its tasks since the last success.
     failures: u32,
-    /// Machines on which its tasks have failed since the last success.
+    /// Instances on which its tasks have failed since the last success.
     failed_on: FxHashSet<InstanceIndex>,
     /// Time until which none of its tasks is admitted; `Ms::MAX` blocks admission until the value
     /// is reset.
@@ -109,7 +109,7 @@
 
     /// Whether only another cell may run the job.
     pub(super) fn is_forwarded(&self) -> bool {
-        matches!(self.location, JobLocation::Away { .. })
+        matches!(self.location, JobLocation::Forwarded { .. })
     }
 
     /// Whether the job belongs to another cell.
@@ -125,8 +125,8 @@
     /// Updates which cell runs the job from the job's record.
     pub(super) fn update_location(&mut self, job: &Job) {
         self.location = match (job.is_forwarded(), job.origin(), self.location) {
-            (true, _, JobLocation::Away { running }) => JobLocation::Away { running },
-            (true, _, _) => JobLocation::Away { running: 0 },
+            (true, _, JobLocation::Forwarded { running }) => JobLocation::Forwarded { running },
+            (true, _, _) => JobLocation::Forwarded { running: 0 },
             (false, Some(_), JobLocation::Hosted { is_listed }) => JobLocation::Hosted { is_listed },
             (false, Some(_), _) => JobLocation::Hosted { is_listed: false },
             (false, None, _) => JobLocation::Local,
@@ -139,7 +139,7 @@
         self.progress.apply_record(segment, bits, version);
     }
 
-    /// Marks the tasks as done that another cell has finished; `bits` are hexadecimal digits.
+    /// Marks the tasks that another cell has finished as done; `bits` are hexadecimal digits.
     pub(super) fn apply_remote_progress(&mut self, bits: &str) {
         let mut done = TaskSet::with_capacity(self.spec.tasks);
         done.add_hex(0, bits);
@@ -174,12 +174,12 @@
         is_new
     }
 
-    /// Handles the failure of an attempt on a machine. Returns whether the job itself is
+    /// Handles the failure of an attempt on an instance. Returns whether the job itself is
     /// considered at fault, in which case it backs off.
-    pub(super) fn on_task_failed(&mut self, now: Ms, machine: InstanceIndex) -> bool {
+    pub(super) fn on_task_failed(&mut self, now: Ms, instance: InstanceIndex) -> bool {
         self.failures += 1;
-        self.failed_on.insert(machine);
-        let is_at_fault = self.failed_on.len() >= FAULTY_JOB_MACHINES;
+        self.failed_on.insert(instance);
+        let is_at_fault = self.failed_on.len() >= FAULTY_JOB_INSTANCES;
         if is_at_fault {
             let repeated = self.failures.saturating_sub(FAILURES_BEFORE_DOUBLING);
             let factor = 1 << repeated.min(MAX_BACKOFF_DOUBLINGS);
--- a/src/core/leader/task_counts.rs
+++ b/src/core/leader/task_counts.rs
@@ -28,7 +28,7 @@
         }
         let counts = self.jobs.iter().map(|(index, live)| {
             let running = match live.location {
-                JobLocation::Away { running } => running,
+                JobLocation::Forwarded { running } => running,
                 JobLocation::Local | JobLocation::Hosted { .. } => {
                     running_here.get(index).copied().unwrap_or(0)
                 }
