--- a/src/core/leader/attempts.rs
+++ b/src/core/leader/attempts.rs
@@ -24,9 +24,10 @@
     Record,
     /// This leader has admitted the attempt.
     Admission,
-    /// A heartbeat that carries the fencing token of the shard's owner.
+    /// A heartbeat of a worker that knows the fencing token of the shard's owner.
     Heartbeat,
-    /// None: the attempt has ended, even if a later owner of its shard still finds it in a record.
+    /// No evidence any more: the attempt has ended, even if a later owner of its shard still finds
+    /// it in a record.
     Ended,
 }
 
@@ -67,12 +68,15 @@
         self.phase.occupies_capacity()
     }
 
-    /// Updates the evidence from a reported phase. `is_fenced` tells whether the machine's
-    /// heartbeats carry the fencing token of the shard's owner.
-    pub(super) fn update_evidence(&mut self, phase: ReportedPhase, is_fenced: bool) {
+    /// Updates the evidence from a reported phase. `knows_fencing_token` is whether a heartbeat has
+    /// confirmed that the worker knows the fencing token of the shard's owner.
+    pub(super) fn update_evidence(&mut self, phase: ReportedPhase, knows_fencing_token: bool) {
         if !phase.occupies_capacity() {
             self.evidence = Evidence::Ended;
-        } else if is_fenced && phase != ReportedPhase::Bound && self.evidence != Evidence::Ended {
+        } else if knows_fencing_token
+            && phase != ReportedPhase::Bound
+            && self.evidence != Evidence::Ended
+        {
             self.evidence = Evidence::Heartbeat;
         }
     }
--- a/src/core/leader/rebuild.rs
+++ b/src/core/leader/rebuild.rs
@@ -131,7 +131,7 @@
                 self.ratios = record.ratios;
                 self.fleet.resume(context, record.at_ms, record.history);
             }
-            // Without a fleet record no window has ever begun, so there are no existing machines
+            // Without a fleet record no window has ever begun, so there are no existing instances
             // to wait for.
             (RecordKind::Fleet, StoreResponse::NotFound) => {
                 self.fleet.start_without_predecessor(context);
@@ -188,11 +188,11 @@
             return;
         };
         for machine in &record.machines {
-            let index = self.apply_recorded_machine(context, shard, machine, &record.types);
+            let instance = self.apply_recorded_machine(context, shard, machine, &record.types);
             for listed in machine.attempts(record.base) {
                 let Some(job) = record.jobs.get(listed.job) else { continue };
                 let shard = ShardIndex::from_usize(shard);
-                let attempt = recorded_attempt(context, shard, index, job, listed.task);
+                let attempt = recorded_attempt(context, shard, instance, job, listed.task);
                 self.attempts.insert(AttemptId::new(listed.attempt), attempt);
             }
         }
@@ -250,7 +250,7 @@
 fn recorded_attempt(
     context: &mut NodeContext,
     shard: ShardIndex,
-    machine: InstanceIndex,
+    instance: InstanceIndex,
     job: &RecordedJob,
     task: u32,
 ) -> Attempt {
@@ -263,7 +263,7 @@
         job: context.job_index_or_lookup(id),
         task,
         shard,
-        instance: Some(machine),
+        instance: Some(instance),
         may_bind: false,
         evidence: Evidence::Record,
         is_wanted: true,
--- a/src/core/leader/reconciliation.rs
+++ b/src/core/leader/reconciliation.rs
@@ -35,14 +35,15 @@
     }
 }
 
-/// An attempt in a reported state, with its shard and machine.
+/// An attempt in a reported state, with its shard and instance.
 struct ReportedAttempt<'a> {
     shard: ShardIndex,
-    machine: InstanceIndex,
+    instance: InstanceIndex,
     job: &'a ReportedJobInfo,
     task: &'a ReportedTask,
-    /// Whether the machine's heartbeats carry the fencing token of the shard's owner.
-    is_fenced: bool,
+    /// Whether a heartbeat has confirmed that the worker knows the fencing token of the shard's
+    /// owner.
+    knows_fencing_token: bool,
 }
 
 impl ReportedAttempt<'_> {
@@ -112,16 +113,16 @@
         for reported_machine in &reported.machines {
             let type_name =
                 reported.types.get(reported_machine.machine_type as usize).map_or("", String::as_str);
-            let machine = self.fleet.on_reported_machine(context, reported_machine, type_name, &zone);
-            let known = self.fleet.instances.get(machine);
+            let instance = self.fleet.on_reported_machine(context, reported_machine, type_name, &zone);
+            let known = self.fleet.instances.get(instance);
             if known.is_some_and(|instance| instance.shard != shard) {
                 continue;
             }
             for task in &reported_machine.tasks {
                 let Some(job) = jobs.get(task.job as usize) else { continue };
                 listed.insert(AttemptId::new(task.attempt));
-                let is_fenced = reported_machine.knows_fencing_token;
-                let attempt = ReportedAttempt { shard, machine, job, task, is_fenced };
+                let knows_fencing_token = reported_machine.knows_fencing_token;
+                let attempt = ReportedAttempt { shard, instance, job, task, knows_fencing_token };
                 self.apply_reported_attempt(context, &attempt);
             }
         }
@@ -186,7 +187,7 @@
     /// machine.
     fn adopt_attempt(&mut self, context: &NodeContext, reported: &ReportedAttempt) {
         let ReportedAttempt {
-            shard, machine, job: &ReportedJobInfo { job, team, demand }, task, ..
+            shard, instance, job: &ReportedJobInfo { job, team, demand }, task, ..
         } = *reported;
         let task_has_attempt = self.attempts.has_task(job, task.task);
         let live = self.jobs.get_mut(&job).filter(|live| !live.is_forwarded());
@@ -207,7 +208,7 @@
             job,
             task: task.task,
             shard,
-            instance: Some(machine),
+            instance: Some(instance),
             may_bind: false,
             evidence: Evidence::Record,
             is_wanted,
@@ -222,17 +223,17 @@
         self.log_decision(context, reported.decision_entry(Decision::Adopted { is_wanted }));
     }
 
-    /// Updates the machine, run time and phase of an attempt. Returns whether the phase has changed.
+    /// Updates the instance, run time and phase of an attempt. Returns whether the phase has changed.
     fn update_attempt(&mut self, reported: &ReportedAttempt) -> bool {
-        let ReportedAttempt { machine, task, is_fenced, .. } = *reported;
+        let ReportedAttempt { instance, task, knows_fencing_token, .. } = *reported;
         let Some(attempt) = self.attempts.get_mut(AttemptId::new(task.attempt)) else { return false };
-        if attempt.instance != Some(machine) || attempt.may_bind {
+        if attempt.instance != Some(instance) || attempt.may_bind {
             self.cycle_due = true;
         }
-        attempt.instance = Some(machine);
+        attempt.instance = Some(instance);
         attempt.may_bind = false;
         attempt.ran_ms = task.ran_ms;
-        attempt.update_evidence(task.state, is_fenced);
+        attempt.update_evidence(task.state, knows_fencing_token);
         let has_changed = attempt.phase != task.state;
         attempt.phase = task.state;
         has_changed
@@ -240,25 +241,25 @@
 
     /// Handles a success. The attempt is kept until the success is recorded.
     fn on_attempt_done(&mut self, reported: &ReportedAttempt) {
-        let ReportedAttempt { machine, job, task, .. } = *reported;
+        let ReportedAttempt { instance, job, task, .. } = *reported;
         let Some(live) = self.jobs.get_mut(&job.job) else { return };
         if live.on_task_succeeded(task.task) {
-            self.fleet.on_task_succeeded(machine);
+            self.fleet.on_task_succeeded(instance);
             learn_run_time(&mut self.ratios, &live.spec, task.ran_ms);
         } else if live.progress.is_recorded(task.task) {
             self.stop_attempt(AttemptId::new(task.attempt));
         }
     }
 
-    /// Handles a failure. After failures on several machines the job itself is considered at fault
-    /// and backs off; otherwise the failure counts against the machine.
+    /// Handles a failure. After failures on several instances the job itself is considered at fault
+    /// and backs off; otherwise the failure counts against the instance.
     fn on_attempt_failed(&mut self, context: &NodeContext, reported: &ReportedAttempt) {
-        let ReportedAttempt { machine, job, task, .. } = *reported;
+        let ReportedAttempt { instance, job, task, .. } = *reported;
         self.stop_attempt(AttemptId::new(task.attempt));
         let now = context.clock.now();
         let Some(live) = self.jobs.get_mut(&job.job) else { return };
-        if !live.on_task_failed(now, machine) {
-            self.fleet.on_task_failed(now, machine, job.job);
+        if !live.on_task_failed(now, instance) {
+            self.fleet.on_task_failed(now, instance, job.job);
         }
     }
 
