--- a/src/core/leader/fleet/cloud_calls/scale_out.rs
+++ b/src/core/leader/fleet/cloud_calls/scale_out.rs
@@ -94,7 +94,7 @@
         self.assign_to_overloaded(request.number, created);
     }
 
-    /// Assigns the new instances, one each, to the overloaded machines that the request was made
+    /// Assigns the new instances, one each, to the overloaded instances that the request was made
     /// for.
     fn assign_to_overloaded(&mut self, number: u64, created: Vec<InstanceIndex>) {
         let requested = Some(OverloadScaleOut::Requested(number));
--- a/src/core/leader/fleet/health_checks.rs
+++ b/src/core/leader/fleet/health_checks.rs
@@ -1,5 +1,5 @@
 //! Health checks: drains instances that are unhealthy or no longer needed, independently of the
-//! window rule, and preempts tasks on machines that the cloud is about to reclaim.
+//! window rule, and preempts tasks on instances that the cloud is about to reclaim.
 
 use super::instance::{Instance, InstancePhase};
 use super::mark_changed;
@@ -54,7 +54,7 @@
     /// When it last became possible to answer workers.
     control_lease_valid_since: Ms,
     worker_lease_ms: Ms,
-    /// Maximum age of a heartbeat that shows that a machine is up.
+    /// Maximum age of a heartbeat that shows that an instance is up.
     max_heartbeat_age_ms: Ms,
 }
 
@@ -72,13 +72,13 @@
     /// Returns why the instance must be drained, or `None` if it need not be.
     fn drain_reason(&self, instance: &Instance, boot_s: f64, is_busy: bool) -> Option<DrainReason> {
         let silent_ms = self.silent_ms(instance);
-        let was_heard = instance.last_heartbeat_at.is_some();
+        let has_sent_heartbeat = instance.last_heartbeat_at.is_some();
         if self.is_boot_overdue(instance, boot_s) {
             Some(DrainReason::NotBooted)
         } else if instance.is_missing_from_lists() && silent_ms > self.max_heartbeat_age_ms {
             // The list doesn't prove that the instance is gone; its confirmed termination will.
             Some(DrainReason::Vanished)
-        } else if was_heard && silent_ms > self.worker_lease_ms + SILENCE_MARGIN_MS {
+        } else if has_sent_heartbeat && silent_ms > self.worker_lease_ms + SILENCE_MARGIN_MS {
             Some(DrainReason::Silent)
         } else if instance.is_unreachable_for(self.worker_lease_ms, self.now) {
             Some(DrainReason::Unreachable)
@@ -107,8 +107,8 @@
     /// Time before workers could be answered never counts, because no heartbeats could be received.
     fn silent_ms(&self, instance: &Instance) -> Ms {
         let known_since = self.activated_at.max(instance.created_at);
-        let heard_at = instance.last_heartbeat_at.unwrap_or(known_since);
-        self.now.saturating_sub(heard_at.max(self.control_lease_valid_since))
+        let last_heartbeat_at = instance.last_heartbeat_at.unwrap_or(known_since);
+        self.now.saturating_sub(last_heartbeat_at.max(self.control_lease_valid_since))
     }
 }
 
@@ -139,11 +139,11 @@
         }
     }
 
-    /// Preempts tasks that save checkpoints on machines under preemption notice, early enough to
+    /// Preempts tasks that save checkpoints on instances under preemption notice, early enough to
     /// save one.
     fn preempt_on_notice(&mut self) {
-        let on_machines = self.attempts.values_mut();
-        for attempt in on_machines.filter(|a| a.is_wanted && a.occupies_capacity() && !a.may_bind) {
+        let attempts = self.attempts.values_mut();
+        for attempt in attempts.filter(|a| a.is_wanted && a.occupies_capacity() && !a.may_bind) {
             let instance = attempt.instance.and_then(|index| self.fleet.instances.get(index));
             let has_notice = instance.is_some_and(|instance| instance.preemption_notice);
             let job = self.jobs.get(&attempt.job);
--- a/src/core/leader/fleet/instance.rs
+++ b/src/core/leader/fleet/instance.rs
@@ -87,7 +87,7 @@
     quarantined_until: Ms,
 }
 
-/// State of the scale-out for an overloaded machine.
+/// State of the scale-out for an overloaded instance.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum OverloadScaleOut {
     /// Part of the scale-out request with this number.
--- a/src/core/leader/fleet/mod.rs
+++ b/src/core/leader/fleet/mod.rs
@@ -7,7 +7,7 @@
 //! [`Leader::poll_fleet`] drives all of this: it sends the cloud call that is due
 //! ([`cloud_calls`]) and, at intervals, runs the health checks ([`health_checks`]), makes the plan
 //! for the waiting tasks (`leader::scale_out_plan`), and applies either the window rule
-//! ([`window_rule`]) or requests one instance for each overloaded machine
+//! ([`window_rule`]) or requests one instance for each overloaded instance
 //! ([`overload_scale_out`]). Nothing here binds tasks to machines.
 
 mod cloud_calls;
@@ -43,14 +43,14 @@
 use rustc_hash::FxHashMap;
 use scale_out_requests::ScaleOutRequests;
 
-/// Index that stands for a machine that is not part of the fleet, or not yet.
+/// Index that stands for an instance that is not part of the fleet, or not yet.
 pub(in crate::core::leader) const NO_INSTANCE: InstanceIndex = InstanceIndex::new(u32::MAX);
 /// Interval between two polls of the whole fleet, extended for a large fleet.
 const POLL_INTERVAL_MS: Ms = 500;
 /// Number of attempts or instances that a poll inspects in the time that one item of a message
 /// to a shard owner takes.
 const INSPECTED_PER_ITEM: usize = 8;
-/// Interval between two checks for overloaded machines or a surge.
+/// Interval between two checks for overloaded instances or a surge.
 const OVERLOAD_CHECK_INTERVAL_MS: Ms = 1_000;
 /// Minimum interval between two windows that start early.
 const EARLY_WINDOW_INTERVAL_MS: Ms = 4_000;
@@ -66,7 +66,7 @@
 struct FleetTimers {
     /// The next poll of the whole fleet.
     poll: Timer,
-    /// The next check for overloaded machines or a surge.
+    /// The next check for overloaded instances or a surge.
     overload: Timer,
     /// No window starts early until this is due.
     early_window: Timer,
@@ -155,7 +155,8 @@
         zone: &str,
         is_spot: bool,
     ) -> InstanceIndex {
-        // The instance is nearly always known, because each reported state names every machine.
+        // The instance is nearly always known, because each reported state names every instance of
+        // its shard.
         if let Some(index) = self.instances.index_of(name) {
             return index;
         }
@@ -172,7 +173,7 @@
         index
     }
 
-    /// Applies a shard owner's report on a machine. Returns the machine's index, see
+    /// Applies a shard owner's report on an instance. Returns the instance's index, see
     /// [`Fleet::find_or_add`].
     pub(crate) fn on_reported_machine(
         &mut self,
@@ -188,18 +189,18 @@
         index
     }
 
-    /// Handles the success of a task on a machine, which shows that earlier failures there were
-    /// not due to the machine.
-    pub(crate) fn on_task_succeeded(&mut self, machine: InstanceIndex) {
-        if let Some(instance) = self.instances.get_mut(machine) {
+    /// Handles the success of a task on an instance, which shows that earlier failures there were
+    /// not due to the instance.
+    pub(crate) fn on_task_succeeded(&mut self, instance: InstanceIndex) {
+        if let Some(instance) = self.instances.get_mut(instance) {
             instance.on_task_succeeded();
         }
     }
 
-    /// Handles the failure of a task on a machine, unless its job itself is considered at fault:
-    /// the machine is quarantined, for longer if tasks of several jobs have failed on it in a row.
-    pub(crate) fn on_task_failed(&mut self, now: Ms, machine: InstanceIndex, job: JobIndex) {
-        if let Some(instance) = self.instances.get_mut(machine) {
+    /// Handles the failure of a task whose job is not considered at fault itself: the instance is
+    /// quarantined, for longer if tasks of several jobs have failed on it in a row.
+    pub(crate) fn on_task_failed(&mut self, now: Ms, instance: InstanceIndex, job: JobIndex) {
+        if let Some(instance) = self.instances.get_mut(instance) {
             instance.on_task_failed(job, now);
         }
     }
@@ -220,7 +221,7 @@
     }
 
     /// Whether a plan is so large compared with the fleet that requesting one instance for each
-    /// overloaded machine would take minutes to meet it.
+    /// overloaded instance would take minutes to meet it.
     fn is_surge(&self, plan: &ScaleOutPlan) -> bool {
         let missing = plan.machines() as usize;
         missing > MAX_NON_SURGE_INSTANCES && missing * SURGE_DIVISOR > self.instances.len()
@@ -263,11 +264,11 @@
         }
     }
 
-    /// Starts a forecast window if one is due, or else scales out for overloaded machines.
+    /// Starts a forecast window if one is due, or else scales out for overloaded instances.
     fn scale(&mut self, context: &mut NodeContext, plan: ScaleOutPlan) {
         let now = context.clock.now();
         let may_start_early = self.fleet.timers.early_window.is_due(now);
-        // A waiting task that no present machine could ever run can't overload any, so it
+        // A waiting task that no present instance could ever run can't overload any, so it
         // causes an early window instead.
         let is_unschedulable = may_start_early && self.has_unschedulable_job(context);
         let length = (context.operator.window_s * 1000.0) as Ms;
--- a/src/core/leader/fleet/overload_scale_out.rs
+++ b/src/core/leader/fleet/overload_scale_out.rs
@@ -1,4 +1,4 @@
-//! Adds one instance for each overloaded machine, between the starts of forecast windows.
+//! Adds one instance for each overloaded instance, between the starts of forecast windows.
 
 use super::instance::{InstancePhase, OverloadScaleOut};
 use super::offer::InstanceKind;
@@ -9,11 +9,11 @@
 use rustc_hash::{FxHashMap, FxHashSet};
 
 impl Leader {
-    /// Adds one instance of the plan for each machine that is projected to be overloaded. A machine
-    /// gets no further one while its instance is requested or booting. The total never exceeds the
-    /// plan.
+    /// Adds one instance of the plan for each instance that is projected to be overloaded. While
+    /// the added one is requested or booting, no further one is added for the same instance. The
+    /// total never exceeds the plan.
     pub(super) fn scale_out_for_overload(&mut self, context: &NodeContext, mut plan: ScaleOutPlan) {
-        let overloaded = self.overloaded_machines();
+        let overloaded = self.overloaded_instances();
         if overloaded.is_empty() || plan.is_empty() {
             return;
         }
@@ -35,8 +35,8 @@
         }
     }
 
-    /// Returns the overloaded machines for which no instance is requested or booting.
-    fn overloaded_machines(&mut self) -> Vec<InstanceIndex> {
+    /// Returns the overloaded instances for which no further one is requested or booting.
+    fn overloaded_instances(&mut self) -> Vec<InstanceIndex> {
         let requested: FxHashSet<u64> =
             self.fleet.scale_out.iter().map(|request| request.number).collect();
         let booting: FxHashSet<InstanceIndex> = self
@@ -50,7 +50,7 @@
         for (index, instance) in self.fleet.instances.iter_mut() {
             let is_under_way = match instance.overload_scale_out {
                 Some(OverloadScaleOut::Requested(number)) => requested.contains(&number),
-                Some(OverloadScaleOut::Created(machine)) => booting.contains(&machine),
+                Some(OverloadScaleOut::Created(created)) => booting.contains(&created),
                 None => false,
             };
             if !is_under_way {
@@ -63,7 +63,7 @@
         overloaded
     }
 
-    /// Returns the cordoned machines that are up, by kind, with the oldest last.
+    /// Returns the cordoned instances that are up, by kind, with the oldest last.
     fn cordoned_by_kind(&self) -> FxHashMap<InstanceKind, Vec<InstanceIndex>> {
         let mut by_kind: FxHashMap<InstanceKind, Vec<InstanceIndex>> = FxHashMap::default();
         for (index, instance) in self.fleet.instances.iter() {
--- a/src/core/leader/fleet/window_rule.rs
+++ b/src/core/leader/fleet/window_rule.rs
@@ -1,5 +1,5 @@
 //! The window rule: at the start of each forecast window, scales the instances of each kind to a
-//! target, and cordons instances while all machines are below the drain level.
+//! target, and cordons instances while all instances are below the drain level.
 
 use super::instance::InstancePhase;
 use super::offer::InstanceKind;
@@ -67,11 +67,11 @@
         }
         usable += restored;
         self.request_instances(context, kind, missing - restored, scaling);
-        // Right after an outage the load of the machines is unknown: machines that seem idle may
-        // only not have been heard from yet.
+        // Right after an outage the load is unknown: an instance may seem idle only because none of
+        // its heartbeats has been received yet.
         let control_lease_since = context.control_lease.valid_since();
-        let is_well_informed = context.clock.now() > control_lease_since + context.max_heartbeat_age_ms;
-        if usable > target && waiting == 0 && is_well_informed {
+        let is_load_known = context.clock.now() > control_lease_since + context.max_heartbeat_age_ms;
+        if usable > target && waiting == 0 && is_load_known {
             self.cordon_idle(context, kind, usable - target, &scaling.busy);
         }
         usable
@@ -137,8 +137,8 @@
         }
     }
 
-    /// Cordons machines if the projected peaks of all machines are below the drain level. The
-    /// fewest machines are kept that can carry the sum of all peaks at that level; those with the
+    /// Cordons instances if the projected peaks of all instances are below the drain level. The
+    /// fewest instances are kept that can carry the sum of all peaks at that level; those with the
     /// lowest peaks are cordoned first.
     fn cordon_below_drain_level(&mut self, context: &NodeContext) {
         let level = context.operator.drain_level;
@@ -200,7 +200,8 @@
 
     /// Number of instances of a kind that are up, booting or requested, without cordoned ones.
     fn count_usable(&self, kind: InstanceKind) -> u32 {
-        let in_use = self.instances.values().filter(|m| m.is_live(kind) && !m.cordoned);
+        let in_use =
+            self.instances.values().filter(|instance| instance.is_live(kind) && !instance.cordoned);
         in_use.count() as u32 + self.scale_out.count_instances(kind)
     }
 
--- a/src/core/leader/free_capacity.rs
+++ b/src/core/leader/free_capacity.rs
@@ -249,11 +249,12 @@
         free_capacity
     }
 
-    /// Returns the free capacity including machines that are booting or requested.
+    /// Returns the free capacity including that of instances that are booting or requested.
     pub(super) fn upcoming_capacity(&self, context: &NodeContext) -> FreeCapacity {
         let mut free_capacity = self.free_capacity(context);
         let is_booting = |phase: InstancePhase| phase == InstancePhase::Booting;
-        for (index, instance) in self.fleet.instances.iter().filter(|(_, m)| is_booting(m.phase)) {
+        let instances = self.fleet.instances.iter();
+        for (index, instance) in instances.filter(|(_, instance)| is_booting(instance.phase)) {
             let Some(machine_type) = context.machine_types.get(instance.machine_type) else { continue };
             let total = machine_type.capacity;
             let class = free_capacity.class_index(
--- a/src/core/leader/mod.rs
+++ b/src/core/leader/mod.rs
@@ -59,13 +59,13 @@
 use std::collections::{BTreeMap, HashMap};
 use timer::Timer;
 
-/// Minimum time between two polls that process jobs, machines and attempts.
+/// Minimum time between two polls that process jobs, instances and attempts.
 const POLL_INTERVAL_MS: Ms = 20;
 /// Minimum time between two scheduling cycles when something has changed.
 const CYCLE_INTERVAL_MS: Ms = 50;
 /// Time between two scheduling cycles when nothing has changed.
 const IDLE_CYCLE_INTERVAL_MS: Ms = 500;
-/// Number of attempts and machines that count as one item when the interval between two scheduling
+/// Number of attempts and instances that count as one item when the interval between two scheduling
 /// cycles is adjusted to the load.
 const CYCLE_ITEMS_PER_LOAD_ITEM: usize = 8;
 /// Number of low bits of an attempt id that number the attempts of one term; the bits above them
@@ -121,7 +121,7 @@
     /// Wall-clock time at which the window began.
     #[serde(rename = "at", default)]
     pub at_ms: u64,
-    /// Number of usable machines, by label of the machine type.
+    /// Number of usable instances, by label of the machine type.
     #[serde(default)]
     pub counts: BTreeMap<String, u32>,
     /// Machines booked in past windows.
@@ -164,7 +164,7 @@
     pub plans: u64,
     /// Whether something has changed that calls for another scheduling cycle soon.
     cycle_due: bool,
-    /// Due when the next poll of jobs, machines and attempts may run.
+    /// Due when the next poll of jobs, instances and attempts may run.
     poll_timer: Timer,
     /// When the last scheduling cycle began.
     last_cycle_at: Ms,
@@ -240,7 +240,7 @@
             }
         }
         self.assign_shards(context);
-        // The rest iterates over jobs, machines or attempts, which is too expensive after each
+        // The rest iterates over jobs, instances or attempts, which is too expensive after each
         // input.
         if !self.poll_timer.is_due(context.clock.now()) {
             return;
@@ -261,7 +261,7 @@
     }
 
     /// Returns the time between two scheduling cycles. It grows with the number of attempts and
-    /// machines, as the cost of a cycle does.
+    /// instances, as the cost of a cycle does.
     fn cycle_interval(&self, context: &NodeContext) -> Ms {
         if !self.cycle_due {
             return IDLE_CYCLE_INTERVAL_MS;
--- a/src/core/leader/progress/deletion.rs
+++ b/src/core/leader/progress/deletion.rs
@@ -12,7 +12,7 @@
 /// Delay before a failed deletion is retried.
 const RETRY_MS: Ms = 500;
 
-/// Backlog of keys to delete, in batches of at most one request.
+/// Backlog of the keys to delete. Each request deletes one batch of them.
 #[derive(Debug, Default)]
 pub struct DeletionQueue {
     keys: VecDeque<String>,
--- a/src/core/leader/progress/recording.rs
+++ b/src/core/leader/progress/recording.rs
@@ -145,7 +145,7 @@
         }
     }
 
-    /// Stops the attempts of a job whose success is recorded, so that they are cleared from
+    /// Stops those attempts of a job whose success is recorded, so that they are cleared from
     /// their machines.
     pub(in crate::core::leader) fn stop_recorded_attempts(&mut self, job: JobIndex) {
         let Some(live) = self.jobs.get(&job) else { return };
--- a/src/core/leader/quota.rs
+++ b/src/core/leader/quota.rs
@@ -1,6 +1,6 @@
 //! Team quotas: the resources that each team uses, and how many more tasks its quota allows.
 //!
-//! Used by the scheduling cycle, preemption, the scale-out plan and the cells.
+//! Used by the scheduling cycle, preemption, the scale-out plan and the load sharing between cells.
 
 use super::Leader;
 use crate::config::Team;
--- a/src/core/leader/scale_out_plan.rs
+++ b/src/core/leader/scale_out_plan.rs
@@ -2,7 +2,7 @@
 //! booting or requested.
 //!
 //! The planner makes a new plan on each poll of the fleet. The window rule uses it as the current
-//! demand, and scale-out for overloaded machines is limited to it. A plan requests nothing itself;
+//! demand, and scale-out for overloaded instances is limited to it. A plan requests nothing itself;
 //! the fleet requests machines and takes them out of the plan.
 
 use super::fleet::{InstanceKind, InstanceOffer};
--- a/src/core/leader/scale_out_planner.rs
+++ b/src/core/leader/scale_out_planner.rs
@@ -61,15 +61,20 @@
         planner.into_plan()
     }
 
-    /// Whether there is a waiting job that could not run on any machine of the fleet, even an
+    /// Whether there is a waiting job that could not run on any instance of the fleet, even an
     /// empty one.
     pub(super) fn has_unschedulable_job(&self, context: &NodeContext) -> bool {
         if self.fleet.waiting.is_empty() {
             return false;
         }
-        let in_use = self.fleet.instances.values().filter(|m| m.phase < InstancePhase::Draining);
+        let instances = self.fleet.instances.values();
+        let in_use = instances.filter(|instance| instance.phase < InstancePhase::Draining);
         let offers: FxHashSet<OfferKey> = in_use
-            .map(|m| OfferKey { machine_type: m.machine_type, zone: &m.zone, is_spot: m.is_spot })
+            .map(|instance| OfferKey {
+                machine_type: instance.machine_type,
+                zone: &instance.zone,
+                is_spot: instance.is_spot,
+            })
             .collect();
         let is_unschedulable =
             |spec: &JobSpec| !offers.iter().any(|offer| can_run(context, spec, offer));
@@ -80,12 +85,16 @@
             .any(|live| is_unschedulable(&live.spec))
     }
 
-    /// Returns the offers that can be requested now, with the number of machines that each already
+    /// Returns the offers that can be requested now, with the number of instances that each already
     /// has.
     fn open_offers(&self, context: &NodeContext, free_capacity: &mut FreeCapacity) -> Vec<OpenOffer> {
         let mut existing: FxHashMap<OfferKey, u32> = FxHashMap::default();
-        for m in self.fleet.instances.values() {
-            let key = OfferKey { machine_type: m.machine_type, zone: &m.zone, is_spot: m.is_spot };
+        for instance in self.fleet.instances.values() {
+            let key = OfferKey {
+                machine_type: instance.machine_type,
+                zone: &instance.zone,
+                is_spot: instance.is_spot,
+            };
             *existing.entry(key).or_default() += 1;
         }
         let mut offers = Vec::new();
@@ -146,7 +155,7 @@
     offer: InstanceOffer,
     /// Index of its machine class in the free capacity.
     class: usize,
-    /// Number of machines of this offer in the fleet.
+    /// Number of instances of this offer in the fleet.
     existing: u32,
     planned: u32,
     /// Price per hour.
--- a/src/core/leader/scheduling_cycle.rs
+++ b/src/core/leader/scheduling_cycle.rs
@@ -22,7 +22,8 @@
 const MAX_ADMITTED_TASKS: usize = 400;
 /// Number of tasks that a starving job may get ahead of all other jobs in one cycle.
 const STARVING_JOB_TASKS: u32 = 2;
-/// Number of cycles after which the job that has waited longest comes first once.
+/// Interval, in cycles, at which the job that has waited longest gets tasks ahead of the
+/// regular order, even if it has started.
 const OLDEST_JOB_INTERVAL_CYCLES: u64 = 8;
 /// Maximum number of waiting tasks of one job that are counted.
 const MAX_WAITING_TASKS: u32 = 2_000;
--- a/src/core/leader/shards.rs
+++ b/src/core/leader/shards.rs
@@ -18,13 +18,14 @@
 
 /// Grace period in which a new leader waits for the recorded owners before it replaces them.
 const OWNER_GRACE_MS: Ms = 2_500;
-/// Time that a node must have been heard continuously before shards move back to it.
+/// Time for which frames of a node must have arrived, without a break longer than the silence
+/// limit, before shards move back to it.
 const STABLE_AFTER_MS: Ms = 6_000;
 /// Time after which a node that the store does not answer can't own shards, as it can't record
 /// placements. It applies only while the store answers the leader.
 const OWNER_STORE_SILENCE_MS: Ms = 4_000;
-/// Time without an answer from the store to the leader after which the silence of the store
-/// towards a node no longer indicates a fault of that node.
+/// Time without an answer from the store to the leader itself after which the store may be at fault.
+/// A node that the store does not answer may then still own shards.
 const LEADER_STORE_SILENCE_MS: Ms = 1_500;
 /// Delay after a write of a shard's assignment before the next one.
 const ASSIGNMENT_INTERVAL_MS: Ms = 300;
