--- a/src/core/shard_owner/desired_state.rs
+++ b/src/core/shard_owner/desired_state.rs
@@ -16,7 +16,7 @@
 /// Maximum time that a desired state waits for jobs that the watch has not delivered yet.
 const MAX_PARKED_MS: Ms = 2_000;
 
-/// Desired state of one attempt.
+/// An attempt that a desired state lists.
 struct DesiredAttempt {
     job: JobIndex,
     task: u32,
@@ -25,7 +25,7 @@
     expected_ms: Ms,
 }
 
-/// The attempts that a desired state names.
+/// The attempts that a desired state lists.
 struct DesiredAttempts {
     /// Attempts at tasks of known jobs, by id.
     wanted: FxHashMap<AttemptId, DesiredAttempt>,
@@ -95,8 +95,8 @@
 }
 
 impl ShardOwner {
-    /// Applies a desired state unless it is stale, or parks it until the jobs that it names are
-    /// known.
+    /// Applies a desired state, or parks it until the jobs that it names are known. A stale one is
+    /// ignored.
     pub(crate) fn on_desired_state(&mut self, context: &mut NodeContext, message: DesiredState) {
         let Some(Some(shard)) = self.shards.get_mut(message.shard as usize) else { return };
         if !is_current(context, shard, &message) {
@@ -228,8 +228,9 @@
     }
 }
 
-/// Whether a message comes from the current leader, is addressed to this owner of the shard and
-/// is newer than the last one applied.
+/// Whether a desired state comes from the current leader, is addressed to this owner of the shard
+/// and is newer than the last one applied. None is current before the shard's records have been
+/// read.
 fn is_current(context: &NodeContext, shard: &OwnedShard, message: &DesiredState) -> bool {
     let term = Term::new(message.term);
     context.leadership.term() == Some(term)
@@ -275,9 +276,9 @@
     }
 }
 
-/// Drops unwanted attempts that are gone without needing a heartbeat as proof. An attempt whose
-/// start command was never sent is on no machine, whatever its record says. An ended attempt on a
-/// machine whose lease has ended needs no forget command.
+/// Drops the unwanted attempts for which no heartbeat has to prove that they are gone. An attempt
+/// whose start command was never sent is on no machine, even if a placement record lists it. An
+/// ended attempt on a machine whose lease has ended needs no forget command.
 fn drop_unwanted(context: &NodeContext, shard: &mut OwnedShard, machine: &mut Machine) {
     let lease_ended = machine.liveness.lease_has_ended();
     let is_gone = |attempt: &mut Attempt| attempt::ends_when_unwanted(&attempt.state(), lease_ended);
--- a/src/core/shard_owner/direct_commands.rs
+++ b/src/core/shard_owner/direct_commands.rs
@@ -13,7 +13,8 @@
 
 /// Time after which direct commands are sent again unless a heartbeat arrives first.
 const RESEND_INTERVAL_MS: Ms = 3_000;
-/// Number of sends without a heartbeat in between after which they are not resent any more.
+/// Maximum number of times that direct commands are sent to a machine without a heartbeat from it
+/// in between.
 const MAX_SENDS: u32 = 5;
 
 impl ShardOwner {
--- a/src/core/shard_owner/lapsed_admissions.rs
+++ b/src/core/shard_owner/lapsed_admissions.rs
@@ -8,8 +8,8 @@
 use crate::core::common::context::NodeContext;
 
 impl ShardOwner {
-    /// Drops attempts that can no longer be recorded, before the next reported state would name
-    /// them to the leader.
+    /// Drops attempts that can no longer be recorded, so that the next reported state does not list
+    /// them.
     pub(super) fn drop_lapsed_admissions(&mut self, context: &NodeContext) {
         let Some(term) = context.leadership.term() else { return };
         let mut dropped = vec![0_usize; self.shards.len()];
--- a/src/core/shard_owner/machine.rs
+++ b/src/core/shard_owner/machine.rs
@@ -52,7 +52,8 @@
     pub(super) is_cordoned: bool,
     /// Whether the leader wants the machine to get no new tasks for now.
     pub(super) is_quarantined: bool,
-    /// Whether the leader wants the machine prepared for termination.
+    /// Whether the machine is to be drained and then terminated: the leader wants it, or a placement
+    /// record marks the machine as being terminated.
     pub(super) is_decommissioning: bool,
     /// Whether a placement record marks the machine as being terminated. Never reset.
     pub(super) terminating_recorded: bool,
@@ -68,9 +69,10 @@
     pub(super) attempts: Vec<Attempt>,
     /// Images assumed to be in its cache, the most recently used first.
     pub(super) images: Vec<CachedImage>,
-    /// Whether its projected load exceeds its capacity for longer than is tolerated.
+    /// Whether its projected load, with the waiting tasks assigned to it, exceeds the overload level
+    /// for longer than is tolerated.
     pub(super) is_overloaded: bool,
-    /// Peak of its projected load, as a share of its capacity.
+    /// Peak of its projected load without waiting tasks, as a share of its capacity.
     pub(super) peak_load: f64,
     pub(super) parked_heartbeat: Option<ParkedHeartbeat>,
     /// When direct commands were last sent to it.
@@ -137,7 +139,7 @@
     }
 
     /// Whether its termination may be recorded, because no attempt can be on it any more.
-    pub(super) fn can_decommission(&self) -> bool {
+    pub(super) fn may_record_termination(&self) -> bool {
         let was_never_heard = self.liveness.last_heartbeat().is_none();
         let is_empty = self.liveness.lease_has_ended() || self.attempts.is_empty() || was_never_heard;
         self.is_decommissioning && !self.terminating_recorded && is_empty
--- a/src/core/shard_owner/mod.rs
+++ b/src/core/shard_owner/mod.rs
@@ -8,12 +8,12 @@
 //! Three rules prevent a task from running twice:
 //!
 //! - An attempt is recorded before its start command is sent, and only while the leader that
-//!   admitted it is still the leader. The write has compares that fail after a write by any later
-//!   leader or shard owner.
+//!   admitted it is still the leader. The write is conditional on the versions of the leader record
+//!   and the shard record, so it fails once there is a later leader or shard owner.
 //! - Start commands are sent only in responses to heartbeats.
-//! - An attempt is considered gone only once a newer heartbeat, from a worker that knows our
-//!   fencing token, does not list it, or the worker's lease has certainly ended, or the cloud has
-//!   confirmed the termination of the machine.
+//! - An attempt whose start command may have been sent is considered gone only once a newer
+//!   heartbeat, from a worker that knows our fencing token, does not list it, or the worker's lease
+//!   has certainly ended, or the cloud has confirmed the termination of the machine.
 //!
 //! The modules:
 //!
@@ -140,7 +140,7 @@
             self.drop_lapsed_admissions(context);
             placement_records::write_due_records(context, &mut self.shards, &mut self.machines);
             self.answer_due_heartbeats(context);
-            self.report_to_leader(context);
+            self.send_reported_states(context);
         }
     }
 
--- a/src/core/shard_owner/owned_shard.rs
+++ b/src/core/shard_owner/owned_shard.rs
@@ -26,8 +26,8 @@
 pub(super) struct DesiredVersion {
     /// Term of the leader that sent it.
     pub(super) term: Term,
-    /// Serial number that increases with each message of the term; reported states answer
-    /// it.
+    /// Serial number, which increases with each desired state of the term. A reported state contains
+    /// that of the last desired state applied.
     pub(super) serial: u64,
 }
 
@@ -68,7 +68,7 @@
     pub(super) rejected_attempts: FxHashSet<AttemptId>,
     pub(super) parked_desired_state: Option<ParkedDesiredState>,
     pub(super) waiting_tasks: Vec<WaitingTaskCount>,
-    /// Whether there are changes that no reported state has told the leader.
+    /// Whether there may be changes that no reported state contains yet.
     pub(super) has_unreported_changes: bool,
     /// When the last reported state was sent.
     pub(super) reported_at: Option<Ms>,
--- a/src/core/shard_owner/parked_heartbeats.rs
+++ b/src/core/shard_owner/parked_heartbeats.rs
@@ -18,7 +18,7 @@
 const PARKED_BUSY_SHARE: f64 = 0.15;
 /// Bounds of the time that heartbeats of machines with attempts are parked for.
 const PARKED_BUSY_MS: RangeInclusive<Ms> = 500..=1_500;
-/// Share of a machine's capacity from which on its heartbeats are not parked, because it has no
+/// Used share of a machine's capacity from which its heartbeats are not parked, because it has no
 /// capacity for a further task.
 const FULL_LOAD_SHARE: f64 = 0.95;
 
--- a/src/core/shard_owner/placement_records/allocation.rs
+++ b/src/core/shard_owner/placement_records/allocation.rs
@@ -41,7 +41,9 @@
     fn add_machine(&mut self, context: &NodeContext, machine: &Machine) {
         let mut rows: FxHashSet<RecordIndex> = FxHashSet::default();
         if let Some(record) = machine.state_record
-            && (machine.state_row_reserved || machine.has_recorded_state() || machine.can_decommission())
+            && (machine.state_row_reserved
+                || machine.has_recorded_state()
+                || machine.may_record_termination())
         {
             rows.insert(record);
         }
@@ -71,8 +73,8 @@
     }
 }
 
-/// Ensures that the open record, which receives new attempts, has capacity for one more. Entries of
-/// stored records that are gone count as free capacity, because the next write omits them.
+/// Ensures that the open record, which receives new attempts, has capacity for one more. Stored
+/// entries of attempts that are gone count as free capacity, because the next write omits them.
 pub(crate) fn prepare_open_record(context: &NodeContext, shard: &mut OwnedShard, machines: &Machines) {
     let limit = max_record_bytes(context);
     let spare = MAX_ATTEMPT_BYTES + 2 * USUAL_ROW_BYTES;
--- a/src/core/shard_owner/placement_records/draft.rs
+++ b/src/core/shard_owner/placement_records/draft.rs
@@ -79,7 +79,8 @@
         }
     }
 
-    /// Adds the attempts of a machine that belong in this record. Returns the numbers of its row.
+    /// Adds the attempts of a machine that belong in this record. Returns the numbers that represent
+    /// them in the machine's row.
     fn add_attempts(
         &mut self,
         context: &NodeContext,
@@ -114,7 +115,7 @@
         let bytes = own_bytes + row_bytes + job_bytes;
         let fits = self.bytes + bytes <= max_record_bytes(context);
         if attempt.moving_to == Some(self.write.record) {
-            // Another record lists the attempt already, so that it needs no compare of its own.
+            // Another record lists the attempt already, so no compare is needed for it.
             if fits {
                 self.bytes += bytes;
                 self.write.moved_attempts.insert(attempt.id);
@@ -163,6 +164,6 @@
 /// Returns the flags for a machine's own state in its row.
 fn state_flags(machine: &Machine) -> u8 {
     let cordoned = if machine.is_cordoned { RecordedMachine::CORDONED } else { 0 };
-    let is_terminating = machine.terminating_recorded || machine.can_decommission();
+    let is_terminating = machine.terminating_recorded || machine.may_record_termination();
     cordoned | if is_terminating { RecordedMachine::TERMINATING } else { 0 }
 }
--- a/src/core/shard_owner/placement_records/layout.rs
+++ b/src/core/shard_owner/placement_records/layout.rs
@@ -73,7 +73,7 @@
     let mut jobs: FxHashSet<JobIndex> = FxHashSet::default();
     let mut bytes = RECORD_HEADER_BYTES;
     for machine in machines_of(machines, shard) {
-        let shows_state = machine.has_recorded_state() || machine.can_decommission();
+        let shows_state = machine.has_recorded_state() || machine.may_record_termination();
         let mut has_row = machine.state_record == Some(record) && shows_state;
         let listed = |attempt: &&Attempt| attempt.record == record && attempt.may_be_recorded();
         for attempt in machine.attempts.iter().filter(listed) {
--- a/src/core/shard_owner/placement_records/schedule.rs
+++ b/src/core/shard_owner/placement_records/schedule.rs
@@ -84,9 +84,9 @@
             // The oversized record can't shrink before this record has the row.
             self.add(shard.index, record, Urgency::Urgent);
         }
-        if machine.can_decommission() || machine.is_cordoned != machine.cordoned_recorded {
+        if machine.may_record_termination() || machine.is_cordoned != machine.cordoned_recorded {
             let record = assign_state_record(context, shard, machine);
-            let is_urgent = machine.can_decommission();
+            let is_urgent = machine.may_record_termination();
             let urgency = if is_urgent { Urgency::Urgent } else { Urgency::Deferrable };
             self.add(shard.index, record, urgency);
         }
--- a/src/core/shard_owner/placement_records/splitting.rs
+++ b/src/core/shard_owner/placement_records/splitting.rs
@@ -83,14 +83,14 @@
     machine: &mut Machine,
     record: RecordIndex,
 ) {
-    for place in 0..machine.attempts.len() {
-        let attempt = &machine.attempts[place];
+    for position in 0..machine.attempts.len() {
+        let attempt = &machine.attempts[position];
         if !stays_in(attempt, record) {
             continue;
         }
         let (job, team) = (attempt.job, attempt.team.clone());
         let target = reserve_attempt(context, shard, machine, job, &team);
-        machine.attempts[place].moving_to = Some(target);
+        machine.attempts[position].moving_to = Some(target);
     }
 }
 
--- a/src/core/shard_owner/placement_records/write.rs
+++ b/src/core/shard_owner/placement_records/write.rs
@@ -214,7 +214,8 @@
         }
     }
     if finished_moves < write.moved_attempts.len() {
-        // Some of the moved attempts are gone in the meantime, so this record lists them needlessly.
+        // Some of the moved attempts were dropped in the meantime, so this record lists them
+        // needlessly.
         outdated.push(write.record);
     }
     shard.records.mark_outdated(outdated, commit.at);
--- a/src/core/shard_owner/reconciliation.rs
+++ b/src/core/shard_owner/reconciliation.rs
@@ -22,9 +22,10 @@
         let timing = context.timing();
         for machine in self.machines.values_mut() {
             let Some(shard) = &mut self.shards[machine.shard.as_usize()] else { continue };
-            // A machine with a parked heartbeat is not silent. Otherwise the first heartbeat of a
-            // new machine, while parked, would be treated as the end of a lease that never began,
-            // and its tasks would be admitted again while the machine received them.
+            // A machine with a parked heartbeat is not silent. Without this check, a new machine
+            // whose first heartbeat is parked would be treated as one whose lease has ended,
+            // although the lease has not begun, and its tasks would be admitted again while the
+            // machine received them.
             if machine.liveness.lease_has_ended()
                 || machine.parked_heartbeat.is_some()
                 || !shard.is_loaded()
--- a/src/core/shard_owner/reported_state.rs
+++ b/src/core/shard_owner/reported_state.rs
@@ -16,9 +16,9 @@
 use woadlever_recovery::attempt::AttemptPhase;
 
 /// Minimum interval between reported states of a shard; longer if the shard is large.
-const MIN_REPORT_INTERVAL_MS: Ms = 60;
+const MIN_REPORTED_STATE_INTERVAL_MS: Ms = 60;
 /// Interval between reported states of a shard while nothing changes.
-const IDLE_REPORT_INTERVAL_MS: Ms = 1_000;
+const IDLE_REPORTED_STATE_INTERVAL_MS: Ms = 1_000;
 /// Value of `answered_serial` in a reported state sent before any desired state of the term was
 /// applied.
 const NO_DESIRED_STATE: u64 = 0;
@@ -27,30 +27,31 @@
 
 impl ShardOwner {
     /// Sends the reported states that are due to the leader, if a leader is known.
-    pub(super) fn report_to_leader(&mut self, context: &mut NodeContext) {
+    pub(super) fn send_reported_states(&mut self, context: &mut NodeContext) {
         let Some(KnownLeader { record: leader, term }) = context.leadership.current().cloned() else {
             return;
         };
         for shard in self.shards.iter_mut().flatten().filter(|shard| shard.is_loaded()) {
-            if !is_report_due(context, shard) {
+            if !is_reported_state_due(context, shard) {
                 continue;
             }
             shard.has_unreported_changes = false;
             shard.reported_at = Some(context.clock.now());
-            let report = reported_state(context, shard, &self.machines, term);
-            shard.reported_items = report.machines.iter().map(|machine| 1 + machine.tasks.len()).sum();
-            context.send(&leader.node, PeerMessage::ReportedState(report));
+            let message = reported_state(context, shard, &self.machines, term);
+            shard.reported_items = message.machines.iter().map(|machine| 1 + machine.tasks.len()).sum();
+            context.send(&leader.node, PeerMessage::ReportedState(message));
         }
     }
 }
 
-fn is_report_due(context: &NodeContext, shard: &OwnedShard) -> bool {
+fn is_reported_state_due(context: &NodeContext, shard: &OwnedShard) -> bool {
     let Some(reported_at) = shard.reported_at else { return true };
-    let min_interval = context.load_adjusted_interval(MIN_REPORT_INTERVAL_MS, shard.reported_items);
+    let min_interval =
+        context.load_adjusted_interval(MIN_REPORTED_STATE_INTERVAL_MS, shard.reported_items);
     let interval = if shard.has_unreported_changes {
         min_interval
     } else {
-        IDLE_REPORT_INTERVAL_MS.max(min_interval)
+        IDLE_REPORTED_STATE_INTERVAL_MS.max(min_interval)
     };
     context.clock.now() >= reported_at + interval
 }
@@ -61,8 +62,8 @@
     machines: &Machines,
     term: Term,
 ) -> ReportedState {
-    let mut builder = ReportBuilder {
-        report: ReportedState {
+    let mut builder = ReportedStateBuilder {
+        message: ReportedState {
             term: term.number(),
             shard: shard.index.number(),
             fencing_token: shard.fencing_token.number(),
@@ -76,24 +77,24 @@
     for machine in machines_of(machines, shard.index) {
         builder.add_machine(context, machine);
     }
-    builder.report
+    builder.message
 }
 
 /// Builds a reported state.
-struct ReportBuilder {
-    report: ReportedState,
+struct ReportedStateBuilder {
+    message: ReportedState,
     /// Row index of each job in the message.
     job_rows: FxHashMap<JobIndex, u32>,
 }
 
-impl ReportBuilder {
+impl ReportedStateBuilder {
     fn add_machine(&mut self, context: &NodeContext, machine: &Machine) {
         let now = context.clock.now();
-        let machine_type = intern_name(&mut self.report.types, &machine.type_name);
+        let machine_type = intern_name(&mut self.message.types, &machine.type_name);
         let last_heartbeat = machine.liveness.last_heartbeat();
         let tasks =
             machine.attempts.iter().map(|attempt| self.reported_task(context, attempt)).collect();
-        self.report.machines.push(ReportedMachine {
+        self.message.machines.push(ReportedMachine {
             machine: machine.name.clone(),
             machine_type,
             spot: machine.is_spot,
@@ -119,7 +120,7 @@
     }
 
     fn job_row(&mut self, context: &NodeContext, attempt: &Attempt) -> u32 {
-        let jobs = &mut self.report.jobs;
+        let jobs = &mut self.message.jobs;
         *self.job_rows.entry(attempt.job).or_insert_with(|| {
             jobs.push(ReportedJob {
                 job: context.jobs.id(attempt.job).to_string(),
--- a/src/core/shard_owner/worker_heartbeats.rs
+++ b/src/core/shard_owner/worker_heartbeats.rs
@@ -22,8 +22,8 @@
 enum Refusal {
     /// The machine names a zone that is not configured.
     UnknownZone,
-    /// This node cannot accept it now. This node or another one may accept a later attempt; the
-    /// text is the reason sent to the worker.
+    /// This node cannot accept it now. This node or another one may accept a retry or a later
+    /// heartbeat. The text is the reason sent to the worker.
     Unavailable(&'static str),
     /// Another node owns the machine's shard, or it has no owner yet.
     NotOwner(ShardIndex),
