--- a/src/core/common/context/jobs.rs
+++ b/src/core/common/context/jobs.rs
@@ -69,9 +69,9 @@
         if !self.machine_types.is_scarcity_due(self.clock.now()) {
             return;
         }
-        let waiting =
+        let local_jobs =
             self.jobs.values().filter(|job| job.state == JobState::Live && !job.is_forwarded());
-        let specs = waiting.filter_map(|job| job.spec.as_deref());
+        let specs = local_jobs.filter_map(|job| job.spec.as_deref());
         self.machine_types.update_scarce(self.clock.now(), specs);
     }
 }
--- a/src/core/common/context/mod.rs
+++ b/src/core/common/context/mod.rs
@@ -40,8 +40,8 @@
 /// Minimum number of names of terminated machines to keep. Terminated machines stay in the
 /// cloud's list for seconds, and late heartbeats of them arrive for minutes.
 const MIN_TERMINATED_NAMES: usize = 4_096;
-/// Number of list lags of the cloud for which the names of terminated machines are kept, if
-/// machines are terminated at the highest rate that the cloud allows.
+/// Time for which the names of terminated machines are kept if machines are terminated at the
+/// highest rate that the cloud allows, as a multiple of the lag of the cloud's machine list.
 const TERMINATED_NAMES_LAG_FACTOR: f64 = 4.0;
 /// Maximum delay added to a retry when the store has not answered for a long time.
 const MAX_RETRY_EXTENSION_MS: Ms = 1_500;
@@ -162,12 +162,12 @@
         self.control_lease.is_valid(self.clock.now())
     }
 
-    /// Returns the interval between two desired or reported states, or two scheduling cycles. It
-    /// grows with the number of items in one, so that their cost stays a fixed part of the CPU
-    /// limit whatever the size of the fleet.
-    pub fn load_adjusted_interval(&self, base: Ms, size: usize) -> Ms {
+    /// Returns the interval between two runs of periodic work, such as sending a desired or reported
+    /// state, a scheduling cycle or a load projection. It grows with the number of items in one run,
+    /// so that their cost stays a fixed part of the CPU limit whatever the size of the fleet.
+    pub fn load_adjusted_interval(&self, base: Ms, items: usize) -> Ms {
         let cpu = self.platform.cluster.limits.cpu.clamp(MIN_CPU_CORES, 1.0);
-        base + (size as f64 / (ITEMS_PER_MS * cpu)) as Ms
+        base + (items as f64 / (ITEMS_PER_MS * cpu)) as Ms
     }
 
     /// Returns `base` with a random jitter of up to a quarter in either direction, so that nodes
--- a/src/core/common/context/other_nodes.rs
+++ b/src/core/common/context/other_nodes.rs
@@ -59,9 +59,9 @@
         }
     }
 
-    /// Whether the node is ready for requests. It is not ready only if the store rejects this
-    /// node alone, which is so if a peer reports that the store serves it. In an outage for all
-    /// nodes it stays ready: removal from the load balancer would last longer than most outages.
+    /// Whether the node is ready for requests. It is unready only while the store does not answer it
+    /// although a peer reports that the store serves that peer. In an outage that affects all nodes
+    /// it stays ready, because removal from the load balancer would last longer than most outages.
     pub fn is_ready(&self) -> bool {
         self.store_silence_ms() < READY_SILENCE_MS || !self.peers.any_is_served(self.clock.now())
     }
--- a/src/core/common/election.rs
+++ b/src/core/common/election.rs
@@ -45,7 +45,7 @@
     in_flight: bool,
     renew_at: Ms,
     retry_at: Ms,
-    /// Term of an earlier process of this node whose lease was ended.
+    /// Term of an earlier process of this node whose lease this process has ended or is ending.
     ended_term: Option<Term>,
     vacant_since: Option<Ms>,
 }
@@ -168,8 +168,8 @@
 
     fn on_renewed(&mut self, context: &mut NodeContext, response: &StoreResponse) {
         match response {
-            // The leader record of this process has been or is about to be deleted, which the
-            // watch will show. Stop leading on it now.
+            // The leader record of this process has been or is about to be deleted. This process
+            // stops leading now and does not wait for the watch to report the deletion.
             StoreResponse::LeaseNotFound => {
                 self.lease = None;
                 if context.own_term().is_some() {
--- a/src/core/common/job_records.rs
+++ b/src/core/common/job_records.rs
@@ -94,7 +94,7 @@
         if let Some(spec) = spec {
             job.spec = Some(Arc::new(spec));
         }
-        self.set_read(index);
+        self.remove_unread(index);
         if is_final {
             self.set_final(index);
         }
--- a/src/core/common/job_table.rs
+++ b/src/core/common/job_table.rs
@@ -1,9 +1,9 @@
 //! The jobs that a node keeps in memory.
 //!
-//! The table holds all live jobs, and of the jobs in a final state only the most recent ones. A
-//! final record never changes, so it is read from the store when it is requested. Memory is
-//! therefore bounded by the number of live jobs and [`MAX_FINAL_JOBS`], not by the number of jobs
-//! ever submitted.
+//! The table holds all live jobs, and of the jobs in a final state only the most recent ones. Final
+//! records don't change, apart from those of cancelled jobs that another cell offers again, so they
+//! are read from the store on request. Memory is therefore bounded by the number of live jobs and
+//! [`MAX_FINAL_JOBS`], not by the number of jobs ever submitted.
 //!
 //! An index is never reused for another job. A lookup with the index of a job that has since been
 //! dropped returns a cancelled job without a spec, for which nothing is ever started.
@@ -223,8 +223,9 @@
         self.entries.is_empty()
     }
 
-    /// Marks the record of a job as read. This also applies if there is no such record.
-    pub(crate) fn set_read(&mut self, index: JobIndex) {
+    /// Removes a job from the unread ones, because its record has been read, does not exist or can't
+    /// be decoded.
+    pub(crate) fn remove_unread(&mut self, index: JobIndex) {
         self.unread.remove(&index);
     }
 
--- a/src/core/common/store_calls.rs
+++ b/src/core/common/store_calls.rs
@@ -48,7 +48,7 @@
         }
     }
 
-    /// Allocates a number for a call that is not tracked here.
+    /// Allocates the number of a call. Calls to the cloud get a number but are not tracked here.
     pub(crate) fn next_number(&mut self) -> u64 {
         let number = self.next_number;
         self.next_number += 1;
--- a/src/core/common/store_keys.rs
+++ b/src/core/common/store_keys.rs
@@ -45,8 +45,9 @@
         shard.or_else(job).or_else(cell)
     }
 
-    /// Whether the record assigns the role of leader or shard owner. Such records are applied
-    /// last, because a node that takes up a role relies on all records written before.
+    /// Whether the record assigns the role of leader or shard owner. A full read applies such
+    /// records last, because a node with a role relies on all records written before its role was
+    /// assigned. Watch events arrive in the order of the writes and are applied in that order.
     pub(crate) fn assigns_role(self) -> bool {
         matches!(self, WatchedRecord::Leader | WatchedRecord::Shard(_))
     }
--- a/src/core/common/watch_cache.rs
+++ b/src/core/common/watch_cache.rs
@@ -173,7 +173,7 @@
 }
 
 /// Applies one record or its deletion. A value that can't be decoded is logged and ignored: it was
-/// not written by this service, or by a version that this one does not know.
+/// not written by this service, or was written by a version that this one does not know.
 fn apply(
     context: &mut NodeContext,
     key: &str,
--- a/src/core/messages.rs
+++ b/src/core/messages.rs
@@ -102,7 +102,7 @@
         /// The message.
         message: Box<CellMessage>,
     },
-    /// Replace the connection to this node, since its peer process may no longer exist.
+    /// Replace the connection to this node, since frames sent on it may no longer arrive.
     Reconnect {
         /// Name of the node.
         to: String,
