--- a/tests/cells/fixtures.rs
+++ b/tests/cells/fixtures.rs
@@ -12,7 +12,7 @@
 /// Id of the job that is forwarded.
 pub(crate) const JOB: &str = "run-000001";
 
-/// Returns `count` cells of which the origin can rent no machines.
+/// Returns `count` cells of which the origin can create no machines.
 pub(crate) fn full_origin(count: usize, seed: u64) -> Cells {
     let mut cells = Cells::new(count, seed);
     cells.worlds[ORIGIN].cloud.capacity = 0;
--- a/tests/combined_faults/machines.rs
+++ b/tests/combined_faults/machines.rs
@@ -50,7 +50,7 @@
 }
 
 /// New machines boot within two seconds and get tasks at once, while writes are slow and the leader
-/// that rented the machines crashes before the cloud lists them.
+/// that created the machines crashes before the cloud lists them.
 #[test]
 fn machines_up_at_once_while_writes_lag_and_the_leader_ends() {
     for (seed, wait_ms) in [(590, 1_500), (591, 3_000), (592, 5_000)] {
--- a/tests/pipelines/dependencies.rs
+++ b/tests/pipelines/dependencies.rs
@@ -197,8 +197,8 @@
     large["urgency"] = json!("prod");
     world.accept(1, &large);
     world.run(30_000);
-    let rented = world.cloud.created_count;
-    assert!(rented <= 2, "{rented} machines for two tasks of four CPUs");
+    let created_count = world.cloud.created_count;
+    assert!(created_count <= 2, "{created_count} machines for two tasks of four CPUs");
 
     // The team's whole quota is free for other jobs.
     world.accept(2, &job(3, "t0", 8, 150.0));
--- a/tests/pipelines/upgrade.rs
+++ b/tests/pipelines/upgrade.rs
@@ -126,7 +126,7 @@
 }
 
 /// Terminating machines too are on a placement record at all times: otherwise a later shard owner
-/// could use a machine whose return to the cloud is still in flight.
+/// could use a machine whose termination is still in flight.
 #[test]
 fn terminating_machines_stay_recorded_while_a_long_record_is_split() {
     for (seed, machine_count, loss) in [(27, 40, 0.0), (28, 90, 0.4)] {
@@ -139,7 +139,7 @@
             record.value["m"].as_array_mut().unwrap().push(row);
         }
 
-        // While the cloud is down the machines can't be returned.
+        // While the cloud is down the machines can't be terminated.
         world.cloud.is_down = true;
         world.lower_store_limits();
         let count_recorded = |world: &World| {
--- a/tests/resource_bounds.rs
+++ b/tests/resource_bounds.rs
@@ -20,7 +20,7 @@
         assert!(world.until_done(&format!("run-{number:06}"), 120_000));
         world.run(90_000);
     }
-    assert!(world.cloud.terminated.len() >= 6, "{} machines returned", world.cloud.terminated.len());
+    assert!(world.cloud.terminated.len() >= 6, "{} machines terminated", world.cloud.terminated.len());
     let alive = world.workers.iter().filter(|worker| worker.alive).count();
     let statistics = world.core(0).expect("a node").statistics();
     assert!(statistics.owned_machines <= alive, "{statistics:?}, {alive} machines");
--- a/tests/scenarios/fleet.rs
+++ b/tests/scenarios/fleet.rs
@@ -27,7 +27,7 @@
 }
 
 /// With no machine up, the scale-out follows the present demand alone and covers all of it at once:
-/// each call rents up to fifty machines, within the cloud's rate limit.
+/// each call creates up to fifty machines, within the cloud's rate limit.
 #[test]
 fn a_first_scale_out_to_hundreds_of_machines_takes_few_calls() {
     let mut world = World::large(3, 55);
@@ -71,7 +71,7 @@
             world.placement_of(name).is_some_and(|(_, row)| !row[3].as_array().unwrap().is_empty())
         })
         .collect();
-    assert!(busy.is_empty(), "returned {busy:?}");
+    assert!(busy.is_empty(), "terminated {busy:?}");
     assert!(world.each_task_started_once());
 }
 
--- a/tests/scenarios/placement.rs
+++ b/tests/scenarios/placement.rs
@@ -168,7 +168,7 @@
             worker.unreachable = false;
         }
         assert!(world.until_done("run-000001", 60_000));
-        assert_eq!(world.cloud.created_count, 0, "machines were rented although free ones existed");
+        assert_eq!(world.cloud.created_count, 0, "machines were created although free ones existed");
         world.assert_rules_kept();
     }
 }
--- a/tests/scenarios/store.rs
+++ b/tests/scenarios/store.rs
@@ -127,7 +127,7 @@
         "{} starts after the outage",
         world.oracle.starts.len() - before
     );
-    assert!(world.cloud.terminated.is_empty(), "{} machines returned", world.cloud.terminated.len());
+    assert!(world.cloud.terminated.is_empty(), "{} machines terminated", world.cloud.terminated.len());
     assert!(world.until_done("run-000050", 120_000));
     world.assert_rules_kept();
 }
--- a/tests/support/recorder.rs
+++ b/tests/support/recorder.rs
@@ -89,7 +89,7 @@
     match request {
         CloudRequest::Catalog => ("cloud-catalog", Vec::new()),
         CloudRequest::List { after } => ("cloud-list", json(after)),
-        CloudRequest::CreateInstances(rent) => ("cloud-rent", json(rent)),
+        CloudRequest::CreateInstances(instances) => ("cloud-rent", json(instances)),
         CloudRequest::TerminateInstances(machines) => ("cloud-return", json(machines)),
     }
 }
