--- a/crates/cells/src/host.rs
+++ b/crates/cells/src/host.rs
@@ -20,11 +20,13 @@
 /// State of the host's own record of a job, as it concerns the listed epoch.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum HostRecord {
-    /// No record is known, or only the tombstone of an earlier epoch. A write that is
-    /// conditional on this fails if there is a newer record.
+    /// No record is known, or only the tombstone of an earlier epoch of which no attempt is left
+    /// on a machine. A write that is conditional on this fails if there is a newer record.
     Unknown,
-    /// The record belongs to another job, or to an earlier epoch of this job that has not ended
-    /// here, so the job can't be hosted.
+    /// The record makes it impossible to host the job under the listed epoch. It belongs to a job
+    /// of this cell or of another origin cell with the same id, or to any other epoch of this job.
+    /// The exception is the tombstone of an earlier epoch without attempts, which is
+    /// [`HostRecord::Unknown`].
     Conflicting,
     /// The job was accepted and is not done.
     Live {
@@ -47,8 +49,10 @@
 pub enum Admission {
     /// There is capacity.
     Accept,
-    /// No decision is possible yet: the lease that the origin offers has ended, or the origin's
-    /// leader has not received a message from this cell.
+    /// No decision is possible yet, for one of two reasons. The lease that the origin offers may
+    /// have ended; this includes an origin that can't grant one, because its leader has not
+    /// received a message from this cell or renewed its own control lease, or because this cell
+    /// takes too long to stop tasks. Or this cell does not know its machine types yet.
     Undecided,
     /// There is no capacity now.
     Refuse {
@@ -95,7 +99,7 @@
 }
 
 /// Decides what the host writes for a job and what it reports to the origin. `admission` matters
-/// only if there is no record of the job.
+/// only for an active job whose record is [`HostRecord::Unknown`].
 pub fn decide(listing: Listing, record: HostRecord, admission: Admission) -> HostDecision {
     match (listing, record) {
         (_, HostRecord::Done) => HostDecision::report(HostedPhase::Done),
@@ -116,7 +120,7 @@
     }
 }
 
-/// Decides on a listed job of which there is no record.
+/// Decides on an active job whose record is [`HostRecord::Unknown`].
 fn admit(admission: Admission) -> HostDecision {
     match admission {
         Admission::Accept => HostDecision::step(HostStep::Accept),
--- a/crates/cells/src/lease.rs
+++ b/crates/cells/src/lease.rs
@@ -2,8 +2,8 @@
 //!
 //! The origin guarantees its users that the tasks of a cancelled job are gone within
 //! `cancel_s`, wherever they run. A host that receives no further messages must therefore stop
-//! on its own: the lease and the time that stopping takes stay below that bound together.
-//! All times exchanged between cells are wall-clock times, whose error is bounded by the
+//! on its own: the sum of the lease and the time that stopping takes stays below that bound.
+//! Points in time that cells exchange are wall-clock times, whose error is bounded by the
 //! settings.
 
 use crate::Millis;
@@ -30,8 +30,8 @@
 
 impl CellTiming {
     /// Time after the end of a lease within which this cell, as a host, has no task left. After
-    /// the end no response lets a worker continue, and the last response before it extends the
-    /// worker's tasks by at most one worker lease.
+    /// the end no response lets a worker continue, and the last response before it lets the
+    /// worker's tasks run for at most one more worker lease.
     pub fn stop_within_ms(&self) -> Millis {
         self.worker_lease_ms + self.worker_lease_ms * DRIFT_PER_MILLE / 1_000 + STOP_MARGIN_MS
     }
@@ -61,8 +61,8 @@
         wall_ms + self.clock_error_ms >= until_ms
     }
 
-    /// Time after which a silent host has no task of a recalled job left, counted from when the
-    /// durable recall was seen. Every lease that covers the job is based on records older than
+    /// Time after which a host, even a silent one, has no task of a recalled job left, counted from
+    /// when the durable recall was seen. Every lease that covers the job is based on records older than
     /// the recall, so this is the same bound as for cancellations.
     pub fn reclaim_after_ms(&self) -> Millis {
         self.cancel_ms + self.cancel_ms * DRIFT_PER_MILLE / 1_000
--- a/crates/cells/src/message.rs
+++ b/crates/cells/src/message.rs
@@ -30,7 +30,7 @@
     pub hosted: HostedState,
 }
 
-/// Jobs that a cell has forwarded to another.
+/// Jobs that a cell has forwarded to another, with the lease for them.
 #[derive(Debug, Clone, Default, PartialEq, Encode, Decode)]
 pub struct ForwardedState {
     /// Wall-clock time until which the host may run these jobs.
@@ -79,7 +79,7 @@
 /// Phase of a job at its host cell.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Encode, Decode)]
 pub enum HostedPhase {
-    /// The host did not accept the job; another one may be offered after a while.
+    /// The host did not accept the job.
     Refused {
         /// Time after which a job may be offered to the cell again; [`NEVER_RETRY`] if only this
         /// job can never run there.
--- a/crates/cells/src/neighbor.rs
+++ b/crates/cells/src/neighbor.rs
@@ -5,12 +5,12 @@
 use crate::routing::ClassCapacity;
 use std::collections::HashMap;
 
-/// Silence after which a cell is offered no more jobs; this comes well before the jobs that it
-/// hosts are recalled.
+/// Silence after which a cell is offered no more jobs. With the default settings, this is well
+/// before the jobs that it hosts are recalled.
 const SUSPECT_AFTER_MS: Millis = 5_000;
 /// Longest backoff after consecutive refusals.
 const MAX_BACKOFF_MS: Millis = 120_000;
-/// Number of times that the backoff doubles at most.
+/// Maximum number of times that the backoff doubles.
 const MAX_DOUBLINGS: u32 = 6;
 
 /// Health of another cell as seen from this one.
@@ -18,8 +18,8 @@
 pub enum Health {
     /// A message of the cell has arrived recently.
     Alive,
-    /// No message has arrived for some seconds: the cell is offered no jobs, and keeps those
-    /// that it hosts.
+    /// No message has arrived for some seconds, or none since this leader started: the cell is
+    /// offered no jobs, and keeps those that it hosts.
     Suspect,
     /// No message has arrived for so long that the jobs that the cell hosts are recalled.
     Silent,
--- a/crates/cells/src/origin.rs
+++ b/crates/cells/src/origin.rs
@@ -12,8 +12,8 @@
     /// Time without progress after which a job is recalled: no task of it has run for this long
     /// at the host, and none is done.
     pub idle_ms: Millis,
-    /// Time after a recall at which the job is reclaimed from a silent host; see
-    /// [`crate::lease::CellTiming::reclaim_after_ms`].
+    /// Time after a recall at which the job is reclaimed from a host that has not reported it as
+    /// done or released; see [`crate::lease::CellTiming::reclaim_after_ms`].
     pub reclaim_after_ms: Millis,
 }
 
--- a/crates/cells/src/record.rs
+++ b/crates/cells/src/record.rs
@@ -18,7 +18,7 @@
     /// Phase of the forwarding.
     #[serde(rename = "p")]
     pub phase: ForwardPhase,
-    /// Whether the host had no capacity for the job.
+    /// Whether the job was recalled because the host had no capacity for it.
     #[serde(rename = "n", default, skip_serializing_if = "is_false")]
     pub is_refused: bool,
     /// Cells that can't run the job, that accepted it and did not run it, or that were silent.
--- a/crates/cells/src/routing.rs
+++ b/crates/cells/src/routing.rs
@@ -61,21 +61,24 @@
     pub is_spot: bool,
     /// Total resources of one machine.
     pub machine: Amount,
-    /// Sum of the free capacity of all machines that are up.
+    /// Sum of the free capacity of the machines that accept tasks now, and of the total resources
+    /// of those that are booting or requested, minus the demand of jobs with a reservation.
     pub free: Amount,
-    /// Largest amount of each resource that is free on any one of them.
+    /// Largest amount of each resource that is free on any one of these machines, without regard
+    /// to reservations.
     pub largest_free: Amount,
-    /// Number of machines that may be requested from the cloud; 0 if it has refused some recently.
+    /// Number of further machines that may be requested from the cloud, minus those reserved for
+    /// jobs; 0 if the cloud has refused to rent such machines recently.
     pub requestable: u32,
 }
 
 impl ClassCapacity {
-    /// Returns how many tasks fit into the free capacity of the machines that are up.
+    /// Returns how many tasks fit into [`ClassCapacity::free`].
     fn tasks_in_free_capacity(&self, demand: &Amount) -> u32 {
         if self.largest_free.count_fitting(demand) == 0 { 0 } else { self.free.count_fitting(demand) }
     }
 
-    /// Returns how many tasks fit on the machines that may be requested.
+    /// Returns how many tasks fit on the further machines that may be requested.
     fn tasks_on_requestable(&self, demand: &Amount) -> u32 {
         self.machine.count_fitting(demand).saturating_mul(self.requestable)
     }
@@ -95,9 +98,9 @@
 /// Which machines' capacity is counted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CapacityScope {
-    /// Machines that are up.
+    /// Existing, booting and requested machines, as counted in [`ClassCapacity::free`].
     Free,
-    /// Machines that are up, and those that may be requested.
+    /// The same machines, and further ones that may be requested.
     FreeOrRequestable,
 }
 
@@ -176,9 +179,9 @@
 /// Rank of a cell for a job. Ranks are compared field by field in this order; larger is better.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct CellRank {
-    /// Number of the job's tasks that fit on machines that are up.
+    /// Number of the job's tasks that fit into the free capacity.
     tasks_in_free: u32,
-    /// Number of the job's tasks that fit, including on machines that may be requested.
+    /// Number of the job's tasks that fit, including on further machines that may be requested.
     tasks_in_total: u32,
     /// Number of tasks with the job's demand that fit, even if they are more than the job has.
     task_capacity: u32,
@@ -194,9 +197,10 @@
     }
 }
 
-/// Returns the best cell for a job: the one with capacity for the most of the job's tasks on
-/// machines that are up, then with machines that may be requested included, then with the most
-/// capacity for such tasks in total. Of equal cells it is the first.
+/// Returns the best cell for a job: the one whose free capacity has room for the most of the job's
+/// tasks, then the one with room for the most if further machines that may be requested are
+/// included, then the one with the most capacity for such tasks in total. Of equal cells it is the
+/// first.
 ///
 /// `offers` lists the cells that may be offered a job now, with their remaining capacity. Cells
 /// with capacity for less than the share `min_share` of the tasks are left out.
--- a/crates/recovery/src/disposition.rs
+++ b/crates/recovery/src/disposition.rs
@@ -56,9 +56,9 @@
     }
 }
 
-/// Whether a shard owner's reported state proves that an attempt is gone. It does if it does not
-/// list the attempt and answers a desired state that named it: before that, the shard owner may
-/// not have known of the attempt.
+/// Whether a shard owner's reported state proves that an attempt is gone. This is the case if the
+/// reported state does not list the attempt and answers a desired state that named the attempt:
+/// before that, the shard owner may not have known of it.
 ///
 /// `first_named_in` is the serial number of the first desired state that named the attempt under
 /// the current fencing token, `answered_serial` that of the newest desired state answered.
--- a/crates/recovery/src/shard.rs
+++ b/crates/recovery/src/shard.rs
@@ -8,9 +8,9 @@
 pub enum RecoveryPhase {
     /// The placement records are being read. Heartbeats are answered without commands.
     ReadingRecords,
-    /// Some machines may have attempts that are neither confirmed nor disproved.
+    /// Some machines may have attempts that are neither confirmed nor proven gone.
     Reconciling,
-    /// Every recorded attempt is confirmed, disproved or bound by this shard owner.
+    /// Every recorded attempt is confirmed, proven gone or bound by this shard owner.
     Reconciled,
 }
 
@@ -110,12 +110,12 @@
         self.counts.unrecorded += 1;
     }
 
-    /// Whether there may still be attempts that are neither confirmed nor disproved.
+    /// Whether there may still be attempts that are neither confirmed nor proven gone.
     pub fn is_reconciling(&self) -> bool {
         self.phase == RecoveryPhase::Reconciling
     }
 
-    /// Ends the reconciliation if every attempt is confirmed or disproved. Returns whether this
+    /// Ends the reconciliation if every attempt is confirmed or proven gone. Returns whether this
     /// call ended it.
     pub fn finish_if_reconciled(&mut self, unreconciled_attempts: usize) -> bool {
         let finishes = self.is_reconciling() && unreconciled_attempts == 0;
