--- a/crates/recovery-report/src/log_line.rs
+++ b/crates/recovery-report/src/log_line.rs
@@ -22,7 +22,7 @@
     MissingTimestamp,
     /// The fields have a format that this program doesn't support.
     #[error("fields of format {0}, only formats up to {NEWEST_FORMAT} can be read")]
-    OtherFormat(u64),
+    UnsupportedFormat(u64),
     /// A field is missing, as in a truncated line, or does not have the expected type.
     #[error("field {0} is missing or malformed")]
     BadField(&'static str),
@@ -131,7 +131,7 @@
     let fields = Fields::parse(fields);
     let format = fields.number("format")?;
     if !(1..=NEWEST_FORMAT).contains(&format) {
-        return Err(LineError::OtherFormat(format));
+        return Err(LineError::UnsupportedFormat(format));
     }
     let at_ms = (at.unix_timestamp_nanos() / 1_000_000) as i64;
     Ok(Some(LogLine { at_ms, event: parse_fields(&fields)? }))
--- a/crates/recovery-report/src/moves.rs
+++ b/crates/recovery-report/src/moves.rs
@@ -40,10 +40,10 @@
     /// Label on the page.
     pub fn name(self) -> &'static str {
         match self {
-            Outcome::Done => "done there",
-            Outcome::Returned => "came back",
-            Outcome::Reclaimed => "taken back from a silent cell",
-            Outcome::Unfinished => "not over",
+            Outcome::Done => "completed at the host",
+            Outcome::Returned => "returned",
+            Outcome::Reclaimed => "reclaimed from a silent cell",
+            Outcome::Unfinished => "unfinished",
         }
     }
 }
--- a/crates/recovery-report/src/page/mod.rs
+++ b/crates/recovery-report/src/page/mod.rs
@@ -39,7 +39,7 @@
                 (timeline)
                 h2 { "Attempts by verdict" }
                 (verdicts)
-                h2 { "Rejected and expired" }
+                h2 { "Load shedding" }
                 (load_shedding)
                 h2 { "All recoveries" }
                 (recovery_table(history))
@@ -53,7 +53,7 @@
 
 fn load_shedding_section(history: &History) -> Result<Markup, PlotError> {
     if history.load_shedding.is_empty() {
-        return Ok(html! { p { "Nothing was shed." } });
+        return Ok(html! { p { "No load was shed." } });
     }
     let by_class = plots::rejections_by_class(history)?;
     let lag = plots::event_loop_lag(history)?;
@@ -90,8 +90,8 @@
         table {
             tr {
                 th { "shard" } th { "log" } th { "fencing token" } th { "assigned at" }
-                th { "records read" } th { "reconciled after" } th { "on record" } th { "confirmed" }
-                th { "absent" } th { "lease ended" } th { "on no record" }
+                th { "records read" } th { "reconciled after" } th { "recorded" } th { "confirmed" }
+                th { "absent" } th { "lease ended" } th { "unrecorded" }
             }
             @for recovery in &history.recoveries {
                 @let read_ms = recovery.read_ms.map(|at| at - recovery.assigned_ms);
@@ -120,7 +120,7 @@
                 ", " (count(outcome)) " " (outcome.name())
             }
             @if let Some(longest) = history.moves.iter().filter_map(duration_ms).max() {
-                ", the longest over after " (format_seconds(longest))
+                ", the longest took " (format_seconds(longest))
             }
             "."
         }
@@ -132,7 +132,7 @@
         table {
             tr {
                 th { "job" } th { "cell" } th { "forwarded at" } th { "accepted after" }
-                th { "recalled" } th { "ended" } th { "over after" }
+                th { "recalled" } th { "outcome" } th { "ended after" }
             }
             @for moved in &history.moves {
                 @let began = moved.began_ms();
--- a/crates/recovery-report/src/page/plots.rs
+++ b/crates/recovery-report/src/page/plots.rs
@@ -180,7 +180,7 @@
         ("confirmed", totals.confirmed),
         ("absent", totals.absent),
         ("lease ended", totals.lease_ended),
-        ("on no record", totals.unrecorded),
+        ("unrecorded", totals.unrecorded),
     ];
     let max = bars.iter().map(|(_, count)| *count).max().unwrap_or(0).max(1);
     // Each bar is 1 wide; its label is drawn only below its center.
@@ -221,7 +221,7 @@
         .x_label_area_size(30)
         .y_label_area_size(60)
         .build_cartesian_2d(0.0..end_s, 0..axis_end(max))?;
-    chart.configure_mesh().x_desc("seconds").y_desc("rejected a second and node").draw()?;
+    chart.configure_mesh().x_desc("seconds").y_desc("rejected per second and node").draw()?;
     for (class, color) in RequestClass::ALL.into_iter().zip(CLASS_COLORS) {
         let points = history
             .load_shedding
--- a/crates/recovery-report/tests/report.rs
+++ b/crates/recovery-report/tests/report.rs
@@ -68,8 +68,8 @@
             LineError::BadField("grant"),
         ),
         (LOG[..LOG.len() - 20].to_string(), 4, LineError::BadField("lease_ended")),
-        (LOG.replacen("format=1", "format=3", 1), 2, LineError::OtherFormat(3)),
-        (LOG.replacen("format=1", "format=0", 1), 2, LineError::OtherFormat(0)),
+        (LOG.replacen("format=1", "format=3", 1), 2, LineError::UnsupportedFormat(3)),
+        (LOG.replacen("format=1", "format=0", 1), 2, LineError::UnsupportedFormat(0)),
         (LOG.replacen("format=1", "format=2", 1), 2, LineError::BadField("shard")),
         (LOG.replace("phase=\"squared\"", "phase=\"lost\""), 4, LineError::BadField("phase")),
         (LOG.replace("2026-12-02T10:00:02.000000Z", "soon"), 3, LineError::MissingTimestamp),
@@ -110,7 +110,11 @@
     assert_eq!((reclaimed.outcome(), reclaimed.ended_ms()), (Outcome::Reclaimed, Some(52_000)));
     assert_eq!(reclaimed.recall_reason(), Some(MoveEvent::RecalledSilent));
     let page = page::render(&history).unwrap();
-    assert!(page.contains("1 done there, 0 came back, 1 taken back from a silent cell, 0 not over"));
+    assert!(
+        page.contains(
+            "1 completed at the host, 0 returned, 1 reclaimed from a silent cell, 0 unfinished"
+        )
+    );
     let malformed =
         History::read(&self::logs(&CELL_LOG.replace("epoch=9 event=\"done\"", "epoch=9 event=\"x\"")));
     assert!(matches!(malformed, Err(HistoryError::Line { line: 3, .. })));
