--- a/crates/fakes/src/lib.rs
+++ b/crates/fakes/src/lib.rs
@@ -1,6 +1,5 @@
 //! Fakes of the key-value store, the cloud and the workers, for tests that run real processes of
-//! the service on loopback. They are written from the published
-//! protocols of these systems.
+//! the service on loopback. They are written from the published protocols of these systems.
 //!
 //! The fakes favor correctness over speed: each keeps all its state in memory under one lock. They
 //! share no code with the service, so that an error in the service's encoding can't be masked by
--- a/crates/recovery-report/src/log_line.rs
+++ b/crates/recovery-report/src/log_line.rs
@@ -52,9 +52,10 @@
     pub lag_ms: u64,
     /// Admission rate, in new connections per second.
     pub rate: u64,
-    /// Number of connections admitted.
+    /// Number of connections admitted while the node limited admission.
     pub admitted: u64,
-    /// Number of requests dropped because their clients no longer waited.
+    /// Number of requests dropped because their clients no longer waited or the request queue was
+    /// full.
     pub expired: u64,
     /// Number of connections rejected, by index of the request class.
     pub rejected: [u64; RequestClass::ALL.len()],
--- a/src/config/cells.rs
+++ b/src/config/cells.rs
@@ -7,13 +7,14 @@
 
 /// Prefix of the names of sections about other cells: `[cell NAME]`.
 pub(super) const CELL_SECTION: &str = "cell ";
-/// Wait after which a job is offered to other cells.
+/// Wait after which a job that this cell has no capacity for is offered to other cells.
 const DEFAULT_SPILL_AFTER_MS: Millis = 60_000;
 /// Silence of another cell after which the jobs that it hosts are recalled.
 const DEFAULT_SILENCE_MS: Millis = 30_000;
-/// Time within which a host cell has to start a job. It is longer than machines take to boot.
+/// Time without a running or done task after which a job is recalled from its host cell. It is
+/// longer than machines take to boot.
 const DEFAULT_IDLE_MS: Millis = 120_000;
-/// Maximum number of jobs that one other cell hosts.
+/// Maximum number of jobs that one other cell hosts for this one.
 const DEFAULT_MAX_FORWARDED_JOBS: usize = 4_096;
 /// Largest allowed value of `max_forwarded`. The list of more jobs would not fit into a message.
 const MAX_FORWARDED_JOBS_LIMIT: f64 = 50_000.0;
@@ -33,13 +34,15 @@
     pub listen_port: u16,
     /// Whether jobs of other cells are accepted.
     pub accept: bool,
-    /// Wait after which a job is offered to other cells, in milliseconds.
+    /// Wait after which a job that this cell has no capacity for is offered to other cells, in
+    /// milliseconds.
     pub spill_after_ms: Millis,
     /// Silence of another cell after which the jobs that it hosts are recalled, in milliseconds.
     pub silence_ms: Millis,
-    /// Time within which a host cell has to start a job, in milliseconds.
+    /// Time without a running or done task after which a job is recalled from its host cell, in
+    /// milliseconds.
     pub idle_ms: Millis,
-    /// Maximum number of jobs that one other cell hosts.
+    /// Maximum number of jobs that one other cell hosts for this one.
     pub max_forwarded: usize,
     /// Share of a job's tasks that another cell must have capacity for.
     pub fit_share: f64,
--- a/src/io/frames/link.rs
+++ b/src/io/frames/link.rs
@@ -33,8 +33,8 @@
     /// Creates a link and spawns its task, which connects when the first message is sent.
     pub fn new(address: SocketAddr) -> Link<T> {
         let (sender, commands) = channel(COMMAND_QUEUE_CAPACITY);
-        let connection = LinkTask { address, commands, stream: None, retry_at: Instant::now() };
-        tokio::task::spawn_local(connection.run());
+        let task = LinkTask { address, commands, stream: None, retry_at: Instant::now() };
+        tokio::task::spawn_local(task.run());
         Link { commands: sender }
     }
 
--- a/src/io/gate/mod.rs
+++ b/src/io/gate/mod.rs
@@ -114,7 +114,7 @@
     let mut head = [0; HEAD_BYTES];
     let length = match timeout(HEAD_TIMEOUT, connection.stream.stream.peek(&mut head)).await {
         // The connection is closed already, so the client no longer waits.
-        Ok(Ok(0) | Err(_)) => return overload.count_expired(),
+        Ok(Ok(0) | Err(_)) => return overload.count_dropped(),
         Ok(Ok(length)) => length,
         Err(_) => 0,
     };
--- a/src/io/gate/overload.rs
+++ b/src/io/gate/overload.rs
@@ -26,12 +26,15 @@
     next_log: Millis,
 }
 
-/// Numbers of admitted, rejected and expired requests and connections since the last log line.
+/// Counts of connections and requests since the last log line.
 #[derive(Default)]
 struct Counts {
+    /// Connections admitted while the node limited admission.
     admitted: u32,
+    /// Rejected connections, by index of the request class.
     rejected: [u32; RequestClass::ALL.len()],
-    expired: u32,
+    /// Requests dropped because their clients no longer waited or the request queue was full.
+    dropped: u32,
 }
 
 impl OverloadController {
@@ -96,8 +99,8 @@
 
     /// Counts a request that was dropped, because its client no longer waits for the answer or
     /// because the request queue was full.
-    pub(crate) fn count_expired(&self) {
-        self.state().counts.expired += 1;
+    pub(crate) fn count_dropped(&self) {
+        self.state().counts.dropped += 1;
     }
 
     /// Returns the seconds after which a rejected client should retry.
@@ -125,7 +128,7 @@
     fn log(&mut self) {
         let counts = std::mem::take(&mut self.counts);
         let rejected: u32 = counts.rejected.iter().sum();
-        if rejected == 0 && counts.expired == 0 {
+        if rejected == 0 && counts.dropped == 0 {
             return;
         }
         let [probes, heartbeats, cancellations, submissions, questions] = counts.rejected;
@@ -135,7 +138,7 @@
             lag_ms = self.monitor.lag_ms(),
             rate = self.admission.rate() as u64,
             admitted = counts.admitted,
-            expired = counts.expired,
+            expired = counts.dropped,
             probes,
             heartbeats,
             cancellations,
--- a/src/io/requests.rs
+++ b/src/io/requests.rs
@@ -26,8 +26,8 @@
         Requests { incoming, prioritized: None }
     }
 
-    /// Creates a queue of at most `limit` requests, the most important first. Others are answered
-    /// as overloaded.
+    /// Creates a queue of at most `limit` requests, the most important first. A request that is
+    /// dropped from the queue gets the answer that the node is overloaded.
     pub(super) fn by_importance(
         incoming: Receiver<PendingRequest>,
         limit: usize,
@@ -72,13 +72,13 @@
             if !pending.answer.is_closed() {
                 return Some(pending);
             }
-            self.overload.count_expired();
+            self.overload.count_dropped();
         }
     }
 
     fn reject(&self, shed: Shed<PendingRequest>) {
         let (Shed::Expired(_, pending) | Shed::QueueFull(_, pending)) = shed;
-        self.overload.count_expired();
+        self.overload.count_dropped();
         let _ = pending.answer.send(overloaded(self.overload.retry_after_s()));
     }
 }
--- a/src/model/shard.rs
+++ b/src/model/shard.rs
@@ -30,8 +30,8 @@
 }
 
 fn shards_of_zone(zone: &str, nodes: &[(String, String)]) -> Vec<Shard> {
-    let at_home = nodes.iter().filter(|(_, node_zone)| node_zone == zone);
-    let mut homes: Vec<&String> = at_home.map(|(node, _)| node).collect();
+    let in_zone = nodes.iter().filter(|(_, node_zone)| node_zone == zone);
+    let mut homes: Vec<&String> = in_zone.map(|(node, _)| node).collect();
     homes.sort();
     let parts = homes.len().max(1) as u32;
     let shard = |part: u32| Shard {
--- a/src/wire/store/job_record.rs
+++ b/src/wire/store/job_record.rs
@@ -28,8 +28,8 @@
     /// Jobs that the job depends on: the digits of their ids, separated by spaces.
     #[serde(rename = "w", default, skip_serializing_if = "String::is_empty")]
     dependencies: String,
-    /// Wall-clock time at which the job was done, in milliseconds, or 0 if it is not done. The
-    /// times of jobs that depend on it count from then on.
+    /// Wall-clock time at which the job was done, in milliseconds, or 0 if it is not done. A job
+    /// that depends on it can't start earlier, so its waiting time counts from then at the earliest.
     #[serde(rename = "t", default, skip_serializing_if = "is_zero")]
     pub done_ms: u64,
     /// The cell that the job has been forwarded to, if any, and the state of the forwarding.
