--- a/src/io/cloud.rs
+++ b/src/io/cloud.rs
@@ -46,7 +46,7 @@
             }
             (_, 429 | 503) => Some(CloudResponse::NotExecuted),
             (_, status @ 400..=499) => {
-                tracing::error!(status, request = ?self, "the cloud rejected a request");
+                tracing::error!(status, request = ?self, "the cloud rejects a request");
                 Some(CloudResponse::Malformed)
             }
             _ => None,
--- a/src/io/store.rs
+++ b/src/io/store.rs
@@ -78,7 +78,7 @@
                 Some(StoreResponse::LeaseNotFound)
             }
             (_, status @ 400..=499) => {
-                tracing::error!(status, request = ?self, "the store rejected a request");
+                tracing::error!(status, request = ?self, "the store rejects a request");
                 Some(StoreResponse::Malformed)
             }
             _ => None,
