--- a/crates/recovery/src/attempt.rs
+++ b/crates/recovery/src/attempt.rs
@@ -88,7 +88,7 @@
         // Once the worker knows our fencing token, no response of the former owner can still be
         // in flight. Before that, even a later incarnation proves nothing: both heartbeats may
         // be late copies, older than the start command, and the task would run twice.
-        AttemptPhase::Inherited if !liveness.is_fenced() => Verdict::Pending,
+        AttemptPhase::Inherited if !liveness.knows_fencing_token() => Verdict::Pending,
         _ => Verdict::Absent,
     }
 }
--- a/crates/recovery/src/worker.rs
+++ b/crates/recovery/src/worker.rs
@@ -68,7 +68,7 @@
     newest: HeartbeatVersion,
     /// Whether the worker has shown that it knows our fencing token, so that no response of a
     /// former owner can still be in flight.
-    is_fenced: bool,
+    knows_fencing_token: bool,
     last_heartbeat: Option<Millis>,
     last_response: Option<Millis>,
     /// The last heartbeat that we answered with 200.
@@ -124,8 +124,8 @@
         self.newest = heartbeat.version;
         self.last_heartbeat = Some(now);
         let knows_token = heartbeat.fencing_token >= owner_fencing_token;
-        self.is_fenced = !sequence_restarted && (self.is_fenced || knows_token);
-        self.may_be_late_copy = sequence_restarted || self.may_be_late_copy && !self.is_fenced;
+        self.knows_fencing_token = !sequence_restarted && (self.knows_fencing_token || knows_token);
+        self.may_be_late_copy = sequence_restarted || self.may_be_late_copy && !self.knows_fencing_token;
         self.direct_commands = 0;
         Ok(())
     }
@@ -199,7 +199,7 @@
     pub fn lease_has_certainly_ended(&self, owned_since: Millis, timing: &Timing, now: Millis) -> bool {
         // The worker may have learned our token from a direct command without having received
         // a response from us.
-        let answered_by_us = self.is_fenced && self.last_response.is_some();
+        let answered_by_us = self.knows_fencing_token && self.last_response.is_some();
         let former_owner_until = if answered_by_us { 0 } else { owned_since + timing.control_lease_ms };
         let last_response = self.last_response.unwrap_or(0).max(former_owner_until);
         now > last_response + timing.lease_bound_ms()
@@ -230,8 +230,8 @@
     }
 
     /// Whether the worker has shown that it knows our fencing token.
-    pub fn is_fenced(&self) -> bool {
-        self.is_fenced
+    pub fn knows_fencing_token(&self) -> bool {
+        self.knows_fencing_token
     }
 
     /// Whether the worker's lease has ended and no heartbeat has been accepted since.
--- a/src/core/common/context/jobs.rs
+++ b/src/core/common/context/jobs.rs
@@ -56,7 +56,7 @@
 
     /// Drops the specs of jobs that became final some time ago, and the task counts of all
     /// final jobs.
-    pub fn drop_final_specs(&mut self) {
+    pub fn drop_final_job_data(&mut self) {
         self.jobs.drop_old_specs(self.clock.now());
         let jobs = &self.jobs;
         let is_live =
--- a/src/core/common/watch_cache.rs
+++ b/src/core/common/watch_cache.rs
@@ -120,7 +120,7 @@
                 read.roles.push(item);
             }
         }
-        if page.more && last_key.is_some() {
+        if page.has_more && last_key.is_some() {
             self.in_flight = true;
             return list(context, read, last_key);
         }
--- a/src/core/leader/fleet/cloud_calls/instance_list.rs
+++ b/src/core/leader/fleet/cloud_calls/instance_list.rs
@@ -59,12 +59,12 @@
             self.cloud.list.next_page.set(now + RETRY_MS);
             return;
         };
-        let MachinePage { machines, more } = page;
+        let MachinePage { machines, has_more } = page;
         for listed in &machines {
             self.on_listed_instance(context, listed);
         }
         let last = machines.last();
-        if more && let Some(last) = last {
+        if has_more && let Some(last) = last {
             self.cloud.list.last_name = Some(last.name.clone());
             self.cloud.list.next_page.set(now);
             return;
--- a/src/core/leader/rebuild.rs
+++ b/src/core/leader/rebuild.rs
@@ -158,7 +158,7 @@
                 RecordKind::Fleet => {}
             }
         }
-        last_key.filter(|_| page.more)
+        last_key.filter(|_| page.has_more)
     }
 
     fn apply_progress_item(&mut self, item: &KeyValue) {
--- a/src/core/shard_owner/loading.rs
+++ b/src/core/shard_owner/loading.rs
@@ -36,7 +36,7 @@
         for item in page.items {
             self.load_record(context, index, item);
         }
-        if page.more && last_key.is_some() {
+        if page.has_more && last_key.is_some() {
             request_record_page(context, index, fencing_token, last_key);
         } else {
             self.finish_load(context, index, page.revision);
--- a/src/core/shard_owner/reconciliation.rs
+++ b/src/core/shard_owner/reconciliation.rs
@@ -188,7 +188,7 @@
         TaskState::Fetching => AttemptPhase::Fetching,
         TaskState::Running | TaskState::Other => AttemptPhase::Running,
         TaskState::Saving => AttemptPhase::Saving,
-        TaskState::Exited => match task.end_reason.as_deref() {
+        TaskState::Ended => match task.end_reason.as_deref() {
             Some("done") => AttemptPhase::Done,
             Some("error") => AttemptPhase::Failed,
             Some("halted") => AttemptPhase::Stopped,
--- a/src/core/shard_owner/reported_state.rs
+++ b/src/core/shard_owner/reported_state.rs
@@ -101,7 +101,7 @@
             silent_ms: last_heartbeat.map_or(NEVER_HEARD_MS, |at| now - at),
             preemption_notice: machine.has_preemption_notice,
             terminating: machine.terminating_recorded,
-            knows_fencing_token: machine.liveness.is_fenced(),
+            knows_fencing_token: machine.liveness.knows_fencing_token(),
             unreachable: machine.liveness.is_unreachable(),
             peak: machine.peak_load,
             overloaded: machine.is_overloaded,
--- a/src/core/shard_owner/worker_commands.rs
+++ b/src/core/shard_owner/worker_commands.rs
@@ -78,7 +78,7 @@
 
 /// Returns the command for an attempt that a heartbeat lists but no record does.
 pub(super) fn command_for_unrecorded(task: &HeartbeatTask) -> Command {
-    let action = attempt::action_for_unrecorded(task.state == TaskState::Exited);
+    let action = attempt::action_for_unrecorded(task.state == TaskState::Ended);
     let (action, grace_s) = match action {
         WorkerAction::Forget => (CommandAction::Forget, None),
         _ => (CommandAction::Stop, Some(0.0)),
--- a/src/core/user_api/mod.rs
+++ b/src/core/user_api/mod.rs
@@ -89,7 +89,7 @@
     pub(super) fn poll(&mut self, context: &mut NodeContext) {
         if context.clock.now() >= self.cleanup_at {
             self.cleanup_at = context.clock.now() + CLEANUP_INTERVAL_MS;
-            context.drop_final_specs();
+            context.drop_final_job_data();
         }
     }
 
--- a/src/wire/cloud.rs
+++ b/src/wire/cloud.rs
@@ -111,7 +111,7 @@
     pub machines: Vec<ListedMachine>,
     /// Whether another page follows.
     #[serde(rename = "has_next", default)]
-    pub more: bool,
+    pub has_more: bool,
 }
 
 /// A machine as the cloud lists it.
--- a/src/wire/store/protocol.rs
+++ b/src/wire/store/protocol.rs
@@ -25,7 +25,7 @@
     pub items: Vec<KeyValue>,
     /// Whether another page follows.
     #[serde(rename = "has_next", default)]
-    pub more: bool,
+    pub has_more: bool,
     /// Revision of the store at which the page was read.
     #[serde(rename = "ledger")]
     pub revision: u64,
--- a/src/wire/workers.rs
+++ b/src/wire/workers.rs
@@ -67,7 +67,7 @@
     Saving,
     /// Ended.
     #[serde(rename = "ended")]
-    Exited,
+    Ended,
     /// A state that this version doesn't know. It is handled like `Running`.
     #[serde(other)]
     Other,
--- a/tests/final_jobs/clusters.rs
+++ b/tests/final_jobs/clusters.rs
@@ -258,10 +258,10 @@
         task: format!("{}/0", id(number)),
         attempt: 7,
         state,
-        end_reason: (state == TaskState::Exited).then(|| "done".into()),
+        end_reason: (state == TaskState::Ended).then(|| "done".into()),
     };
     heartbeat.tasks.push(old_task(FIRST_OLD_JOB, TaskState::Running));
-    heartbeat.tasks.push(old_task(FIRST_OLD_JOB + 1, TaskState::Exited));
+    heartbeat.tasks.push(old_task(FIRST_OLD_JOB + 1, TaskState::Ended));
     let shard_owner = world.shard_owner_of(worker);
     let (status, body, _) =
         send_request(&mut world, shard_owner, HttpRequest::WorkerHeartbeat(Box::new(heartbeat)));
--- a/tests/final_jobs/job_table.rs
+++ b/tests/final_jobs/job_table.rs
@@ -119,7 +119,7 @@
     end_jobs(&mut context, 1_000, MAX_FINAL_JOBS + FINAL_JOBS_BATCH, 50);
     context.drop_final_jobs(|_| {});
     context.clock.advance(context.clock.now() + 1_000_000, 0);
-    context.drop_final_specs();
+    context.drop_final_job_data();
     assert_eq!(context.job_index(&id(1)), Some(index));
     assert!(context.job(index).spec.is_some());
 
--- a/tests/recovery.rs
+++ b/tests/recovery.rs
@@ -39,7 +39,7 @@
 /// Returns the tasks that are on a machine and have not ended.
 fn running_tasks(world: &World) -> HashSet<String> {
     let live = world.workers.iter().filter(|worker| worker.alive).flat_map(|worker| &worker.tasks);
-    live.filter(|task| task.state != TaskState::Exited)
+    live.filter(|task| task.state != TaskState::Ended)
         .map(|task| format!("{}/{}", task.job, task.task))
         .collect()
 }
@@ -52,7 +52,7 @@
         .iter()
         .filter(|worker| worker.alive)
         .flat_map(|worker| &worker.tasks)
-        .filter(|task| task.state != TaskState::Exited || task.end_reason.as_deref() == Some("done"))
+        .filter(|task| task.state != TaskState::Ended || task.end_reason.as_deref() == Some("done"))
         .map(|task| format!("{}/{}", task.job, task.task))
         .collect();
     let is_open = |id: &str| world.store.job(id).is_some_and(|record| record["s"] == "l");
@@ -162,7 +162,7 @@
 
 fn has_live_attempt(world: &World, worker: usize, attempt: u64) -> bool {
     let tasks = &world.workers[worker].tasks;
-    tasks.iter().any(|task| task.attempt == attempt && task.state != TaskState::Exited)
+    tasks.iter().any(|task| task.attempt == attempt && task.state != TaskState::Ended)
 }
 
 #[test]
--- a/tests/support/cells.rs
+++ b/tests/support/cells.rs
@@ -167,11 +167,11 @@
         starts.filter(|(task, _)| task.starts_with(&prefix)).map(|(_, starts)| starts).sum()
     }
 
-    /// Number of a job's tasks in a cell that have not exited.
+    /// Number of a job's tasks in a cell that have not ended.
     pub fn running(&self, cell: usize, id: &str) -> usize {
         let workers = self.worlds[cell].workers.iter().filter(|worker| worker.alive);
         let tasks = workers.flat_map(|worker| &worker.tasks);
-        tasks.filter(|task| task.job == id && task.state != TaskState::Exited).count()
+        tasks.filter(|task| task.job == id && task.state != TaskState::Ended).count()
     }
 
     /// Crashes all controllers of a cell; new processes start after `restart_after_ms`.
--- a/tests/support/oracle.rs
+++ b/tests/support/oracle.rs
@@ -272,7 +272,7 @@
 
     fn check_cancelled_jobs_are_gone(&mut self) {
         for (job, at) in &self.users.cancelled {
-            let is_unfinished = |task: &WorkerTask| task.job == *job && task.state != TaskState::Exited;
+            let is_unfinished = |task: &WorkerTask| task.job == *job && task.state != TaskState::Ended;
             if self.now > at + CANCEL_MS
                 && self
                     .workers
@@ -321,7 +321,7 @@
         let recorded = self.recorded_attempts();
         let mut found = Vec::new();
         for worker in self.workers.iter().filter(|worker| worker.alive) {
-            for task in worker.tasks.iter().filter(|task| task.state != TaskState::Exited) {
+            for task in worker.tasks.iter().filter(|task| task.state != TaskState::Ended) {
                 if !recorded.contains(&(worker.name.clone(), task.attempt)) {
                     found.push(format!("{}/{} on {}", task.job, task.task, worker.name));
                 }
--- a/tests/support/store.rs
+++ b/tests/support/store.rs
@@ -335,9 +335,9 @@
             .take(page_size + 1)
             .map(|(key, record)| key_value(key, record))
             .collect();
-        let more = items.len() > page_size;
+        let has_more = items.len() > page_size;
         items.truncate(page_size);
-        StoreResponse::Page(Page { items, more, revision: self.revision })
+        StoreResponse::Page(Page { items, has_more, revision: self.revision })
     }
 
     /// Returns the answer to a watch if there are changes since `since` or they are compacted.
--- a/tests/support/workers.rs
+++ b/tests/support/workers.rs
@@ -23,7 +23,7 @@
     pub attempt: u64,
     /// Current state of the task.
     pub state: TaskState,
-    /// Why the task has exited, if it has.
+    /// Why the task has ended, if it has.
     pub end_reason: Option<String>,
     /// Time of the next transition: the end of the fetch or of the run.
     pub next_transition_at: u64,
@@ -116,7 +116,7 @@
     }
 
     fn exit(&mut self, end_reason: &str) {
-        self.state = TaskState::Exited;
+        self.state = TaskState::Ended;
         self.end_reason = Some(end_reason.into());
     }
 }
@@ -185,22 +185,22 @@
             |known: &WorkerTask| is_same_task(known) && known.attempt == command.attempt;
         match (command.action, self.tasks.iter().position(is_same_attempt)) {
             (CommandAction::Start, None) => {
-                let is_unfinished = |known: &WorkerTask| known.state != TaskState::Exited;
+                let is_unfinished = |known: &WorkerTask| known.state != TaskState::Ended;
                 let is_in_use =
                     self.tasks.iter().any(|known| is_same_task(known) && is_unfinished(known));
                 self.tasks.push(WorkerTask {
                     job: job.into(),
                     task,
                     attempt: command.attempt,
-                    state: if is_in_use { TaskState::Exited } else { TaskState::Fetching },
+                    state: if is_in_use { TaskState::Ended } else { TaskState::Fetching },
                     end_reason: is_in_use.then(|| "in_use".into()),
                     next_transition_at: now + fetch_ms,
                 });
             }
-            (CommandAction::Stop, Some(found)) if self.tasks[found].state != TaskState::Exited => {
+            (CommandAction::Stop, Some(found)) if self.tasks[found].state != TaskState::Ended => {
                 self.tasks[found].exit("halted");
             }
-            (CommandAction::Forget, Some(found)) if self.tasks[found].state == TaskState::Exited => {
+            (CommandAction::Forget, Some(found)) if self.tasks[found].state == TaskState::Ended => {
                 self.tasks.remove(found);
             }
             _ => return,
@@ -216,7 +216,7 @@
     pub starts: HashMap<(String, u64), u32>,
     /// Number of commands to stop an attempt.
     pub stops: u32,
-    /// Number of commands to forget an attempt that has exited.
+    /// Number of commands to forget an attempt that has ended.
     pub forgets: u32,
 }
 
@@ -376,7 +376,7 @@
                 known.job == job && known.task == task && known.attempt == command.attempt
             };
             let found = worker.tasks.iter_mut().find(is_same_attempt);
-            if let Some(stopped) = found.filter(|found| found.state != TaskState::Exited) {
+            if let Some(stopped) = found.filter(|found| found.state != TaskState::Ended) {
                 stopped.exit("halted");
                 worker.changed = true;
             }
--- a/tests/units/messages.rs
+++ b/tests/units/messages.rs
@@ -54,7 +54,10 @@
 
     let page = r#"{"pairs":[{"k":"c/8","data":2,"stamp":5}],"has_next":true,"ledger":431}"#;
     let page: Page = serde_json::from_str(page).unwrap();
-    assert_eq!((page.items.len(), page.items[0].version, page.more, page.revision), (1, 5, true, 431));
+    assert_eq!(
+        (page.items.len(), page.items[0].version, page.has_more, page.revision),
+        (1, 5, true, 431)
+    );
 
     let watch =
         r#"{"ledger":433,"log":[{"write":"c/9","data":3,"stamp":433},{"drop":"c/d","stamp":432}]}"#;
